--- /dev/null
+++ b/tests/soak/mixed_builds.py
@@ -0,0 +1,307 @@
+"""Processes of two builds in one fleet, and one build on what the other has written.
+
+`python3 tests/soak/mixed_builds.py OLD NEW [--seeds FIRST:LAST] [--gateways N] [--seconds N]`
+
+OLD and NEW are checkouts. All gateways start with the old build, which writes the stored entries
+and the lease; then each is stopped or killed in turn under load and replaced by the other build.
+Routers of both builds share a cluster: a stream that one began is resumed at the other one, an
+operation's outcome is replayed, and each applies a configuration that the other has accepted.
+Prints one JSON line for each seed; the exit code is 1 when something was lost, counted twice or
+could not be decoded.
+"""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import json
+import os
+import random
+import signal
+import sys
+import time
+from collections import Counter
+from collections.abc import Coroutine, Iterator
+from contextlib import contextmanager
+from pathlib import Path
+from typing import Any
+
+sys.path.insert(0, str(Path(__file__).parent.parent))
+
+import aiohttp
+
+from local_processes import LocalDeployment, LocalProcess
+from milletcourse.operations.keys import mint_key
+from milletcourse.standins.embedded import OPERATOR_KEY, TENANT_KEYS
+from soak.answers import LOST
+from soak.entry import Entry
+from soak.limits import limit_servers
+from soak.planned import new_client, other_planned_work
+from soak.seeds import Report, play_seeds
+from soak.signals import leave_servers, rest_servers
+from soak.world import DEFAULT_GATEWAYS, SoakWorld
+from test_processes import StreamResult, body_of, expected, read_stream
+
+LAUNCHER = Path(__file__).parent / "build_launcher.py"
+CLIENTS = 24
+READY_SECONDS = 30.0
+REPLACED_PAUSE_SECONDS = (0.3, 1.0)
+KILLED = 0.5
+"""Share of the replaced gateways that are killed; the others get SIGTERM."""
+LIMITED, LIMIT = 0.3, 2.0
+RESTING = 0.2
+LEAVING = 0.2
+UNDECODED_EVENTS = frozenset(
+    {
+        "peer-message-refused",
+        "object-malformed",
+        "objects-unreadable",
+        "content-differs",
+        "settings-rejected",
+        "store-era-unreadable",
+        "server-limit-unreadable",
+        "server-leaving-unreadable",
+        "server-rest-unreadable",
+    }
+)
+"""Log events of a gateway that could not decode a message, a stored object or its settings."""
+VOTES_AFTER_SECONDS = 2.0
+"""A router does not vote on operations right after its start."""
+STREAM_TOKENS = 400
+
+
+async def mixed_gateways(
+    seed: int, folder: Path, sources: list[str], gateways: int, seconds: float
+) -> Report:
+    """One fleet of gateways of both builds; returns its report."""
+    world = SoakWorld(seed, folder, gateways, (str(LAUNCHER), *sources))
+    background: list[asyncio.Task[None]] = []
+    try:
+        await world.start()
+        entry = Entry(world.gateways, world.random)
+        duties = (entry.run(), world.beat(), world.watch_own_pauses())
+        background = [asyncio.create_task(work) for work in duties]
+        async with asyncio.timeout(READY_SECONDS):
+            while not all(entry.is_in(gateway) for gateway in world.gateways):
+                await asyncio.sleep(0.05)
+        callers = [
+            asyncio.create_task(new_client(number, world, entry, direct=False).run())
+            for number in range(CLIENTS)
+        ]
+        background.append(asyncio.create_task(world.keep_gateways()))
+        series = [
+            asyncio.create_task(work)
+            for work in (
+                replace_gateways(world, entry),
+                other_planned_work(world),
+                limit_servers(world, LIMITED, LIMIT),
+                rest_servers(world, RESTING),
+                leave_servers(world, LEAVING),
+            )
+        ]
+        await asyncio.sleep(seconds)
+        world.check_own_tasks([*background, *series])
+        for task in series:
+            task.cancel()
+        world.ended = True
+        await asyncio.gather(*callers)
+    finally:
+        for task in background:
+            task.cancel()
+        await world.stop()
+    world.ledger.check_limits()
+    world.check_signals()
+    return _report_of(seed, world)
+
+
+async def replace_gateways(world: SoakWorld, entry: Entry) -> None:
+    """Stop or kill one gateway after the other, until cancelled; each starts as the other build."""
+    while True:
+        for gateway in world.gateways:
+            starts = gateway.starts
+            is_killed = world.random.random() < KILLED
+            gateway.send(signal.SIGKILL if is_killed else signal.SIGTERM)
+            world.stops += 1
+            while gateway.starts == starts or not entry.is_in(gateway):
+                await asyncio.sleep(0.05)
+            await asyncio.sleep(world.random.uniform(*REPLACED_PAUSE_SECONDS))
+
+
+def _report_of(seed: int, world: SoakWorld) -> Report:
+    events: Counter[str] = Counter()
+    builds: Counter[str] = Counter()
+    lease_holders: set[tuple[str, int]] = set()
+    for gateway in world.gateways:
+        source = ""
+        for line in gateway.log_lines():
+            events[line["event"]] += 1
+            if line["event"] == "build":
+                source = line["source"]
+                builds[source] += 1
+            if line["event"] == "lease-held":
+                lease_holders.add((source, line["fencing_token"]))
+            if line["event"] in UNDECODED_EVENTS or line["event"] == "task-failed":
+                world.ledger.violate(line["event"], f"{gateway.name}: {line}")
+    verdicts = world.verdicts()
+    lost = [item.request_id for item in world.asked if verdicts[item.request_id] in LOST]
+    return {
+        "seed": seed,
+        "starts_by_build": dict(builds),
+        "replaced": world.stops,
+        "requests": len(world.asked),
+        "outcomes": dict(sorted(world.ledger.outcomes.items())),
+        "leases_by_build": dict(Counter(source for source, _ in lease_holders)),
+        "weight_orders": events["weight-order"],
+        "limits": world.ledger.limits.figures(time.monotonic()),
+        "signals": world.ledger.signals.figures(),
+        "lost": lost[:20],
+        "violations": world.ledger.violations[:20],
+    }
+
+
+# -- routers ------------------------------------------------------------------------------------
+
+
+@contextmanager
+def build_of(source: str) -> Iterator[None]:
+    """Processes that are started within this context run the build of a `src` folder."""
+    before = os.environ.get("PYTHONPATH")
+    os.environ["PYTHONPATH"] = source
+    try:
+        yield
+    finally:
+        if before is None:
+            del os.environ["PYTHONPATH"]
+        else:
+            os.environ["PYTHONPATH"] = before
+
+
+class MixedDeployment(LocalDeployment):
+    """Stand-ins of the new build, and routers of both."""
+
+    def __init__(self, sources: list[str]) -> None:
+        super().__init__(engine_options=("--prefill-tokens-per-second", "20000"))
+        self._sources = sources
+
+    def start_router(self, index: int) -> LocalProcess:
+        """Start a router: the first one of the first build, the next one of the other."""
+        with build_of(self._sources[index % len(self._sources)]):
+            return super().start_router(index)
+
+
+async def mixed_routers(sources: list[str]) -> Report:
+    """Routers of two builds, the first of `sources` first; returns a report."""
+    deployment = MixedDeployment(sources)
+    violations: list[str] = []
+    try:
+        await asyncio.to_thread(deployment.start)
+        await asyncio.sleep(VOTES_AFTER_SECONDS)
+        violations += await _check_members(deployment)
+        violations += await _check_operations(deployment)
+        violations += await _check_configuration(deployment)
+        violations += await _check_resumed_stream(deployment)
+    finally:
+        deployment.stop()
+    return {"routers": sources, "violations": violations}
+
+
+async def _check_members(deployment: LocalDeployment) -> list[str]:
+    found = []
+    for router in deployment.routers:
+        status, members = await _call("GET", f"http://{router.http}/admin/v1/members")
+        states = [member["state"] for member in members["members"]] if status == 200 else []
+        if states.count("alive") != len(deployment.routers):
+            found.append(f"members of {router.name}: {status} {members}")
+    return found
+
+
+async def _check_operations(deployment: LocalDeployment) -> list[str]:
+    """Each router replays what the other one ran; the application runs each operation once."""
+    found = []
+    for first, second in (deployment.routers, deployment.routers[::-1]):
+        key = mint_key(time.time(), random.Random())
+        headers = {"Authorization": f"Bearer {TENANT_KEYS['nurses']}", "Idempotency-Key": key}
+        answers = [
+            await _call("POST", f"http://{router.http}/apps/roster/swaps", {"from": 7}, headers)
+            for router in (first, second)
+        ]
+        assert deployment.application is not None
+        _, executions = await _call(
+            "GET", f"http://{deployment.application.http}/standin/executions"
+        )
+        if answers[0] != answers[1] or answers[0][0] != 201 or executions.get(key) != 1:
+            found.append(f"operation at {first.name}: {answers}, ran {executions.get(key)} times")
+    return found
+
+
+async def _check_configuration(deployment: LocalDeployment) -> list[str]:
+    """Each router accepts a change, and the other one brings it into force."""
+    found = []
+    for number, router in enumerate(deployment.routers):
+        path = f"/admin/v1/objects/Place/mixed-{number}"
+        change = {"spec": {"labels": {}, "region": "mixed"}, "version": 0, "change_id": path}
+        status, answer = await _call("PUT", f"http://{router.http}{path}", change)
+        if status != 200:
+            found.append(f"change at {router.name}: {status} {answer}")
+            continue
+        for other in deployment.routers:
+            await asyncio.to_thread(deployment.wait_fresh, other, answer["revision"])
+    return found
+
+
+async def _check_resumed_stream(deployment: LocalDeployment) -> list[str]:
+    """A stream whose router is killed is resumed at the other one, with its resume token."""
+    first, second = deployment.routers
+    body = body_of(0, STREAM_TOKENS)
+    result = StreamResult()
+    started = asyncio.Event()
+    async with aiohttp.ClientSession() as session:
+        reading = asyncio.create_task(read_stream(session, first.http, body, result, started))
+        await started.wait()
+        first.kill()
+        await reading
+        if result.done:
+            return ["the stream ended before its router was killed"]
+        await read_stream(session, second.http, body, result)
+    if result.done and result.text == expected(body):
+        return []
+    return [f"resumed at {second.name}: {result.error_type} {len(result.text)} characters"]
+
+
+async def _call(
+    method: str, url: str, document: object = None, headers: dict[str, str] | None = None
+) -> tuple[int, Any]:
+    """Status and decoded body; as the operator unless headers say otherwise."""
+    given = headers or {"Authorization": f"Bearer {OPERATOR_KEY}"}
+    async with (
+        aiohttp.ClientSession() as session,
+        session.request(method, url, json=document, headers=given) as response,
+    ):
+        return response.status, json.loads(await response.read() or b"null")
+
+
+def main() -> int:
+    """Run the gateways with all seeds, then the routers in both orders."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("old", type=Path, help="checkout whose build comes first")
+    parser.add_argument("new", type=Path, help="checkout whose build takes over")
+    parser.add_argument("--seeds", default="", help="FIRST:LAST; a fresh one without it")
+    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
+    parser.add_argument("--seconds", type=float, default=30.0, help="time of replacements a seed")
+    parser.add_argument("--keep", type=Path, help="folder that keeps the gateways' logs")
+    arguments = parser.parse_args()
+    sources = [str((arguments.old / "src").resolve()), str((arguments.new / "src").resolve())]
+
+    def play(seed: int, folder: Path) -> Coroutine[Any, Any, Report]:
+        return mixed_gateways(seed, folder, sources, arguments.gateways, arguments.seconds)
+
+    failed = play_seeds(arguments.seeds, arguments.keep, play)
+    for order in (sources, sources[::-1]):
+        report = asyncio.run(mixed_routers(order))
+        failed |= bool(report["violations"])
+        print(json.dumps(report), flush=True)
+    return failed
+
+
+if __name__ == "__main__":
+    sys.exit(main())
