--- a/src/milletcourse/exchange/reading/configuration_lag.py
+++ b/src/milletcourse/exchange/replication/configuration_lag.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 from milletcourse.exchange.messages.configuration_effect import ConfigurationEffect
-from milletcourse.exchange.reading.configuration_effect import EffectView
+from milletcourse.exchange.replication.configuration_effect import EffectView
 
 LAG_MARGIN_SECONDS = 0.05
 """Requests are refused this long before the change is due."""
--- a/src/milletcourse/gateway/requests/exchange_runner.py
+++ b/src/milletcourse/gateway/requests/exchange_runner.py
@@ -14,7 +14,7 @@
 from milletcourse.exchange.messages.messages import ExchangeRequest
 from milletcourse.exchange.messages.records import RouteRecord, TenantRecord
 from milletcourse.exchange.placement.route_table import RouteTable
-from milletcourse.exchange.reading.configuration_lag import LagVerdict
+from milletcourse.exchange.replication.configuration_lag import LagVerdict
 from milletcourse.gateway.clients.client_connection import ClientConnection
 from milletcourse.gateway.clients.refusals import refuse
 from milletcourse.gateway.clients.request_reader import ClientRequest
--- a/src/milletcourse/gateway/servers/call_client.py
+++ b/src/milletcourse/gateway/servers/call_client.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.messages import AnswerHead, HeaderField
-from milletcourse.exchange.reading.answer_progress import AnswerProgress
+from milletcourse.exchange.replication.answer_progress import AnswerProgress
 from milletcourse.gateway.servers.connection_pool import ConnectionPool
 from milletcourse.gateway.servers.descriptors import OwnMeansError
 from milletcourse.gateway.servers.server_connection import ServerConnection
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -25,11 +25,11 @@
 from milletcourse.exchange.placement.cache_store_plan import CacheStorePlan
 from milletcourse.exchange.placement.instance_selector import InstanceSelector
 from milletcourse.exchange.placement.route_table import RouteTable
-from milletcourse.exchange.reading.configuration_effect import EffectHistory
-from milletcourse.exchange.reading.configuration_lag import ConfigurationLag
-from milletcourse.exchange.reading.confirmed_era import ConfirmedEra, EraEvidence
-from milletcourse.exchange.reading.freshness import ProofOfFreshness, ReadingTimes, reading_times
-from milletcourse.exchange.reading.lost_configuration import LostConfiguration
+from milletcourse.exchange.replication.configuration_effect import EffectHistory
+from milletcourse.exchange.replication.configuration_lag import ConfigurationLag
+from milletcourse.exchange.replication.confirmed_era import ConfirmedEra, EraEvidence
+from milletcourse.exchange.replication.freshness import ProofOfFreshness, ReadingTimes, reading_times
+from milletcourse.exchange.replication.lost_configuration import LostConfiguration
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
 from milletcourse.gateway.servers.connection_pool import ConnectionPool
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -18,7 +18,7 @@
 )
 from milletcourse.exchange.messages.feed_messages import FedKind, FedObject
 from milletcourse.exchange.messages.store_place import StorePlace
-from milletcourse.exchange.reading.pending_contents import FedUpdate
+from milletcourse.exchange.replication.pending_contents import FedUpdate
 from milletcourse.gateway.store.change_log import PATCHED_BYTES, ChangeLog, LoggedChange
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
 from milletcourse.gateway.telling.store_recorder import StoreReturn
--- a/src/milletcourse/gateway/telling/store_recorder.py
+++ b/src/milletcourse/gateway/telling/store_recorder.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.store_place import StorePlace
-from milletcourse.exchange.reading.confirmed_era import EraEvidence
+from milletcourse.exchange.replication.confirmed_era import EraEvidence
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
 from milletcourse.gateway.telling.given_up_call import GivenUpCall
--- a/tests/exchange/reading/test_answer_progress.py
+++ b/tests/exchange/replication/test_answer_progress.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from milletcourse.exchange.reading.answer_progress import (
+from milletcourse.exchange.replication.answer_progress import (
     CONTENT_BYTES,
     QUIET_SECONDS,
     WHOLE_SECONDS,
--- a/tests/exchange/reading/test_confirmed_era.py
+++ b/tests/exchange/replication/test_confirmed_era.py
@@ -5,7 +5,7 @@
 import pytest
 
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
-from milletcourse.exchange.reading.confirmed_era import (
+from milletcourse.exchange.replication.confirmed_era import (
     FIRST_ERA,
     WRITTEN_AGAIN_SECONDS,
     ConfirmedEra,
--- a/tests/exchange/reading/test_content_patches.py
+++ b/tests/exchange/replication/test_content_patches.py
@@ -35,7 +35,7 @@
     encode_question,
 )
 from milletcourse.exchange.messages.store_place import StorePlace
-from milletcourse.exchange.reading.pending_contents import FedUpdate, PendingContents
+from milletcourse.exchange.replication.pending_contents import FedUpdate, PendingContents
 
 ENTRIES = st.lists(st.sampled_from([b'{"a":1},', b'{"b":[2,{"c":3},4]},', b"},", b"x", b""]))
 CONTENTS = st.one_of(st.binary(max_size=200), ENTRIES.map(b"".join))
--- a/tests/exchange/reading/test_lost_configuration.py
+++ b/tests/exchange/replication/test_lost_configuration.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from milletcourse.exchange.reading.lost_configuration import LostConfiguration
+from milletcourse.exchange.replication.lost_configuration import LostConfiguration
 
 
 def test_a_version_that_the_store_lost_is_told_until_it_is_there_again() -> None:
--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -41,7 +41,7 @@
 )
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.placement.route_table import RouteTable
-from milletcourse.exchange.reading.freshness import ProofOfFreshness, reading_times
+from milletcourse.exchange.replication.freshness import ProofOfFreshness, reading_times
 from milletcourse.exchange.rollout.roll_out import (
     OrderReply,
     RollOut,
--- a/tests/gateway/store/test_announced_changes.py
+++ b/tests/gateway/store/test_announced_changes.py
@@ -16,13 +16,13 @@
     TenantRecord,
     WeightedService,
 )
-from milletcourse.exchange.reading.configuration_effect import (
+from milletcourse.exchange.replication.configuration_effect import (
     MAX_ENTRIES,
     EffectHistory,
     EffectView,
     effect_of,
 )
-from milletcourse.exchange.reading.configuration_lag import ConfigurationLag, LagVerdict
+from milletcourse.exchange.replication.configuration_lag import ConfigurationLag, LagVerdict
 from milletcourse.gateway.node import GatewayNode
 from milletcourse.gateway.store.feed_client import FeedClient
 
--- a/tests/gateway/store/test_store_copies.py
+++ b/tests/gateway/store/test_store_copies.py
@@ -22,7 +22,7 @@
     serve_whole,
 )
 from milletcourse.cli.operator_port import call_gateway
-from milletcourse.exchange.reading.confirmed_era import WRITTEN_AGAIN_SECONDS
+from milletcourse.exchange.replication.confirmed_era import WRITTEN_AGAIN_SECONDS
 from milletcourse.gateway.node import GatewayNode
 from milletcourse.gateway.operator_api import STORE_STATE_PATH
 from milletcourse.gateway.store import registration
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -20,7 +20,7 @@
 from milletcourse.exchange.messages.messages import LeaveCause
 from milletcourse.exchange.messages.records import ExchangeConfiguration
 from milletcourse.exchange.messages.store_place import StorePlace
-from milletcourse.exchange.reading.configuration_lag import ConfigurationLag, LagVerdict
+from milletcourse.exchange.replication.configuration_lag import ConfigurationLag, LagVerdict
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.clients.client_connection import ClientConnection
 from milletcourse.gateway.node import GatewayNode
--- a/tests/soak/revocation.py
+++ b/tests/soak/revocation.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from milletcourse.exchange.reading.confirmed_era import WRITTEN_AGAIN_SECONDS
+from milletcourse.exchange.replication.confirmed_era import WRITTEN_AGAIN_SECONDS
 from soak.clients import SHORT_PROMPT, Habits, SoakClient
 from soak.seeds import Report, play_seeds
 from soak.world import DEFAULT_GATEWAYS, SoakWorld
