--- a/src/milletcourse/exchange/limits/ask_pauses.py
+++ b/src/milletcourse/exchange/limits/permit_retry_delays.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from milletcourse.exchange.limits.allowance_lender import UnitReply
+from milletcourse.exchange.limits.quota_owner import UnitReply
 
 MAX_PROMISE_SECONDS = 5.0
 """Longest time after which a refused caller is told to come back: few wait longer."""
--- a/src/milletcourse/exchange/limits/allowance_homes.py
+++ b/src/milletcourse/exchange/limits/quota_owner_selector.py
@@ -10,7 +10,7 @@
 import msgspec
 import xxhash
 
-from milletcourse.exchange.limits.allowance_lender import Standing
+from milletcourse.exchange.limits.quota_owner import Standing
 
 HOMES = 2
 """The home and its deputy."""
--- a/src/milletcourse/exchange/limits/tenant_limits.py
+++ b/src/milletcourse/exchange/limits/tenant_limits.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from milletcourse.exchange.counting.recent_use import RecentUse
-from milletcourse.exchange.limits.known_use import KnownUse, UseKnowledge
+from milletcourse.exchange.limits.peer_usage import KnownUse, UseKnowledge
 from milletcourse.exchange.limits.shared_bucket import SharedBucket
 from milletcourse.exchange.messages.messages import ExchangeRequest
 from milletcourse.exchange.messages.peer_messages import TenantUse, short_key
--- a/src/milletcourse/exchange/placement/instance_selector.py
+++ b/src/milletcourse/exchange/placement/instance_selector.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from milletcourse.exchange.limits.ask_pauses import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import AskPauses
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS, Mechanism
 from milletcourse.exchange.messages.messages import ExchangeRequest
@@ -26,7 +26,7 @@
 from milletcourse.exchange.placement.long_prompt_servers import is_long, mostly_generates
 from milletcourse.exchange.placement.prompt_chain import PromptChain, prompt_chain
 from milletcourse.exchange.placement.prompt_homes import PromptHomes
-from milletcourse.exchange.placement.recent_holders import RecentHolders
+from milletcourse.exchange.placement.recent_cache_holders import RecentHolders
 from milletcourse.exchange.placement.reuse_scope import cache_salt
 from milletcourse.exchange.placement.server_candidates import ServerCandidates
 from milletcourse.exchange.rollout.version_gate import VersionGate
--- a/src/milletcourse/exchange/placement/server_candidates.py
+++ b/src/milletcourse/exchange/placement/server_candidates.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from milletcourse.exchange.limits.ask_pauses import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import AskPauses
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.mechanisms import Mechanism
 from milletcourse.exchange.messages.records import ServiceRecord
--- a/src/milletcourse/exchange/servers/instance_table.py
+++ b/src/milletcourse/exchange/servers/instance_table.py
@@ -12,7 +12,7 @@
 
 from milletcourse.exchange.messages.peer_messages import incarnation_key
 from milletcourse.exchange.messages.records import InstanceRecord
-from milletcourse.exchange.servers.gone_servers import GoneServers
+from milletcourse.exchange.servers.server_tombstones import GoneServers
 from milletcourse.exchange.servers.server_health import ServerHealth
 
 BACK_SECONDS = 2.3
--- a/src/milletcourse/experiments/allowance_ways.py
+++ b/src/milletcourse/experiments/allowance_ways.py
@@ -9,14 +9,14 @@
 from enum import Enum
 from typing import Protocol
 
-from milletcourse.exchange.limits.allowance_homes import AllowanceHomes
-from milletcourse.exchange.limits.allowance_lender import (
+from milletcourse.exchange.limits.quota_owner_selector import AllowanceHomes
+from milletcourse.exchange.limits.quota_owner import (
     BURST_UNITS,
     AllowanceLender,
     Standing,
     UnitReply,
 )
-from milletcourse.exchange.limits.ask_pauses import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import AskPauses
 
 KEY = 1
 TOLD_AFTER_SECONDS = 0.2
--- a/src/milletcourse/experiments/limit_ways.py
+++ b/src/milletcourse/experiments/limit_ways.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from milletcourse.exchange.limits.known_use import KnownUse, SummedUse, UseKnowledge
+from milletcourse.exchange.limits.peer_usage import KnownUse, SummedUse, UseKnowledge
 from milletcourse.exchange.load.load_exchange import LoadExchange
 
 UNLIMITED_PER_SECOND = 1e9
--- a/src/milletcourse/experiments/rest_model.py
+++ b/src/milletcourse/experiments/rest_model.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from milletcourse.exchange.limits.rest_returns import return_seconds
+from milletcourse.exchange.limits.backoff_retry import return_seconds
 from milletcourse.exchange.load.server_signals import ServerSignals
 
 SERVERS = 8
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from milletcourse.exchange.attempts.answer_rules import judge_answer
-from milletcourse.exchange.attempts.patience import (
+from milletcourse.exchange.attempts.silence_timeouts import (
     MIN_SILENCE_SECONDS,
     first_event_seconds,
     gap_seconds,
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -13,7 +13,7 @@
     ServersLeaving,
     ServersResting,
 )
-from milletcourse.exchange.limits.rest_returns import return_seconds
+from milletcourse.exchange.limits.backoff_retry import return_seconds
 from milletcourse.exchange.load.known_server import Signal
 from milletcourse.exchange.placement.instance_selector import Choice
 from milletcourse.exchange.servers.instance_table import Instance
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 from itertools import count
 
-from milletcourse.exchange.limits.allowance_homes import AllowanceHomes, ChosenLender
-from milletcourse.exchange.limits.allowance_lender import (
+from milletcourse.exchange.limits.quota_owner_selector import AllowanceHomes, ChosenLender
+from milletcourse.exchange.limits.quota_owner import (
     GRANTED,
     AllowanceLender,
     Standing,
     UnitReply,
 )
-from milletcourse.exchange.limits.ask_pauses import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import AskPauses
 from milletcourse.exchange.load.known_server import ServerLimitState, Signal
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.messages.allowance_messages import UnitMessage, UnitStep, told_ms
--- a/src/milletcourse/gateway/servers/signal_watch.py
+++ b/src/milletcourse/gateway/servers/signal_watch.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from milletcourse.exchange.attempts.answer_rules import MISDIRECTED
-from milletcourse.exchange.limits.ask_pauses import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import AskPauses
 from milletcourse.exchange.load.known_server import ANSWER, ENTRY, PEER, LimitChange, Signal
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.messages.messages import AnswerHead
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -11,9 +11,9 @@
 from milletcourse.exchange.attempts.planned_stop import PlannedStop, StopPhase
 from milletcourse.exchange.counting.weighted_choice import WeightedChoice
 from milletcourse.exchange.evidence.crash_evidence import CrashEvidence
-from milletcourse.exchange.limits.ask_pauses import AskPauses
-from milletcourse.exchange.limits.connection_part import connection_part
-from milletcourse.exchange.limits.known_use import SummedUse
+from milletcourse.exchange.limits.permit_retry_delays import AskPauses
+from milletcourse.exchange.limits.connection_share import connection_part
+from milletcourse.exchange.limits.peer_usage import SummedUse
 from milletcourse.exchange.limits.tenant_limits import TenantLimits
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.load.server_signals import ServerSignals
--- a/tests/exchange/limits/test_rests.py
+++ b/tests/exchange/limits/test_backoff_retry.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from milletcourse.exchange.limits.rest_returns import MAX_SPREAD_SECONDS, RANKS, return_seconds
+from milletcourse.exchange.limits.backoff_retry import MAX_SPREAD_SECONDS, RANKS, return_seconds
 from milletcourse.experiments.rest_model import Need, RestModel, RestWay
 
 GATEWAYS = 20
--- a/tests/exchange/limits/test_connection_part.py
+++ b/tests/exchange/limits/test_connection_share.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from milletcourse.exchange.limits.connection_part import CHANCE_SHARE, KEPT_SHARE, connection_part
+from milletcourse.exchange.limits.connection_share import CHANCE_SHARE, KEPT_SHARE, connection_part
 
 ADDRESS = "10.0.0.1:80"
 
--- a/tests/exchange/limits/test_allowances.py
+++ b/tests/exchange/limits/test_server_quotas.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from milletcourse.exchange.limits.allowance_homes import (
+from milletcourse.exchange.limits.quota_owner_selector import (
     FIRST_SILENCE_SECONDS,
     MAX_SILENCE_SECONDS,
     AllowanceHomes,
 )
-from milletcourse.exchange.limits.allowance_lender import (
+from milletcourse.exchange.limits.quota_owner import (
     BURST_UNITS,
     DEPUTY_BURST_UNITS,
     MAX_ACCOUNTS,
@@ -22,7 +22,7 @@
     Standing,
     UnitReply,
 )
-from milletcourse.exchange.limits.ask_pauses import MAX_PROMISE_SECONDS, AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import MAX_PROMISE_SECONDS, AskPauses
 from milletcourse.exchange.load.known_server import ENDED_SECONDS, LimitChange
 from milletcourse.exchange.load.server_signals import (
     MAX_KNOWN,
--- a/tests/exchange/limits/test_tenant_limits.py
+++ b/tests/exchange/limits/test_tenant_limits.py
@@ -24,7 +24,7 @@
 from milletcourse.cli.experiment import read_sizes
 from milletcourse.errors import FailureError
 from milletcourse.exchange.counting.recent_use import TOLD_SECONDS, RecentUse
-from milletcourse.exchange.limits.known_use import SummedUse, UseKnowledge
+from milletcourse.exchange.limits.peer_usage import SummedUse, UseKnowledge
 from milletcourse.exchange.limits.shared_bucket import START_SECONDS
 from milletcourse.exchange.limits.tenant_limits import MAX_WAIT_SECONDS, TenantLimits
 from milletcourse.exchange.load.load_exchange import TICK_SECONDS, LoadExchange
--- a/tests/exchange/placement/test_placement.py
+++ b/tests/exchange/placement/test_placement.py
@@ -31,7 +31,7 @@
     long_prompt_servers,
     mostly_generates,
 )
-from milletcourse.exchange.placement.recent_holders import MAX_PARTS, RecentHolders
+from milletcourse.exchange.placement.recent_cache_holders import MAX_PARTS, RecentHolders
 from milletcourse.exchange.placement.reuse_scope import reuse_scope
 from milletcourse.exchange.placement.route_table import RouteTable
 from milletcourse.exchange.rollout.roll_out_timing import GRACE_SECONDS
--- a/tests/exchange/placement/test_server_candidates.py
+++ b/tests/exchange/placement/test_server_candidates.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from milletcourse.exchange.limits.ask_pauses import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import AskPauses
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS
 from milletcourse.exchange.messages.messages import AttemptResult
--- a/tests/exchange/test_gone_servers.py
+++ b/tests/exchange/test_server_tombstones.py
@@ -5,7 +5,7 @@
 import pytest
 
 from milletcourse.exchange.messages.records import InstanceRecord
-from milletcourse.exchange.servers.gone_servers import DOUBT_SECONDS
+from milletcourse.exchange.servers.server_tombstones import DOUBT_SECONDS
 from milletcourse.exchange.servers.instance_table import BACK_SECONDS, InstanceTable
 
 START = 1_700_000_000_000
--- a/tests/gateway/requests/test_gateway_streams.py
+++ b/tests/gateway/requests/test_gateway_streams.py
@@ -22,7 +22,7 @@
     serve_whole,
 )
 from milletcourse.exchange.attempts import patience
-from milletcourse.exchange.attempts.patience import MIN_SILENCE_SECONDS
+from milletcourse.exchange.attempts.silence_timeouts import MIN_SILENCE_SECONDS
 from milletcourse.exchange.messages.messages import AttemptResult, ExchangeRequest
 from milletcourse.gateway.clients.client_connection import ClientConnection
 from milletcourse.gateway.clients.refusals import refuse
--- a/tests/gateway/servers/test_server_limits.py
+++ b/tests/gateway/servers/test_server_limits.py
@@ -41,7 +41,7 @@
     stream_head,
 )
 from milletcourse.cli.main import app
-from milletcourse.exchange.limits.allowance_lender import UnitReply
+from milletcourse.exchange.limits.quota_owner import UnitReply
 from milletcourse.experiments.allowance_model import WINDOW_SECONDS, borne_in_window
 from milletcourse.experiments.sliding_window import most_in_window
 from milletcourse.gateway.node import GatewayNode
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -20,7 +20,7 @@
     run_state_machine_as_test,
 )
 
-from milletcourse.exchange.limits.ask_pauses import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import AskPauses
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from milletcourse.exchange.attempts.planned_stop import ConnectionState, PlannedStop, StopPhase
-from milletcourse.exchange.limits.allowance_homes import AllowanceHomes, ChosenLender
-from milletcourse.exchange.limits.allowance_lender import Standing
+from milletcourse.exchange.limits.quota_owner_selector import AllowanceHomes, ChosenLender
+from milletcourse.exchange.limits.quota_owner import Standing
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.messages import feed_messages
 from milletcourse.exchange.messages.feed_messages import FedKind
