--- a/src/milletcourse/exchange/attempts/answer_rules.py
+++ b/src/milletcourse/exchange/attempts/answer_rules.py
@@ -5,11 +5,11 @@
 from milletcourse.exchange.messages.messages import AnswerHead, AttemptResult
 
 MISDIRECTED = 421
-PROMISES = frozenset({408, 429, 503})
+NEVER_RUN_STATUSES = frozenset({408, 429, 503})
 """Statuses that promise a client that its request has not run and never will."""
 
 
-def judge_answer(head: AnswerHead, instance: str, expected_version: int | None) -> AttemptResult:
+def classify_answer(head: AnswerHead, instance: str, expected_version: int | None) -> AttemptResult:
     """The result of an attempt that ended with a whole answer.
 
     Args:
@@ -23,7 +23,7 @@
         return AttemptResult.WRONG_VERSION
     if head.not_executed:
         return AttemptResult.TURNED_AWAY
-    if head.encoded or head.status in PROMISES:
+    if head.encoded or head.status in NEVER_RUN_STATUSES:
         # Only a server that says so has not run it: a bare promise can't be passed on.
         return AttemptResult.LOST
     if not head.successful:
--- a/src/milletcourse/exchange/attempts/attempt_plan.py
+++ b/src/milletcourse/exchange/attempts/attempt_plan.py
@@ -20,14 +20,14 @@
 class NextStep(Enum):
     """What follows an attempt."""
 
-    SEND_AGAIN = "send-again"
+    RETRY = "send-again"
     HANDED_OVER = "handed-over"
     """Another server has its stream already."""
-    FIRST_GOES_ON = "first-goes-on"
+    FIRST_CONTINUES = "first-goes-on"
     """The server that it was to take a stream over from still has it."""
     REFUSE = "refuse"
     """It never ran: refuse, and say when to come back."""
-    PASS_FAILURE = "pass-failure"
+    FORWARD_FAILURE = "pass-failure"
     """Pass on the server's own failure."""
     ANSWER_LOST = "answer-lost"
     """It may have run: say so, without a promise."""
@@ -58,7 +58,7 @@
         self.possible_runs += result in _POSSIBLE_RUNS
         self._answered = self._answered or result is AttemptResult.ANSWERED
 
-    def may_send_again(self, seconds_left: float) -> bool:
+    def may_retry(self, seconds_left: float) -> bool:
         """Whether another server may get the request, as far as its own attempts tell."""
         return self._may_send(self.possible_runs, seconds_left)
 
@@ -78,7 +78,7 @@
         if result is AttemptResult.ANSWERED:
             return NextStep.FINISHED
         if result is AttemptResult.FAILED:
-            return NextStep.PASS_FAILURE
+            return NextStep.FORWARD_FAILURE
         if self.possible_runs == 0:
             return NextStep.REFUSE
         return NextStep.ANSWER_LOST
--- a/src/milletcourse/exchange/attempts/handover.py
+++ b/src/milletcourse/exchange/attempts/handover.py
@@ -14,7 +14,7 @@
 """Both may work on the stream for so long: 0.4 s are allowed, less the way of a close."""
 
 
-class Runner(Enum):
+class HandoverSide(Enum):
     """One of the two servers of a stream."""
 
     FIRST = "first"
@@ -24,22 +24,22 @@
 class HandoverState(Enum):
     """Who has the stream."""
 
-    ALONE = "alone"
+    SINGLE = "alone"
     """One server."""
     OFFERED = "offered"
     """Another one has been asked to go on, and nothing is decided."""
     HANDED_OVER = "handed-over"
     """The other one goes on; the end of the first is about to be seen."""
-    OVER = "over"
+    FINISHED = "over"
     """Nobody: the request has ended."""
 
 
-class HandoverStep(Enum):
+class HandoverAction(Enum):
     """What is to be done."""
 
     WAIT = "wait"
-    END_FIRST = "end-first"
-    END_SUCCESSOR = "end-successor"
+    CANCEL_FIRST = "end-first"
+    CANCEL_SUCCESSOR = "end-successor"
 
 
 class Handover:
@@ -50,34 +50,34 @@
     """
 
     def __init__(self) -> None:
-        self.state = HandoverState.ALONE
+        self.state = HandoverState.SINGLE
 
     @property
     def may_offer(self) -> bool:
         """Whether another server may be asked."""
-        return self.state is HandoverState.ALONE
+        return self.state is HandoverState.SINGLE
 
     def on_offer(self) -> None:
         """Another server is asked."""
         assert self.may_offer, "one successor at a time, and only while the request lasts"
         self.state = HandoverState.OFFERED
 
-    def on_piece(self, runner: Runner) -> HandoverStep:
+    def on_chunk(self, runner: HandoverSide) -> HandoverAction:
         """A whole piece of the stream has come."""
         if self.state is not HandoverState.OFFERED:
-            return HandoverStep.WAIT
-        if runner is Runner.FIRST:
-            self.state = HandoverState.ALONE
-            return HandoverStep.END_SUCCESSOR
+            return HandoverAction.WAIT
+        if runner is HandoverSide.FIRST:
+            self.state = HandoverState.SINGLE
+            return HandoverAction.CANCEL_SUCCESSOR
         self.state = HandoverState.HANDED_OVER
-        return HandoverStep.END_FIRST
+        return HandoverAction.CANCEL_FIRST
 
-    def on_overlap_over(self) -> HandoverStep:
+    def on_overlap_timeout(self) -> HandoverAction:
         """Both have had the stream for as long as they may, and neither has said anything."""
         if self.state is not HandoverState.OFFERED:
-            return HandoverStep.WAIT
-        self.state = HandoverState.ALONE
-        return HandoverStep.END_SUCCESSOR
+            return HandoverAction.WAIT
+        self.state = HandoverState.SINGLE
+        return HandoverAction.CANCEL_SUCCESSOR
 
     def on_successor_end(self) -> bool:
         """The other server's attempt ended.
@@ -87,14 +87,14 @@
         """
         if self.state is not HandoverState.OFFERED:
             return False
-        self.state = HandoverState.ALONE
+        self.state = HandoverState.SINGLE
         return True
 
     def on_first_end(self) -> None:
         """The attempt at the first server ended: whoever was asked is the first one now."""
-        if self.state is not HandoverState.OVER:
-            self.state = HandoverState.ALONE
+        if self.state is not HandoverState.FINISHED:
+            self.state = HandoverState.SINGLE
 
     def on_request_end(self) -> None:
         """The request has its answer, or none."""
-        self.state = HandoverState.OVER
+        self.state = HandoverState.FINISHED
--- a/src/milletcourse/exchange/attempts/planned_stop.py
+++ b/src/milletcourse/exchange/attempts/planned_stop.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-LEAVE_ENTRY_SECONDS = 2.6
+DEREGISTRATION_SECONDS = 2.6
 """After a stop signal: the entry asks each second and takes a node out after two misses."""
-MAX_TAKE_SECONDS = 2.9
+MAX_ACCEPT_SECONDS = 2.9
 """After a stop signal, however late it is heard: a request taken later might not end in time."""
-MAX_LEAVE_SHARE = 0.4
+MAX_DRAIN_FRACTION = 0.4
 """Of a short grace time, so that what was taken can end."""
 GRACE_MARGIN_SECONDS = 0.5
 """All work has ended this long before the kill."""
-QUIET_SECONDS = 1.0
+IDLE_CLOSE_SECONDS = 1.0
 """A connection closes this long after it came up or gave its last answer. A first request follows
 sooner, also when a packet is lost, which is sent again after 0.2 s; and an answer that began before
 the stop didn't say that it is the last one. Of 30,000 simulated requests beside 168 stops, 6 met a
@@ -29,11 +29,11 @@
 class StopPhase(Enum):
     """How far a planned stop has come."""
 
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     """Not ready; all that comes is served, and answers ask clients to leave."""
     REFUSING = "refusing"
     """What comes is refused; connections close when nothing is left on them."""
-    OVER = "over"
+    EXPIRED = "over"
     """What is unfinished is cut."""
 
 
@@ -59,7 +59,7 @@
         ends_at: Monotonic time at which what is unfinished is cut.
     """
 
-    def __init__(self, heard_at: float, sent_after: float, grace_seconds: float) -> None:
+    def __init__(self, received_at: float, sent_after: float, grace_seconds: float) -> None:
         """A stop whose signal was heard at a monotonic time.
 
         Args:
@@ -68,20 +68,20 @@
                 held hears of it late, and the kill is counted from the signal.
             grace_seconds: From the signal to the kill.
         """
-        leave_seconds = min(LEAVE_ENTRY_SECONDS, grace_seconds * MAX_LEAVE_SHARE)
-        self.refuses_at = min(heard_at + leave_seconds, sent_after + MAX_TAKE_SECONDS)
+        leave_seconds = min(DEREGISTRATION_SECONDS, grace_seconds * MAX_DRAIN_FRACTION)
+        self.refuses_at = min(received_at + leave_seconds, sent_after + MAX_ACCEPT_SECONDS)
         self.ends_at = sent_after + grace_seconds - GRACE_MARGIN_SECONDS
 
     def phase(self, now: float) -> StopPhase:
         """How far it has come."""
         if now >= self.ends_at:
-            return StopPhase.OVER
-        return StopPhase.REFUSING if now >= self.refuses_at else StopPhase.LEAVING
+            return StopPhase.EXPIRED
+        return StopPhase.REFUSING if now >= self.refuses_at else StopPhase.DRAINING
 
     def may_close(self, connection: ConnectionState, now: float) -> bool:
         """Whether a connection holds no request, also none that hasn't been read yet."""
-        if self.phase(now) is StopPhase.LEAVING:
+        if self.phase(now) is StopPhase.DRAINING:
             return False
         if not connection.is_idle or connection.unread_bytes:
             return False
-        return now - connection.idle_since >= QUIET_SECONDS
+        return now - connection.idle_since >= IDLE_CLOSE_SECONDS
--- a/src/milletcourse/exchange/limits/backoff_retry.py
+++ b/src/milletcourse/exchange/limits/backoff_retry.py
@@ -8,7 +8,7 @@
 """Ranks of requests, 0 for the most urgent."""
 
 
-def return_seconds(left: float, rest: float, rank: int, drawn: float) -> float:
+def backoff_retry_seconds(left: float, rest: float, rank: int, drawn: float) -> float:
     """Seconds after which a refused caller may come back.
 
     Who was refused in a rest comes back over as long a time as the rest took, so that servers get
--- a/src/milletcourse/exchange/limits/connection_share.py
+++ b/src/milletcourse/exchange/limits/connection_share.py
@@ -4,15 +4,15 @@
 
 from milletcourse.exchange.messages.peer_messages import short_key
 
-KEPT_SHARE = 0.8
+KEPT_FRACTION = 0.8
 """The rest is for requests that need a further connection for a while."""
-CHANCE_SHARE = 0.5
+RANDOM_KEEP_FACTOR = 0.5
 """Of it, where chance decides which gateways keep one: more may than on the mean."""
-NO_BOUND = 1 << 20
+UNLIMITED = 1 << 20
 _KEYS = float(1 << 32)
 
 
-def connection_part(takes: int, members: int, own_name: str, address: str) -> int:
+def connection_share(takes: int, members: int, own_name: str, address: str) -> int:
     """Connections to a server that a gateway keeps open after their answers.
 
     Where there are more gateways than connections, only some keep one to each server: others for
@@ -25,8 +25,8 @@
         address: Address of the server.
     """
     if not takes:
-        return NO_BOUND
-    part = takes * KEPT_SHARE / members
+        return UNLIMITED
+    part = takes * KEPT_FRACTION / members
     if part >= 1.0:
         return int(part)
-    return int(short_key(f"{own_name} {address}") / _KEYS < CHANCE_SHARE * part)
+    return int(short_key(f"{own_name} {address}") / _KEYS < RANDOM_KEEP_FACTOR * part)
--- a/src/milletcourse/exchange/limits/peer_usage.py
+++ b/src/milletcourse/exchange/limits/peer_usage.py
@@ -10,7 +10,7 @@
 from milletcourse.exchange.load.load_exchange import LoadExchange
 
 
-class KnownUse(msgspec.Struct, frozen=True):
+class PeerUsage(msgspec.Struct, frozen=True):
     """Use of one limit by the other gateways.
 
     Attributes:
@@ -22,10 +22,10 @@
     part: float
 
 
-class UseKnowledge(Protocol):
+class UsageSource(Protocol):
     """A way for gateways to share limits."""
 
-    def known_use(self, key: int, own_per_second: float, now: float) -> KnownUse:
+    def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
         """Use of one tenant's limit.
 
         Args:
@@ -36,7 +36,7 @@
         ...
 
 
-class SummedUse:
+class SummedPeerUsage:
     """The sum of what all gateways tell.
 
     A group of gateways that doesn't hear the others uses its own part of a limit only, so that
@@ -53,7 +53,7 @@
         self._loads = loads
         self._gateways = gateways
 
-    def known_use(self, key: int, own_per_second: float, now: float) -> KnownUse:
-        """See `UseKnowledge`."""
+    def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
+        """See `UsageSource`."""
         part = min(self._loads.heard_gateways(now) / self._gateways(), 1.0)
-        return KnownUse(self._loads.others_use(key, now), part)
+        return PeerUsage(self._loads.others_use(key, now), part)
--- a/src/milletcourse/exchange/limits/permit_retry_delays.py
+++ b/src/milletcourse/exchange/limits/permit_retry_delays.py
@@ -6,26 +6,26 @@
 
 import msgspec
 
-from milletcourse.exchange.limits.quota_owner import UnitReply
+from milletcourse.exchange.limits.quota_owner import PermitReply
 
-MAX_PROMISE_SECONDS = 5.0
+MAX_RETRY_AFTER_SECONDS = 5.0
 """Longest time after which a refused caller is told to come back: few wait longer."""
 
 
-class _Pause(msgspec.Struct):
+class _Delay(msgspec.Struct):
     until: float
-    unit_at: float
-    promised_at: float
-    turn_seconds: float
+    permit_at: float
+    retry_at: float
+    interval_seconds: float
 
 
-class AskPauses:
+class PermitRetryDelays:
     """Allowances of which this gateway was denied a unit lately."""
 
     def __init__(self) -> None:
-        self._pauses: dict[int, _Pause] = {}
+        self._delays: dict[int, _Delay] = {}
 
-    def on_denied(self, key: int, reply: UnitReply, per_second: float, now: float) -> None:
+    def on_denied(self, key: int, reply: PermitReply, per_second: float, now: float) -> None:
         """A lender has no unit.
 
         Args:
@@ -34,39 +34,39 @@
             per_second: Units a second, for all gateways together.
             now: Monotonic time.
         """
-        known = self._pauses.get(key)
-        unit_at = now + reply.unit_seconds
-        self._pauses[key] = _Pause(
-            until=now + reply.pause_seconds,
-            unit_at=unit_at,
-            promised_at=unit_at if known is None else max(known.promised_at, unit_at),
-            turn_seconds=reply.askers / per_second,
+        known = self._delays.get(key)
+        permit_at = now + reply.permit_seconds
+        self._delays[key] = _Delay(
+            until=now + reply.retry_seconds,
+            permit_at=permit_at,
+            retry_at=permit_at if known is None else max(known.retry_at, permit_at),
+            interval_seconds=reply.requesters / per_second,
         )
 
-    def is_paused(self, key: int, now: float) -> bool:
+    def is_delayed(self, key: int, now: float) -> bool:
         """Whether asking would be in vain."""
-        pause = self._pauses.get(key)
+        pause = self._delays.get(key)
         return pause is not None and now < pause.until
 
-    def paused(self, now: float) -> Collection[int]:
+    def delayed(self, now: float) -> Collection[int]:
         """Allowances for which asking would be in vain; mostly none, which costs nothing."""
-        if not self._pauses:
+        if not self._delays:
             return ()
-        return {key for key in self._pauses if self.is_paused(key, now)}
+        return {key for key in self._delays if self.is_delayed(key, now)}
 
-    def end(self, key: int) -> None:
+    def clear(self, key: int) -> None:
         """The allowance has changed, or is none any more."""
-        self._pauses.pop(key, None)
+        self._delays.pop(key, None)
 
     def expire(self, now: float) -> None:
         """Forget pauses that are over, and what was promised in them."""
         over = [
-            key for key, pause in self._pauses.items() if now >= max(pause.until, pause.promised_at)
+            key for key, pause in self._delays.items() if now >= max(pause.until, pause.retry_at)
         ]
         for key in over:
-            del self._pauses[key]
+            del self._delays[key]
 
-    def promise(self, keys: Iterable[int], now: float) -> float | None:
+    def retry_after_seconds(self, keys: Iterable[int], now: float) -> float | None:
         """Seconds after which a refused caller may be served; None when none of them is paused.
 
         Callers that are refused one after the other are told to come back one after the other, as
@@ -76,11 +76,11 @@
             keys: Allowances from which a unit would have served the caller.
             now: Monotonic time.
         """
-        paused = [self._pauses[key] for key in keys if self.is_paused(key, now)]
+        paused = [self._delays[key] for key in keys if self.is_delayed(key, now)]
         if not paused:
             return None
-        first = min(paused, key=lambda pause: pause.promised_at)
-        promised_at = max(first.promised_at, first.unit_at, now)
-        seconds = min(promised_at - now, MAX_PROMISE_SECONDS)
-        first.promised_at = min(promised_at + first.turn_seconds, now + MAX_PROMISE_SECONDS)
+        first = min(paused, key=lambda pause: pause.retry_at)
+        retry_at = max(first.retry_at, first.permit_at, now)
+        seconds = min(retry_at - now, MAX_RETRY_AFTER_SECONDS)
+        first.retry_at = min(retry_at + first.interval_seconds, now + MAX_RETRY_AFTER_SECONDS)
         return seconds
--- a/src/milletcourse/exchange/limits/quota_owner.py
+++ b/src/milletcourse/exchange/limits/quota_owner.py
@@ -14,21 +14,21 @@
 
 import msgspec
 
-BURST_UNITS = 4.0
+BURST_PERMITS = 4.0
 """Units that are saved up: with fewer, units are lost while no request needs one."""
-DEPUTY_BURST_UNITS = 1.0
-DEPUTY_SHARE = 0.5
-ASKERS_SECONDS = 2.0
+DEPUTY_BURST_PERMITS = 1.0
+DEPUTY_FRACTION = 0.5
+ACTIVE_REQUESTER_SECONDS = 2.0
 """A gateway that asked so long ago still counts as one that needs units."""
-ASKS_A_UNIT = 3.0
+REQUESTS_PER_PERMIT = 3.0
 """Denied gateways spread their next asks so that so many come for each unit: enough that a unit
 finds somebody, few enough that a lender before hundreds of gateways answers little."""
 MAX_SPREAD_SECONDS = 2.0
 URGENT_SECONDS = 1.0
 """A more urgent ask that was denied has first call on the next units for this long."""
-RESERVED_UNITS = 1.0
+RESERVED_PERMITS = 1.0
 """Units that are kept for it."""
-URGENT_UNITS = 4
+MAX_URGENT_IN_A_ROW = 4
 """After so many units for the more urgent, a less urgent ask is treated alike: it is served less,
 not never."""
 IDLE_SECONDS = 60.0
@@ -36,16 +36,16 @@
 MAX_ACCOUNTS = 4096
 
 
-class Standing(Enum):
+class OwnerRole(Enum):
     """As what a gateway lends: units that are saved up, and its part of the allowance."""
 
     HOME = "home"
     DEPUTY = "deputy"
-    ALONE = "alone"
+    LOCAL_SHARE = "alone"
     """No lender answers this gateway: it spends its own part of the allowance."""
 
 
-class UnitReply(msgspec.Struct, frozen=True):
+class PermitReply(msgspec.Struct, frozen=True):
     """Reply to an ask.
 
     Attributes:
@@ -56,12 +56,12 @@
     """
 
     granted: bool
-    unit_seconds: float = 0.0
-    pause_seconds: float = 0.0
-    askers: int = 1
+    permit_seconds: float = 0.0
+    retry_seconds: float = 0.0
+    requesters: int = 1
 
 
-GRANTED = UnitReply(True)
+GRANTED = PermitReply(True)
 
 
 class _Account:
@@ -70,29 +70,29 @@
     def __init__(self, now: float) -> None:
         self.level = 0.0
         self.updated_at = now
-        self.asked_at = now
-        self.askers: dict[str, float] = {}
+        self.requested_at = now
+        self.requesters: dict[str, float] = {}
         self.urgent_rank = 0
         self.urgent_until = float("-inf")
-        self.urgent_units = 0
+        self.urgent_in_a_row = 0
 
     def fill(self, per_second: float, burst: float, now: float) -> None:
         gained = per_second * max(now - self.updated_at, 0.0)
         self.level = min(self.level + gained, burst)
         self.updated_at = now
 
-    def note_asker(self, name: str, now: float) -> None:
-        self.asked_at = now
-        self.askers.pop(name, None)
-        self.askers[name] = now
-        while now - next(iter(self.askers.values())) > ASKERS_SECONDS:
-            del self.askers[next(iter(self.askers))]
+    def note_requester(self, name: str, now: float) -> None:
+        self.requested_at = now
+        self.requesters.pop(name, None)
+        self.requesters[name] = now
+        while now - next(iter(self.requesters.values())) > ACTIVE_REQUESTER_SECONDS:
+            del self.requesters[next(iter(self.requesters))]
 
     def needed(self, rank: int, now: float) -> float:
         """Level at which a request of this rank gets a unit."""
         if now >= self.urgent_until or rank <= self.urgent_rank:
             return 1.0
-        return 1.0 if self.urgent_units >= URGENT_UNITS else 1.0 + RESERVED_UNITS
+        return 1.0 if self.urgent_in_a_row >= MAX_URGENT_IN_A_ROW else 1.0 + RESERVED_PERMITS
 
     def note_denied(self, rank: int, now: float) -> None:
         if now >= self.urgent_until or rank <= self.urgent_rank:
@@ -101,10 +101,10 @@
 
     def spend(self, rank: int) -> None:
         self.level -= 1.0
-        self.urgent_units = self.urgent_units + 1 if rank <= self.urgent_rank else 0
+        self.urgent_in_a_row = self.urgent_in_a_row + 1 if rank <= self.urgent_rank else 0
 
 
-class AllowanceLender:
+class QuotaOwner:
     """The allowances that one gateway lends."""
 
     def __init__(self, random_source: random.Random) -> None:
@@ -114,18 +114,18 @@
             random_source: Spreads the next asks of those that were denied.
         """
         self._random = random_source
-        self._accounts: dict[tuple[int, Standing], _Account] = {}
+        self._accounts: dict[tuple[int, OwnerRole], _Account] = {}
 
-    def ask(
+    def request_permit(
         self,
         key: int,
         per_second: float,
-        standing: Standing,
+        role: OwnerRole,
         members: int,
-        asker: str,
+        requester: str,
         rank: int,
         now: float,
-    ) -> UnitReply:
+    ) -> PermitReply:
         """Lend a unit, or say when to ask again.
 
         Args:
@@ -137,27 +137,27 @@
             rank: Rank of its request, 0 for the most urgent.
             now: Monotonic time.
         """
-        account = self._account(key, standing, now)
-        income = per_second * _share(standing, members)
-        account.fill(income, _burst(standing), now)
-        account.note_asker(asker, now)
+        account = self._account(key, role, now)
+        income = per_second * _share(role, members)
+        account.fill(income, _burst(role), now)
+        account.note_requester(requester, now)
         needed = account.needed(rank, now)
         if account.level >= needed:
             account.spend(rank)
             return GRANTED
         account.note_denied(rank, now)
-        unit_seconds = (needed - account.level) / income
-        askers = len(account.askers)
-        spread = min(askers / (ASKS_A_UNIT * income), MAX_SPREAD_SECONDS)
-        pause_seconds = unit_seconds + self._random.random() * spread
-        return UnitReply(False, unit_seconds, pause_seconds, askers)
-
-    def _account(self, key: int, standing: Standing, now: float) -> _Account:
-        account = self._accounts.get((key, standing))
+        permit_seconds = (needed - account.level) / income
+        requesters = len(account.requesters)
+        spread = min(requesters / (REQUESTS_PER_PERMIT * income), MAX_SPREAD_SECONDS)
+        retry_seconds = permit_seconds + self._random.random() * spread
+        return PermitReply(False, permit_seconds, retry_seconds, requesters)
+
+    def _account(self, key: int, role: OwnerRole, now: float) -> _Account:
+        account = self._accounts.get((key, role))
         if account is None:
             if len(self._accounts) >= MAX_ACCOUNTS:
                 self.drop_idle(now)
-            account = self._accounts[key, standing] = _Account(now)
+            account = self._accounts[key, role] = _Account(now)
         return account
 
     def drop_idle(self, now: float) -> None:
@@ -165,19 +165,19 @@
         kept = {
             place: account
             for place, account in self._accounts.items()
-            if now - account.asked_at < IDLE_SECONDS
+            if now - account.requested_at < IDLE_SECONDS
         }
         if len(kept) >= MAX_ACCOUNTS:
-            newest = sorted(kept.items(), key=lambda item: -item[1].asked_at)
+            newest = sorted(kept.items(), key=lambda item: -item[1].requested_at)
             kept = dict(newest[: MAX_ACCOUNTS // 2])
         self._accounts = kept
 
 
-def _share(standing: Standing, members: int) -> float:
-    if standing is Standing.HOME:
+def _share(role: OwnerRole, members: int) -> float:
+    if role is OwnerRole.HOME:
         return 1.0
-    return DEPUTY_SHARE if standing is Standing.DEPUTY else 1.0 / max(members, 1)
+    return DEPUTY_FRACTION if role is OwnerRole.DEPUTY else 1.0 / max(members, 1)
 
 
-def _burst(standing: Standing) -> float:
-    return BURST_UNITS if standing is Standing.HOME else DEPUTY_BURST_UNITS
+def _burst(role: OwnerRole) -> float:
+    return BURST_PERMITS if role is OwnerRole.HOME else DEPUTY_BURST_PERMITS
--- a/src/milletcourse/exchange/limits/quota_owner_selector.py
+++ b/src/milletcourse/exchange/limits/quota_owner_selector.py
@@ -10,17 +10,17 @@
 import msgspec
 import xxhash
 
-from milletcourse.exchange.limits.quota_owner import Standing
+from milletcourse.exchange.limits.quota_owner import OwnerRole
 
-HOMES = 2
+OWNERS_PER_QUOTA = 2
 """The home and its deputy."""
-FIRST_SILENCE_SECONDS = 1.0
+FIRST_SKIP_SECONDS = 1.0
 """A lender that didn't reply is passed over this long."""
-MAX_SILENCE_SECONDS = 8.0
+MAX_SKIP_SECONDS = 8.0
 """And longer each time, since the request that tries it again waits for nothing."""
 
 
-class ChosenLender(msgspec.Struct, frozen=True):
+class SelectedOwner(msgspec.Struct, frozen=True):
     """Who is asked for a unit.
 
     Attributes:
@@ -29,15 +29,15 @@
     """
 
     name: str
-    standing: Standing
+    role: OwnerRole
 
 
-class _Silence(msgspec.Struct):
+class _Skip(msgspec.Struct):
     until: float
     seconds: float
 
 
-class AllowanceHomes:
+class QuotaOwnerSelector:
     """Lenders of all allowances, as one gateway sees them."""
 
     def __init__(self, own_name: str) -> None:
@@ -48,51 +48,51 @@
         """
         self._own_name = own_name
         self._members: list[str] = []
-        self._homes: dict[int, list[str]] = {}
-        self._silent: dict[str, _Silence] = {}
+        self._owners: dict[int, list[str]] = {}
+        self._skipped: dict[str, _Skip] = {}
 
-    def set_others(self, others: list[str]) -> None:
+    def set_peers(self, others: list[str]) -> None:
         """Take the list of the other gateways."""
         self._members = [self._own_name, *others]
-        self._homes.clear()
-        self._silent = {name: kept for name, kept in self._silent.items() if name in others}
+        self._owners.clear()
+        self._skipped = {name: kept for name, kept in self._skipped.items() if name in others}
 
-    def lender(self, key: int, now: float) -> ChosenLender:
+    def select(self, key: int, now: float) -> SelectedOwner:
         """Who is to be asked.
 
         Args:
             key: Identity of the allowance.
             now: Monotonic time.
         """
-        for number, name in enumerate(self._homes_of(key)):
-            silence = self._silent.get(name)
-            if silence is None or now >= silence.until:
-                return ChosenLender(name, Standing.DEPUTY if number else Standing.HOME)
-        return ChosenLender(self._own_name, Standing.ALONE)
+        for number, name in enumerate(self._owners_of(key)):
+            skip = self._skipped.get(name)
+            if skip is None or now >= skip.until:
+                return SelectedOwner(name, OwnerRole.DEPUTY if number else OwnerRole.HOME)
+        return SelectedOwner(self._own_name, OwnerRole.LOCAL_SHARE)
 
-    def own_standing(self, key: int) -> Standing:
+    def own_role(self, key: int) -> OwnerRole:
         """As what this gateway lends to others that ask it."""
-        homes = self._homes_of(key)
-        is_home = bool(homes) and homes[0] == self._own_name
-        return Standing.HOME if is_home else Standing.DEPUTY
+        homes = self._owners_of(key)
+        is_owner = bool(homes) and homes[0] == self._own_name
+        return OwnerRole.HOME if is_owner else OwnerRole.DEPUTY
 
     def on_reply(self, name: str) -> None:
         """A lender replied."""
-        self._silent.pop(name, None)
+        self._skipped.pop(name, None)
 
-    def on_silent(self, name: str, now: float) -> None:
+    def on_no_reply(self, name: str, now: float) -> None:
         """A lender didn't reply in time."""
-        known = self._silent.get(name)
-        seconds = FIRST_SILENCE_SECONDS
+        known = self._skipped.get(name)
+        seconds = FIRST_SKIP_SECONDS
         if known is not None:
-            seconds = min(known.seconds * 2, MAX_SILENCE_SECONDS)
-        self._silent[name] = _Silence(now + seconds, seconds)
+            seconds = min(known.seconds * 2, MAX_SKIP_SECONDS)
+        self._skipped[name] = _Skip(now + seconds, seconds)
 
-    def _homes_of(self, key: int) -> list[str]:
-        homes = self._homes.get(key)
+    def _owners_of(self, key: int) -> list[str]:
+        homes = self._owners.get(key)
         if homes is None:
-            homes = self._homes[key] = nlargest(
-                HOMES, self._members, lambda name: _weight(key, name)
+            homes = self._owners[key] = nlargest(
+                OWNERS_PER_QUOTA, self._members, lambda name: _weight(key, name)
             )
         return homes
 
--- a/src/milletcourse/exchange/limits/shared_bucket.py
+++ b/src/milletcourse/exchange/limits/shared_bucket.py
@@ -10,14 +10,14 @@
 
 from __future__ import annotations
 
-START_SECONDS = 0.5
+INITIAL_FILL_SECONDS = 0.5
 """A copy starts with what comes in within this time: so long it takes a process to start, in which
 nothing was spent. A full burst would come anew with each restart of all gateways."""
-TOLERATED_DEBT_SECONDS = 0.25
+OVERAGE_DEBT_SECONDS = 0.25
 """Tolerance beyond a limit is granted in full without a debt, and no more at a debt of so many
 seconds of the rate: a tenant that sends little beyond its limit gets it, one that sends a multiple
 of it doesn't."""
-MAX_STEP_SECONDS = 1.0
+MAX_UPDATE_GAP_SECONDS = 1.0
 """After a longer hole, a frozen process or a slow one, what the others spent in it isn't known: it
 is taken as all that came in."""
 MAX_DEBT_SECONDS = 8.0
@@ -27,7 +27,9 @@
 class SharedBucket:
     """One gateway's copy of a bucket."""
 
-    def __init__(self, per_second: float, beyond: float, burst: float, now: float) -> None:
+    def __init__(
+        self, per_second: float, overage_per_second: float, burst: float, now: float
+    ) -> None:
         """A copy at the start of a process.
 
         Args:
@@ -36,14 +38,14 @@
             burst: Units that are saved up at most.
             now: Monotonic time.
         """
-        self.change(per_second, beyond, burst)
-        self._level = min(per_second * START_SECONDS, burst)
+        self.change(per_second, overage_per_second, burst)
+        self._level = min(per_second * INITIAL_FILL_SECONDS, burst)
         self._updated_at = now
 
-    def change(self, per_second: float, beyond: float, burst: float) -> None:
+    def change(self, per_second: float, overage_per_second: float, burst: float) -> None:
         """Take another limit into force; what is spent stays spent."""
         self.per_second = per_second
-        self.beyond = beyond
+        self.overage_per_second = overage_per_second
         self.burst = burst
 
     def level(self, now: float, others_per_second: float, part: float) -> float:
@@ -55,7 +57,7 @@
             part: Part of all gateways whose spending is known here, this one included.
         """
         elapsed = now - self._updated_at
-        if elapsed > MAX_STEP_SECONDS:
+        if elapsed > MAX_UPDATE_GAP_SECONDS:
             elapsed = 0.0
         gained = (self._income() * part - others_per_second) * elapsed
         debt = self.per_second * part * MAX_DEBT_SECONDS
@@ -69,7 +71,9 @@
         A debt shows how much is spent before others hear of it, so it takes tolerance away.
         """
         debt_seconds = max(-self._level, 0.0) / self.per_second
-        return self.per_second + self.beyond * max(1.0 - debt_seconds / TOLERATED_DEBT_SECONDS, 0.0)
+        return self.per_second + self.overage_per_second * max(
+            1.0 - debt_seconds / OVERAGE_DEBT_SECONDS, 0.0
+        )
 
     def spend(self, units: float) -> None:
         """Take units out; a negative number gives units back."""
--- a/src/milletcourse/exchange/limits/tenant_limits.py
+++ b/src/milletcourse/exchange/limits/tenant_limits.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from milletcourse.exchange.counting.recent_use import RecentUse
-from milletcourse.exchange.limits.peer_usage import KnownUse, UseKnowledge
+from milletcourse.exchange.limits.peer_usage import PeerUsage, UsageSource
 from milletcourse.exchange.limits.shared_bucket import SharedBucket
 from milletcourse.exchange.messages.messages import ExchangeRequest
 from milletcourse.exchange.messages.peer_messages import TenantUse, short_key
@@ -24,11 +24,11 @@
 
 MAX_WAIT_SECONDS = 5.0
 """Longest time after which a refused client is told to come back: few wait longer for an answer."""
-OVERAGE_USED = 0.6
-SLACK_USED = 0.8
+OVERAGE_FRACTION = 0.6
+SLACK_FRACTION = 0.8
 """Parts of the tolerance that are granted, since a refusal within it is lost to the caller. What is
 left is for what gateways spend before the others hear of it."""
-NOTE_SECONDS = 1.0
+REPORT_INTERVAL_SECONDS = 1.0
 """The refusals of a tenant are told to operators once in this time."""
 
 
@@ -52,22 +52,22 @@
     refused: int
 
 
-class Account:
+class TenantAccount:
     """One tenant's use at this gateway."""
 
-    def __init__(self, limit: TenantLimit, beyond: float, key: int, now: float) -> None:
+    def __init__(self, limit: TenantLimit, overage_per_second: float, key: int, now: float) -> None:
         self.key = key
-        self.bucket = SharedBucket(limit.per_second, beyond, limit.burst, now)
+        self.bucket = SharedBucket(limit.per_second, overage_per_second, limit.burst, now)
         self.use = RecentUse()
-        self.promised_until = now
+        self.retry_at = now
         self.refused = 0
-        self.noted_at = float("-inf")
+        self.reported_at = float("-inf")
 
 
 class TenantLimits:
     """Accounts of all tenants with a limit, at one gateway."""
 
-    def __init__(self, knowledge: UseKnowledge, tolerance: LimitTolerance) -> None:
+    def __init__(self, knowledge: UsageSource, tolerance: LimitTolerance) -> None:
         """No account yet.
 
         Args:
@@ -76,7 +76,7 @@
         """
         self._knowledge = knowledge
         self._tolerance = tolerance
-        self._accounts: dict[str, Account] = {}
+        self._accounts: dict[str, TenantAccount] = {}
 
     def configure(self, tenants: Iterable[TenantRecord], now: float) -> None:
         """Take the limits of a configuration into force; what is spent stays spent."""
@@ -87,10 +87,10 @@
             if limit is None:
                 continue
             account = kept.get(tenant.name)
-            beyond = granted_beyond(limit, self._tolerance)
+            overage_per_second = granted_overage_per_second(limit, self._tolerance)
             if account is None:
-                account = Account(limit, beyond, short_key(tenant.name), now)
-            account.bucket.change(limit.per_second, beyond, limit.burst)
+                account = TenantAccount(limit, overage_per_second, short_key(tenant.name), now)
+            account.bucket.change(limit.per_second, overage_per_second, limit.burst)
             self._accounts[tenant.name] = account
 
     def set_tolerance(self, tolerance: LimitTolerance) -> None:
@@ -117,7 +117,7 @@
         account = self._accounts.get(tenant.name)
         if account is None or tenant.limit is None:
             return None
-        units = units_of(tenant.limit, request)
+        units = request_units(tenant.limit, request)
         known = self._known_use(account, now)
         level = account.bucket.level(now, known.others_per_second, known.part)
         if level >= 0.0:
@@ -125,17 +125,17 @@
             account.use.add(units, now)
             return None
         account.refused += 1
-        return self._promise(account, units, -level, known, now)
+        return self._retry_after(account, units, -level, known, now)
 
-    def _known_use(self, account: Account, now: float) -> KnownUse:
-        return self._knowledge.known_use(account.key, account.use.per_second(now), now)
+    def _known_use(self, account: TenantAccount, now: float) -> PeerUsage:
+        return self._knowledge.peer_usage(account.key, account.use.per_second(now), now)
 
-    def _promise(
+    def _retry_after(
         self,
-        account: Account,
+        account: TenantAccount,
         units: float,
         debt: float,
-        known: KnownUse,
+        known: PeerUsage,
         now: float,
     ) -> float:
         """When there will be room for a refused request, behind those refused before it here."""
@@ -143,8 +143,8 @@
         own = account.use.per_second(now)
         all_spend = own + max(known.others_per_second, 0.0)
         own_income = income * own / all_spend if own > 0.0 else income
-        first = max(now + debt / income, account.promised_until)
-        account.promised_until = min(first + units / own_income, now + MAX_WAIT_SECONDS)
+        first = max(now + debt / income, account.retry_at)
+        account.retry_at = min(first + units / own_income, now + MAX_WAIT_SECONDS)
         return min(first - now, MAX_WAIT_SECONDS)
 
     def settle(self, tenant: TenantRecord, request: ExchangeRequest, runs: int, now: float) -> None:
@@ -159,7 +159,7 @@
         account = self._accounts.get(tenant.name)
         if account is None or tenant.limit is None or runs == 1:
             return
-        units = units_of(tenant.limit, request) * (runs - 1)
+        units = request_units(tenant.limit, request) * (runs - 1)
         account.bucket.spend(units)
         account.use.add(units, now)
 
@@ -181,18 +181,18 @@
         """What is known of all tenants with a limit."""
         return [self._state(name, account, now) for name, account in self._accounts.items()]
 
-    def due_notes(self, now: float) -> list[LimitState]:
+    def due_reports(self, now: float) -> list[LimitState]:
         """States of tenants that were refused, once in a while each."""
-        notes = []
+        due = []
         for name, account in self._accounts.items():
-            if not account.refused or now - account.noted_at < NOTE_SECONDS:
+            if not account.refused or now - account.reported_at < REPORT_INTERVAL_SECONDS:
                 continue
-            notes.append(self._state(name, account, now))
+            due.append(self._state(name, account, now))
             account.refused = 0
-            account.noted_at = now
-        return notes
+            account.reported_at = now
+        return due
 
-    def _state(self, name: str, account: Account, now: float) -> LimitState:
+    def _state(self, name: str, account: TenantAccount, now: float) -> LimitState:
         own = account.use.per_second(now)
         known = self._known_use(account, now)
         return LimitState(
@@ -205,15 +205,17 @@
         )
 
 
-def granted_beyond(limit: TenantLimit, tolerance: LimitTolerance) -> float:
+def granted_overage_per_second(limit: TenantLimit, tolerance: LimitTolerance) -> float:
     """The rate that is granted beside the limit's: a part of the tolerance over its window."""
     window = tolerance.window_seconds
     of_window = limit.per_second * window + limit.burst
-    beyond = OVERAGE_USED * tolerance.overage * of_window + SLACK_USED * tolerance.slack
-    return beyond / window
+    overage_per_second = (
+        OVERAGE_FRACTION * tolerance.overage * of_window + SLACK_FRACTION * tolerance.slack
+    )
+    return overage_per_second / window
 
 
-def units_of(limit: TenantLimit, request: ExchangeRequest) -> float:
+def request_units(limit: TenantLimit, request: ExchangeRequest) -> float:
     """What a request uses of a limit, in the limit's unit."""
     if limit.unit is LimitUnit.REQUESTS:
         return 1.0
--- a/src/milletcourse/exchange/mechanisms.py
+++ b/src/milletcourse/exchange/mechanisms.py
@@ -12,7 +12,7 @@
 class Mechanism(Enum):
     """A mechanism with its name on the command line, and what it does."""
 
-    ENDED_INCARNATIONS = (
+    TERMINATED_INCARNATIONS = (
         "ended-incarnations",
         "an answer of another incarnation at its address takes one out of use, at all gateways",
     )
@@ -20,11 +20,11 @@
         "roll-out-weighing",
         "weights are taken early when that is worth more than waiting for a next version",
     )
-    KEPT_STATE_STORE = (
+    KV_CACHE_STORE = (
         "kept-state-store",
         "servers take kept prompt state from a store, and send theirs to it",
     )
-    STORE_ROOM = (
+    STORE_CAPACITY = (
         "store-room",
         "servers send to the store only what it lacks and what pays",
     )
@@ -44,7 +44,7 @@
         "shared-suspicion",
         "a server that several gateways saw fail gets no new work from any",
     )
-    LEADING_WATCH = (
+    SINGLE_KIND_POLLING = (
         "leading-watch",
         "only one kind is asked for while the object store is away",
     )
--- a/src/milletcourse/exchange/placement/cache_store_plan.py
+++ b/src/milletcourse/exchange/placement/cache_store_plan.py
@@ -16,7 +16,7 @@
 from milletcourse.exchange.messages.records import ServiceRecord
 from milletcourse.exchange.placement.prompt_chain import PromptChain
 
-LITTLE_SAVED_SHARE = 0.5
+MIN_SHARED_FRACTION = 0.5
 """A prompt whose shared parts are less than this much of it saves little."""
 RATE_HALF_LIFE_SECONDS = 4.0
 """How fast the estimate of what comes in follows the traffic."""
@@ -61,8 +61,8 @@
         if _holds(store, known, chain, members):
             return False
         known.offered.add(chain.total_tokens, now)
-        saves_little = chain.shared_tokens < LITTLE_SAVED_SHARE * chain.total_tokens
-        return not (saves_little and _is_crowded(store, known, members, reuse_seconds, now))
+        saves_little = chain.shared_tokens < MIN_SHARED_FRACTION * chain.total_tokens
+        return not (saves_little and _is_overcommitted(store, known, members, reuse_seconds, now))
 
     def on_sent(self, address: str, chain: PromptChain) -> None:
         """A server that was told to send has answered, so it has read the whole prompt."""
@@ -87,7 +87,7 @@
     return (known.sent_tokens - sent_at) * members < store.capacity_tokens
 
 
-def _is_crowded(
+def _is_overcommitted(
     store: ServiceRecord, known: _Store, members: int, reuse_seconds: float, now: float
 ) -> bool:
     """Whether parts give way before they are expected to be asked for again."""
--- a/src/milletcourse/exchange/placement/instance_selector.py
+++ b/src/milletcourse/exchange/placement/instance_selector.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from milletcourse.exchange.limits.permit_retry_delays import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import PermitRetryDelays
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS, Mechanism
 from milletcourse.exchange.messages.messages import ExchangeRequest
@@ -20,45 +20,45 @@
 from milletcourse.exchange.placement.engine_load import (
     PREFILL_TOKENS_PER_SECOND,
     ServerLoad,
-    disturbance_seconds,
+    interference_seconds,
     wait_seconds,
 )
 from milletcourse.exchange.placement.long_prompt_servers import is_long, mostly_generates
 from milletcourse.exchange.placement.prompt_chain import PromptChain, prompt_chain
 from milletcourse.exchange.placement.prompt_homes import PromptHomes
-from milletcourse.exchange.placement.recent_cache_holders import RecentHolders
+from milletcourse.exchange.placement.recent_cache_holders import RecentCacheHolders
 from milletcourse.exchange.placement.reuse_scope import cache_salt
 from milletcourse.exchange.placement.server_candidates import ServerCandidates
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
 
-STORE_READ_SHARE = 0.7
+STORE_READ_COST_FRACTION = 0.7
 """Time to take kept state from a store, as a share of reading it again."""
-HOME_HELD_SHARE = 0.8
+HOME_HIT_PROBABILITY = 0.8
 """Chance that the home of a shared part has it by requests of other gateways."""
 MIN_SHARED_TOKENS = 512
 """Shorter shared parts aren't worth a home."""
-ZONE_SECONDS = 0.008
+CROSS_ZONE_SECONDS = 0.008
 """Cost of crossing a zone: both ways of the network, and the price of the bytes."""
 ENGINE_JITTER_SECONDS = 0.002
 """Random part of a model server's cost, which decides between equal ones."""
-NEAR_SAMPLE = 6
+LOCAL_SAMPLE_SIZE = 6
 """Servers of the own zone that are compared for one request, beside its home and its holders.
 Gateways that compare all of them by the same sums would all choose the same one."""
-FAR_SAMPLE = 2
+REMOTE_SAMPLE_SIZE = 2
 """Servers of other zones that are compared."""
-BELIEVED_SECONDS = 4.0
+CACHE_LIFETIME_SECONDS = 4.0
 """What a gateway sent to a server longer ago may have given way to what others sent."""
 MAX_HOLDERS = 4
 """Servers believed to hold a prompt that are compared."""
-AVOIDED_SECONDS = 0.15
+INTERFERENCE_SECONDS = 0.15
 """Cost of running a long prompt beside streams, or a stream beside long prompts: as much as a few
 pieces of a prompt that is read take."""
 SUPERSEDED_SECONDS = 0.08
 """Cost of a server whose weights are superseded for longer than the grace time, while others have
 newer ones: an answer by them is worth less, and what still runs when the server takes new weights
 less again."""
-JITTER_SHARE = 0.25
+JITTER_FRACTION = 0.25
 """Random part of an application server's cost, so that gateways don't choose alike."""
 
 
@@ -85,7 +85,7 @@
         zone: str,
         random_source: random.Random,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
-        pauses: AskPauses | None = None,
+        pauses: PermitRetryDelays | None = None,
     ) -> None:
         self._table = table
         self._gate = gate
@@ -95,9 +95,9 @@
         self._mechanisms = mechanisms
         self._homes = PromptHomes(table, Mechanism.LONG_PROMPT_SERVERS in mechanisms)
         self.candidates = ServerCandidates(
-            table, gate, loads, mechanisms, pauses if pauses is not None else AskPauses()
+            table, gate, loads, mechanisms, pauses if pauses is not None else PermitRetryDelays()
         )
-        self.holders = RecentHolders(BELIEVED_SECONDS)
+        self.holders = RecentCacheHolders(CACHE_LIFETIME_SECONDS)
         table.on_forgotten = self.holders.forget
 
     def choose(
@@ -107,7 +107,7 @@
         scope: str,
         tried: Collection[str],
         now: float,
-        pause_seconds: float = 0.0,
+        max_gap_seconds: float = 0.0,
     ) -> Choice | None:
         """The best server for a request, None when none may run it.
 
@@ -123,7 +123,7 @@
         if not candidates:
             return None
         if service.models:
-            return self._choose_engine(service, request, scope, candidates, now, pause_seconds)
+            return self._choose_engine(service, request, scope, candidates, now, max_gap_seconds)
         return Choice(min(candidates, key=lambda item: self._application_cost(item, now)))
 
     # -- engines --------------------------------------------------------------------------------
@@ -135,7 +135,7 @@
         scope: str,
         candidates: Sequence[Instance],
         now: float,
-        pause_seconds: float,
+        max_gap_seconds: float,
     ) -> Choice:
         model = request.model
         versions = dict.fromkeys(instance.version(model) for instance in candidates)
@@ -154,11 +154,11 @@
             load = self._load(instance, now)
             wait = wait_seconds(service, load, request)
             cost = wait + self._own_cost(instance, request, chain, instance.name == home, now)
-            cost += disturbance_seconds(load, request, pause_seconds)
+            cost += interference_seconds(load, request, max_gap_seconds)
             if instance.version(model) in superseded:
                 cost += SUPERSEDED_SECONDS
             if instance.name in avoided:
-                cost += AVOIDED_SECONDS
+                cost += INTERFERENCE_SECONDS
             if cost < best_cost:
                 best, best_cost = Choice(instance, wait), cost
         return best
@@ -180,16 +180,16 @@
             chains: The prompt under each weight version that candidates have.
             now: Monotonic time.
         """
-        if len(candidates) <= NEAR_SAMPLE + FAR_SAMPLE + MAX_HOLDERS:
+        if len(candidates) <= LOCAL_SAMPLE_SIZE + REMOTE_SAMPLE_SIZE + MAX_HOLDERS:
             return candidates
         by_name = {instance.name: instance for instance in candidates}
         fitting = [item for item in candidates if item.name not in avoided] or candidates
         near = [item for item in fitting if item.record.zone == self._zone]
         far = [item for item in fitting if item.record.zone != self._zone]
-        chosen = [*self._sample(near, NEAR_SAMPLE), *self._sample(far, FAR_SAMPLE)]
+        chosen = [*self._sample(near, LOCAL_SAMPLE_SIZE), *self._sample(far, REMOTE_SAMPLE_SIZE)]
         if avoided:
             others = [item for item in candidates if item.name in avoided]
-            chosen.extend(self._sample(others, FAR_SAMPLE))
+            chosen.extend(self._sample(others, REMOTE_SAMPLE_SIZE))
         names = dict.fromkeys([*(instance.name for instance in chosen), home])
         for chain in chains:
             names.update(dict.fromkeys(self.holders.holders(chain.keys, MAX_HOLDERS, now)))
@@ -209,16 +209,16 @@
         if not has_homes or request.shared_tokens < MIN_SHARED_TOKENS:
             return ""
         usable = {instance.name for instance in candidates}
-        homes = self._homes.in_order(service.name, request, scope)
+        homes = self._homes.ranked_homes(service.name, request, scope)
         return next((name for name in homes if name in usable), "")
 
-    def anchor_zone(self, service: ServiceRecord, request: ExchangeRequest, scope: str) -> str:
+    def home_zone(self, service: ServiceRecord, request: ExchangeRequest, scope: str) -> str:
         """Zone of the first home of a prompt's shared parts, whether it may run the prompt or not.
 
         All gateways agree on it, so that what one server sends to the store of this zone is found
         by the next one, wherever it is. Empty when there is no server.
         """
-        name = next(self._homes.in_order(service.name, request, scope), "")
+        name = next(self._homes.ranked_homes(service.name, request, scope), "")
         instance = self._table.get(name)
         return instance.record.zone if instance is not None else ""
 
@@ -252,25 +252,25 @@
         """Time to read what a server lacks of a prompt, and to reach it."""
         held = float(self._held_tokens(instance, chain, now))
         if is_home:
-            held = max(held, HOME_HELD_SHARE * chain.shared_tokens)
+            held = max(held, HOME_HIT_PROBABILITY * chain.shared_tokens)
         missing_shared = max(chain.shared_tokens - held, 0.0)
         total = max(chain.total_tokens, request.prompt_tokens)
         own = max(total - max(chain.shared_tokens, held), 0.0)
-        reading = (missing_shared * STORE_READ_SHARE + own) / PREFILL_TOKENS_PER_SECOND
+        reading = (missing_shared * STORE_READ_COST_FRACTION + own) / PREFILL_TOKENS_PER_SECOND
         jitter = self._random.random() * ENGINE_JITTER_SECONDS
-        return reading + self._zone_seconds(instance) + jitter
+        return reading + self._cross_zone_seconds(instance) + jitter
 
     def _held_tokens(self, instance: Instance, chain: PromptChain, now: float) -> int:
         """Tokens of a prompt that a server is believed to keep."""
-        depth = self.holders.held_parts(instance.name, chain.keys, now)
+        depth = self.holders.cached_parts(instance.name, chain.keys, now)
         return chain.tokens[depth - 1] if depth else 0
 
     def _chain_at(self, instance: Instance, request: ExchangeRequest, scope: str) -> PromptChain:
         """The chain of a prompt under the weight version that a server has."""
         return prompt_chain(request, cache_salt(scope, instance.version(request.model)))
 
-    def _zone_seconds(self, instance: Instance) -> float:
-        return 0.0 if instance.record.zone == self._zone else ZONE_SECONDS
+    def _cross_zone_seconds(self, instance: Instance) -> float:
+        return 0.0 if instance.record.zone == self._zone else CROSS_ZONE_SECONDS
 
     def work_tokens(
         self, instance: Instance, request: ExchangeRequest, scope: str, now: float
@@ -289,6 +289,8 @@
     # -- applications ---------------------------------------------------------------------------
 
     def _application_cost(self, instance: Instance, now: float) -> float:
-        jitter = self._random.random() * JITTER_SHARE
+        jitter = self._random.random() * JITTER_FRACTION
         in_flight = instance.in_flight + self._loads.others_load(instance.key, now).running
-        return (in_flight + 1 + jitter) * instance.latency_seconds + self._zone_seconds(instance)
+        return (in_flight + 1 + jitter) * instance.latency_seconds + self._cross_zone_seconds(
+            instance
+        )
--- a/src/milletcourse/exchange/placement/long_prompt_servers.py
+++ b/src/milletcourse/exchange/placement/long_prompt_servers.py
@@ -17,7 +17,7 @@
 from milletcourse.exchange.messages.messages import ExchangeRequest
 from milletcourse.exchange.servers.instance_table import Instance
 
-ZONE_SHARE = 1 / 6
+ZONE_FRACTION = 1 / 6
 """Share of a zone's servers. Where own parts of prompts are spread widely, a tenth of the prompts
 makes up a third of what is read; with what they take from their homes that is work for so many."""
 MIN_ZONE_SERVERS = 6
@@ -48,7 +48,7 @@
         ranked = sorted(
             names, key=lambda address: (xxhash.xxh64_intdigest(address.encode()), address)
         )
-        chosen.extend(names[address] for address in ranked[: round(len(names) * ZONE_SHARE)])
+        chosen.extend(names[address] for address in ranked[: round(len(names) * ZONE_FRACTION)])
     return frozenset(chosen)
 
 
--- a/src/milletcourse/exchange/placement/prompt_homes.py
+++ b/src/milletcourse/exchange/placement/prompt_homes.py
@@ -18,7 +18,7 @@
 from milletcourse.routing.home_ring import HomeRing
 
 
-class _Places(msgspec.Struct, frozen=True):
+class _ServerRoles(msgspec.Struct, frozen=True):
     """Who does what among the servers of one service.
 
     Attributes:
@@ -51,9 +51,9 @@
         """
         self._table = table
         self._separates_long_prompts = separates_long_prompts
-        self._places: dict[str, _Places] = {}
+        self._roles: dict[str, _ServerRoles] = {}
 
-    def in_order(self, service: str, request: ExchangeRequest, scope: str) -> Iterator[str]:
+    def ranked_homes(self, service: str, request: ExchangeRequest, scope: str) -> Iterator[str]:
         """All homes by name, in the order in which they are homes of a prompt's shared parts.
 
         Args:
@@ -66,20 +66,20 @@
             return iter(())
         # A single tenant's prompts are few: together at one server they share their first part.
         depth = 1 if is_of_one_tenant(scope) else chain.shared
-        places = self._places_of(service)
-        return (places.names[address] for address in places.ring.walk(chain.keys[depth - 1]))
+        roles = self._roles_of(service)
+        return (roles.names[address] for address in roles.ring.walk(chain.keys[depth - 1]))
 
     def for_long_prompts(self, service: str) -> frozenset[str]:
         """Names of the servers that take long prompts; empty when all are homes."""
-        return self._places_of(service).for_long_prompts
+        return self._roles_of(service).for_long_prompts
 
-    def _places_of(self, service: str) -> _Places:
-        places = self._places.get(service)
-        if places is None or places.generation != self._table.generation:
-            places = self._places[service] = self._new_places(service)
-        return places
+    def _roles_of(self, service: str) -> _ServerRoles:
+        roles = self._roles.get(service)
+        if roles is None or roles.generation != self._table.generation:
+            roles = self._roles[service] = self._new_roles(service)
+        return roles
 
-    def _new_places(self, service: str) -> _Places:
+    def _new_roles(self, service: str) -> _ServerRoles:
         instances = self._table.of_service(service).values()
         for_long = long_prompt_servers(instances) if self._separates_long_prompts else frozenset()
         names = {
@@ -87,4 +87,4 @@
             for instance in instances
             if instance.name not in for_long
         }
-        return _Places(self._table.generation, for_long, HomeRing(sorted(names)), names)
+        return _ServerRoles(self._table.generation, for_long, HomeRing(sorted(names)), names)
--- a/src/milletcourse/exchange/placement/recent_cache_holders.py
+++ b/src/milletcourse/exchange/placement/recent_cache_holders.py
@@ -14,11 +14,11 @@
 """Further parts are forgotten, those that were sent longest ago first; some 200 bytes each."""
 
 
-class RecentHolders:
+class RecentCacheHolders:
     """Parts with the servers that they were sent to, and when."""
 
-    def __init__(self, believed_seconds: float) -> None:
-        self.believed_seconds = believed_seconds
+    def __init__(self, lifetime_seconds: float) -> None:
+        self.lifetime_seconds = lifetime_seconds
         # Key of a part -> server -> when it was sent there last.
         self._sent_at: OrderedDict[bytes, dict[str, float]] = OrderedDict()
 
@@ -34,11 +34,11 @@
         while len(self._sent_at) > MAX_PARTS:
             self._sent_at.popitem(last=False)
 
-    def held_parts(self, server: str, keys: Sequence[bytes], now: float) -> int:
+    def cached_parts(self, server: str, keys: Sequence[bytes], now: float) -> int:
         """How many parts from the first on a server is believed to keep."""
         for depth in range(len(keys), 0, -1):
             sent_at = self._sent_at.get(keys[depth - 1], {}).get(server)
-            if sent_at is not None and now - sent_at < self.believed_seconds:
+            if sent_at is not None and now - sent_at < self.lifetime_seconds:
                 return depth
         return 0
 
@@ -47,7 +47,7 @@
         found: dict[str, None] = {}
         for key in reversed(keys):
             for server, sent_at in self._sent_at.get(key, {}).items():
-                if now - sent_at < self.believed_seconds:
+                if now - sent_at < self.lifetime_seconds:
                     found[server] = None
                     if len(found) >= limit:
                         return list(found)
--- a/src/milletcourse/exchange/placement/route_table.py
+++ b/src/milletcourse/exchange/placement/route_table.py
@@ -51,7 +51,7 @@
         self._tenants = {
             key: tenant for tenant in configuration.tenants for key in tenant.keys if key
         }
-        self.asks_for_keys = bool(configuration.tenants)
+        self.requires_keys = bool(configuration.tenants)
         self.cache_stores = sorted(
             (service for service in configuration.services if service.store_address),
             key=lambda store: store.name,
--- a/src/milletcourse/exchange/placement/server_candidates.py
+++ b/src/milletcourse/exchange/placement/server_candidates.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from milletcourse.exchange.limits.permit_retry_delays import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import PermitRetryDelays
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.mechanisms import Mechanism
 from milletcourse.exchange.messages.records import ServiceRecord
@@ -22,7 +22,7 @@
         gate: VersionGate,
         loads: LoadExchange,
         mechanisms: frozenset[Mechanism],
-        pauses: AskPauses,
+        pauses: PermitRetryDelays,
     ) -> None:
         self._pauses = pauses
         self._table = table
@@ -44,16 +44,16 @@
             tried: Incarnations that already had it.
             now: Monotonic time.
         """
-        willing = self._willing(service, model, tried, now)
-        suspects = self._loads.failing(now) if self._shares_suspicion else ()
+        accepting = self._accepting(service, model, tried, now)
+        suspected = self._loads.failing(now) if self._shares_suspicion else ()
         healthy = [
             item
-            for item in willing
+            for item in accepting
             if not item.health.is_ejected(now)
-            and not (item.key in suspects and self.is_suspected(item, now))
+            and not (item.key in suspected and self.is_suspected(item, now))
         ]
         free = [item for item in healthy if not item.health.is_busy(now)]
-        return free or healthy or willing
+        return free or healthy or accepting
 
     def is_suspected(self, instance: Instance, now: float) -> bool:
         """Whether several gateways saw a server fail lately."""
@@ -79,12 +79,12 @@
         }
         return [instance for instance in instances if versions[instance.name] in permitted]
 
-    def _willing(
+    def _accepting(
         self, service: ServiceRecord, model: str, tried: Collection[str], now: float
     ) -> list[Instance]:
         """Those that may run it and want requests, by what they say of themselves."""
         allowed = self.allowed(service, model, tried, now)
-        paused = self._pauses.paused(now)
+        paused = self._pauses.delayed(now)
         signals = self._loads.signals.in_force((instance.key for instance in allowed), now)
         return [
             instance
--- a/src/milletcourse/exchange/servers/instance_table.py
+++ b/src/milletcourse/exchange/servers/instance_table.py
@@ -12,14 +12,14 @@
 
 from milletcourse.exchange.messages.peer_messages import incarnation_key
 from milletcourse.exchange.messages.records import InstanceRecord
-from milletcourse.exchange.servers.server_tombstones import GoneServers
 from milletcourse.exchange.servers.server_health import ServerHealth
+from milletcourse.exchange.servers.server_tombstones import ServerTombstones
 
-BACK_SECONDS = 2.3
+REREGISTRATION_SECONDS = 2.3
 """An entry that lapsed while the store was away is kept this long after its return: servers that
 live and reach the store are back in it within two seconds, and a watch tells of it soon after. What
 is still missing then is gone."""
-VERSION_DOUBT_SECONDS = 0.3
+UNKNOWN_VERSION_SECONDS = 0.3
 """A server whose weight version isn't known gets no new work this long when others are free."""
 LATENCY_GAIN = 0.2
 """Weight of the newest sample in a server's mean latency."""
@@ -49,8 +49,8 @@
         self.in_flight_tokens = 0
         self.memory_tokens = 0
         self.latency_seconds = INITIAL_LATENCY_SECONDS
-        self.vanished_at: float | None = None
-        self.ended = False
+        self.missing_since: float | None = None
+        self.terminated = False
         self._versions = dict(record.weight_versions)
         self._assumed: dict[str, int] = {}
 
@@ -74,7 +74,7 @@
             self._assumed[model] = newest
             return
         # Nothing better is known: wait until the discovery or a peer tells.
-        self.health.on_order(now + VERSION_DOUBT_SECONDS)
+        self.health.on_order(now + UNKNOWN_VERSION_SECONDS)
 
     def note_version(self, model: str, version: int) -> None:
         """An answer or report showed a version; versions only rise within an incarnation."""
@@ -90,7 +90,7 @@
         """The discovery shows a newer record."""
         self.record = record
         self.key = incarnation_key(record.name, record.started_ms)
-        self.vanished_at = None
+        self.missing_since = None
         for model, version in record.weight_versions.items():
             self.note_version(model, version)
 
@@ -106,8 +106,8 @@
         self._instances: dict[str, Instance] = {}
         self._services: dict[str, dict[str, Instance]] = {}
         self._services_by_address: dict[str, str] = {}
-        self._doubtful_until = float("-inf")
-        self._gone = GoneServers()
+        self._unverified_until = float("-inf")
+        self._gone = ServerTombstones()
         self.generation = 0
         self.is_listed = False
         """A whole list has arrived."""
@@ -121,7 +121,7 @@
 
     def __iter__(self) -> Iterator[Instance]:
         """All incarnations that aren't known to have ended."""
-        return iter([item for item in self._instances.values() if not item.ended])
+        return iter([item for item in self._instances.values() if not item.terminated])
 
     def get(self, name: str) -> Instance | None:
         """An incarnation by name."""
@@ -135,23 +135,23 @@
         """Service of the server at an address; empty when none is known there."""
         return self._services_by_address.get(address, "")
 
-    def on_unstable(self) -> None:
+    def on_store_failed(self) -> None:
         """The discovery's store failed a call: entries that vanish from now on are doubtful."""
-        self._doubtful_until = float("inf")
+        self._unverified_until = float("inf")
 
-    def on_reached(self, now: float) -> None:
+    def on_store_reached(self, now: float) -> None:
         """The discovery's store answers; after a failure, entries stay doubtful for a while."""
-        if self._doubtful_until == float("inf"):
-            self._doubtful_until = now + BACK_SECONDS
+        if self._unverified_until == float("inf"):
+            self._unverified_until = now + REREGISTRATION_SECONDS
 
-    def on_copy(self, now: float) -> None:
+    def on_store_restored(self, now: float) -> None:
         """The discovery's store has come back from an older copy.
 
         What is missing there may have been written since, and is doubtful; what had gone since is
         there again, and is no less gone.
         """
-        self._doubtful_until = now + BACK_SECONDS
-        self._gone.on_copy(now)
+        self._unverified_until = now + REREGISTRATION_SECONDS
+        self._gone.on_store_restored(now)
 
     def replace_all(self, records: Iterable[InstanceRecord], now: float) -> None:
         """A whole list arrived."""
@@ -165,7 +165,7 @@
 
     def on_entry(self, record: InstanceRecord, now: float) -> None:
         """The discovery shows an entry; one that came back with an older copy is doubtful."""
-        if record.name in self._instances or not self._gone.doubts(record, now):
+        if record.name in self._instances or not self._gone.holds_back(record, now):
             self.upsert(record)
 
     def upsert(self, record: InstanceRecord) -> None:
@@ -180,17 +180,17 @@
             record = msgspec.structs.replace(record, started_ms=known.record.started_ms)
         if known is not None and record.started_ms < known.record.started_ms:
             return
-        self._take(known, record)
+        self._apply(known, record)
         self._services_by_address[record.address] = record.service
         if record.draining and self.on_draining is not None:
             self.on_draining(self._instances[record.name])
 
-    def _take(self, known: Instance | None, record: InstanceRecord) -> None:
+    def _apply(self, known: Instance | None, record: InstanceRecord) -> None:
         if known is not None and _is_same(known.record, record):
-            is_news = known.record != record
+            is_changed = known.record != record
             self._update(known, record)
-            if known.ended and is_news:
-                known.ended = False
+            if known.terminated and is_changed:
+                known.terminated = False
                 self._add_to_service(known)
             return
         if known is not None:
@@ -233,16 +233,16 @@
         if known.key != before and self.on_renamed is not None:
             self.on_renamed(before, known.key)
 
-    def end(self, name: str) -> bool:
+    def terminate(self, name: str) -> bool:
         """Another incarnation answers at its address: it gets no work and no orders any more.
 
         Its entry may stand for several heartbeats, or as long as the store is away. True when this
         wasn't known.
         """
         instance = self._instances.get(name)
-        if instance is None or instance.ended:
+        if instance is None or instance.terminated:
             return False
-        instance.ended = True
+        instance.terminated = True
         self._drop_from_service(instance)
         return True
 
@@ -252,25 +252,25 @@
         instance = self._instances.get(name)
         if instance is None:
             return
-        is_doubtful = now < self._doubtful_until and not instance.record.draining
-        if is_doubtful and not instance.ended:
-            if instance.vanished_at is None:
-                instance.vanished_at = now
+        is_unverified = now < self._unverified_until and not instance.record.draining
+        if is_unverified and not instance.terminated:
+            if instance.missing_since is None:
+                instance.missing_since = now
             return
-        self._forget_gone(instance, now)
+        self._forget_departed(instance, now)
 
-    def expire_doubtful(self, now: float) -> None:
+    def expire_unverified(self, now: float) -> None:
         """Drop doubtful entries that did not come back, and believe those that stayed."""
-        for record in self._gone.take_believed(now):
+        for record in self._gone.take_verified(now):
             self.upsert(record)
-        if now < self._doubtful_until:
+        if now < self._unverified_until:
             return
         for instance in list(self._instances.values()):
-            if instance.vanished_at is not None:
-                self._forget_gone(instance, now)
+            if instance.missing_since is not None:
+                self._forget_departed(instance, now)
 
-    def _forget_gone(self, instance: Instance, now: float) -> None:
-        self._gone.on_gone(instance.record, now)
+    def _forget_departed(self, instance: Instance, now: float) -> None:
+        self._gone.add(instance.record, now)
         self.forget(instance.name)
 
     def forget(self, name: str) -> None:
--- a/src/milletcourse/exchange/servers/server_tombstones.py
+++ b/src/milletcourse/exchange/servers/server_tombstones.py
@@ -13,15 +13,15 @@
 
 from milletcourse.exchange.messages.records import InstanceRecord
 
-REMEMBERED_SECONDS = 600.0
+TOMBSTONE_SECONDS = 600.0
 """No copy that the store comes back from is assumed to be older."""
-MAX_REMEMBERED = 4096
-DOUBT_SECONDS = 5.0
+MAX_TOMBSTONES = 4096
+VERIFICATION_SECONDS = 5.0
 """An entry that came back with a copy is believed when it still stands after this time: servers
 that live write again within two seconds, and entries without a heartbeat lapse within four."""
 
 
-class _Gone(msgspec.Struct, frozen=True):
+class _Tombstone(msgspec.Struct, frozen=True):
     """A server whose entry went.
 
     Attributes:
@@ -33,46 +33,46 @@
     at: float
 
 
-class GoneServers:
+class ServerTombstones:
     """Incarnations whose entries went, and those of them that a copy brought back."""
 
     def __init__(self) -> None:
-        self._gone: OrderedDict[str, _Gone] = OrderedDict()
-        self._doubted: dict[str, InstanceRecord] = {}
-        self._doubt_until = float("-inf")
+        self._gone: OrderedDict[str, _Tombstone] = OrderedDict()
+        self._held_back: dict[str, InstanceRecord] = {}
+        self._verified_from = float("-inf")
 
-    def on_gone(self, record: InstanceRecord, now: float) -> None:
+    def add(self, record: InstanceRecord, now: float) -> None:
         """A server's entry went for good."""
-        self._gone[record.name] = _Gone(record.started_ms, now)
+        self._gone[record.name] = _Tombstone(record.started_ms, now)
         self._gone.move_to_end(record.name)
-        while len(self._gone) > MAX_REMEMBERED:
+        while len(self._gone) > MAX_TOMBSTONES:
             self._gone.popitem(last=False)
 
-    def on_copy(self, now: float) -> None:
+    def on_store_restored(self, now: float) -> None:
         """The store has come back from an older copy."""
-        self._doubt_until = now + DOUBT_SECONDS
+        self._verified_from = now + VERIFICATION_SECONDS
 
-    def doubts(self, record: InstanceRecord, now: float) -> bool:
+    def holds_back(self, record: InstanceRecord, now: float) -> bool:
         """Whether an entry isn't to be believed yet; it is kept then."""
         gone = self._gone.get(record.name)
-        if now >= self._doubt_until or gone is None or now - gone.at > REMEMBERED_SECONDS:
+        if now >= self._verified_from or gone is None or now - gone.at > TOMBSTONE_SECONDS:
             return False
         if gone.started_ms and record.started_ms > gone.started_ms:
             return False
-        self._doubted[record.name] = record
+        self._held_back[record.name] = record
         return True
 
     def on_list(self) -> None:
         """A whole list follows, entry by entry."""
-        self._doubted.clear()
+        self._held_back.clear()
 
     def on_removed(self, name: str) -> None:
         """An entry went, whether it was believed or not."""
-        self._doubted.pop(name, None)
+        self._held_back.pop(name, None)
 
-    def take_believed(self, now: float) -> list[InstanceRecord]:
+    def take_verified(self, now: float) -> list[InstanceRecord]:
         """Entries that have stood long enough."""
-        if not self._doubted or now < self._doubt_until:
+        if not self._held_back or now < self._verified_from:
             return []
-        believed, self._doubted = list(self._doubted.values()), {}
-        return believed
+        verified, self._held_back = list(self._held_back.values()), {}
+        return verified
--- a/src/milletcourse/experiments/allowance_model.py
+++ b/src/milletcourse/experiments/allowance_model.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from milletcourse.experiments.allowance_ways import (
-    BURST_UNITS,
+    BURST_PERMITS,
     Borrower,
     EqualPart,
     Spender,
@@ -114,7 +114,7 @@
         if self._way is Way.FEW:
             spenders = spenders_of(self._per_second, count)
             part = self._per_second / spenders if number < spenders else 0.0
-            return EqualPart(part, max(BURST_UNITS / spenders, 1.0), now)
+            return EqualPart(part, max(BURST_PERMITS / spenders, 1.0), now)
         if self._way is Way.TOLD:
             return ToldUse(self._per_second, lambda at: self._news.on_send(name, at), now)
         others = [other for other in self._names if other != name]
--- a/src/milletcourse/experiments/allowance_ways.py
+++ b/src/milletcourse/experiments/allowance_ways.py
@@ -9,14 +9,14 @@
 from enum import Enum
 from typing import Protocol
 
-from milletcourse.exchange.limits.quota_owner_selector import AllowanceHomes
+from milletcourse.exchange.limits.permit_retry_delays import PermitRetryDelays
 from milletcourse.exchange.limits.quota_owner import (
-    BURST_UNITS,
-    AllowanceLender,
-    Standing,
-    UnitReply,
+    BURST_PERMITS,
+    OwnerRole,
+    PermitReply,
+    QuotaOwner,
 )
-from milletcourse.exchange.limits.permit_retry_delays import AskPauses
+from milletcourse.exchange.limits.quota_owner_selector import QuotaOwnerSelector
 
 KEY = 1
 TOLD_AFTER_SECONDS = 0.2
@@ -97,7 +97,7 @@
 
     def __init__(self, per_second: float, tell: Callable[[float], None], now: float) -> None:
         self.messages = 0
-        self._bucket = _Bucket(per_second, BURST_UNITS, now)
+        self._bucket = _Bucket(per_second, BURST_PERMITS, now)
         self._tell = tell
 
     def may_send(self, now: float) -> bool:
@@ -132,28 +132,28 @@
         self._per_second = per_second
         self._members = members
         self._reaches = reaches
-        self._homes = AllowanceHomes(name)
-        self._homes.set_others(others)
-        self._lender = AllowanceLender(random_source)
-        self._pauses = AskPauses()
+        self._homes = QuotaOwnerSelector(name)
+        self._homes.set_peers(others)
+        self._lender = QuotaOwner(random_source)
+        self._pauses = PermitRetryDelays()
 
     def may_send(self, now: float) -> bool:
         """See `Spender`."""
-        if self._pauses.is_paused(KEY, now):
+        if self._pauses.is_delayed(KEY, now):
             return False
-        chosen = self._homes.lender(KEY, now)
+        chosen = self._homes.select(KEY, now)
         if chosen.name == self._name:
-            reply: UnitReply | None = self.lend(self._name, chosen.standing, now)
+            reply: PermitReply | None = self.lend(self._name, chosen.role, now)
         else:
             reply = self._ask(chosen.name, now)
         if reply is None:
-            self._homes.on_silent(chosen.name, now)
+            self._homes.on_no_reply(chosen.name, now)
             return False
         if not reply.granted:
             self._pauses.on_denied(KEY, reply, self._per_second, now)
         return reply.granted
 
-    def _ask(self, name: str, now: float) -> UnitReply | None:
+    def _ask(self, name: str, now: float) -> PermitReply | None:
         self.messages += 1
         lender = self._members.get(name)
         if lender is None or not self._reaches(self._name, name):
@@ -162,13 +162,15 @@
         self._homes.on_reply(name)
         return lender.lend(self._name, lender.own_standing(), now)
 
-    def own_standing(self) -> Standing:
+    def own_standing(self) -> OwnerRole:
         """As what it lends to others."""
-        return self._homes.own_standing(KEY)
+        return self._homes.own_role(KEY)
 
-    def lend(self, asker: str, standing: Standing, now: float) -> UnitReply:
+    def lend(self, asker: str, standing: OwnerRole, now: float) -> PermitReply:
         """Reply to an ask."""
-        return self._lender.ask(KEY, self._per_second, standing, self._count, asker, 0, now)
+        return self._lender.request_permit(
+            KEY, self._per_second, standing, self._count, asker, 0, now
+        )
 
     def hear(self, now: float) -> None:
         """See `Spender`."""
--- a/src/milletcourse/experiments/limit_ways.py
+++ b/src/milletcourse/experiments/limit_ways.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from milletcourse.exchange.limits.peer_usage import KnownUse, SummedUse, UseKnowledge
+from milletcourse.exchange.limits.peer_usage import PeerUsage, SummedPeerUsage, UsageSource
 from milletcourse.exchange.load.load_exchange import LoadExchange
 
 UNLIMITED_PER_SECOND = 1e9
@@ -28,9 +28,9 @@
 class NoLimit:
     """Nobody keeps the limit."""
 
-    def known_use(self, key: int, own_per_second: float, now: float) -> KnownUse:
-        """See `UseKnowledge`."""
-        return KnownUse(-UNLIMITED_PER_SECOND, 1.0)
+    def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
+        """See `UsageSource`."""
+        return PeerUsage(-UNLIMITED_PER_SECOND, 1.0)
 
 
 class EqualParts:
@@ -39,9 +39,9 @@
     def __init__(self, gateways: int) -> None:
         self._gateways = gateways
 
-    def known_use(self, key: int, own_per_second: float, now: float) -> KnownUse:
-        """See `UseKnowledge`."""
-        return KnownUse(0.0, 1.0 / self._gateways)
+    def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
+        """See `UsageSource`."""
+        return PeerUsage(0.0, 1.0 / self._gateways)
 
 
 class PartsByDemand:
@@ -51,21 +51,21 @@
         self._loads = loads
         self._gateways = gateways
 
-    def known_use(self, key: int, own_per_second: float, now: float) -> KnownUse:
-        """See `UseKnowledge`."""
+    def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
+        """See `UsageSource`."""
         others = max(self._loads.others_use(key, now), 0.0)
         all_use = own_per_second + others
         equal = 1.0 / self._gateways
         by_demand = own_per_second / all_use if all_use > 0.0 else equal
         heard = min(self._loads.heard_gateways(now) / self._gateways, 1.0)
         # Half by demand, half equal: a gateway without recent demand must admit a first request.
-        return KnownUse(0.0, heard * (by_demand + equal) / 2)
+        return PeerUsage(0.0, heard * (by_demand + equal) / 2)
 
 
-KNOWLEDGE: dict[Way, Callable[[LoadExchange, int], UseKnowledge]] = {
+KNOWLEDGE: dict[Way, Callable[[LoadExchange, int], UsageSource]] = {
     Way.NONE: lambda loads, gateways: NoLimit(),
     Way.EQUAL: lambda loads, gateways: EqualParts(gateways),
     Way.DEMAND: PartsByDemand,
-    Way.SUMMED: lambda loads, gateways: SummedUse(loads, lambda: gateways),
+    Way.SUMMED: lambda loads, gateways: SummedPeerUsage(loads, lambda: gateways),
 }
 """What a gateway knows in each way, by its load messages and the number of gateways."""
--- a/src/milletcourse/experiments/rest_model.py
+++ b/src/milletcourse/experiments/rest_model.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from milletcourse.exchange.limits.backoff_retry import return_seconds
+from milletcourse.exchange.limits.backoff_retry import backoff_retry_seconds
 from milletcourse.exchange.load.server_signals import ServerSignals
 
 SERVERS = 8
@@ -260,7 +260,7 @@
         ends = [self._rest_end(gateway, server, now) for server in range(SERVERS)]
         left = max(min(ends) - now, 0.0)
         if self._way in (RestWay.SPREAD, RestWay.BAN, RestWay.SEVERAL, RestWay.STAGGERED):
-            seconds = return_seconds(left, REST_SECONDS, caller.rank, self._random.random())
+            seconds = backoff_retry_seconds(left, REST_SECONDS, caller.rank, self._random.random())
         else:
             seconds = left + self._random.uniform(*USUAL_RETRY)
         seconds = min(seconds, LONGEST_WAIT_SECONDS)
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -44,7 +44,7 @@
         self._peers = {gateway.name: _socket_address(gateway.address) for gateway in gateways}
         self._addresses = set(self._peers.values())
         self._context.loads.set_gateways(list(self._peers), readers)
-        self._context.permits.homes.set_others(list(self._peers))
+        self._context.permits.homes.set_peers(list(self._peers))
         self._context.set_gateways(len(self._peers) + 1)
 
     # -- datagrams ------------------------------------------------------------------------------
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -168,7 +168,7 @@
             for client in list(self._clients):
                 client.check_time(now)
             self.context.pool.sweep()
-            self.context.instances.expire_doubtful(now)
+            self.context.instances.expire_unverified(now)
             self._fleet.sweep(now)
             self.context.gate.forget_before(now)
             self.context.note_suspicions()
@@ -213,7 +213,7 @@
             # First, since connections that were just accepted aren't registered yet.
             await asyncio.sleep(LOOK_SECONDS)
             now = self.context.now()
-            if not self._clients or stop.phase(now) is StopPhase.OVER:
+            if not self._clients or stop.phase(now) is StopPhase.EXPIRED:
                 return
             for client in list(self._clients):
                 client.check_time(now)
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from milletcourse.exchange.attempts.answer_rules import judge_answer
+from milletcourse.exchange.attempts.answer_rules import classify_answer
 from milletcourse.exchange.attempts.silence_timeouts import (
     MIN_SILENCE_SECONDS,
-    first_event_seconds,
-    gap_seconds,
-    patience_left,
+    event_gap_timeout,
+    extra_silence_seconds,
+    first_event_timeout,
 )
 from milletcourse.exchange.messages.event_stream import EventSplitter
 from milletcourse.exchange.messages.messages import AnswerHead, AttemptResult, LeaveCause
@@ -238,7 +238,7 @@
 
     async def _receive(self, connection: ServerConnection) -> AttemptResult:
         self._silence_timer.expect_within(
-            min(first_event_seconds(self._job.route), self._seconds_to_start())
+            min(first_event_timeout(self._job.route), self._seconds_to_start())
         )
         event = await connection.next_event()
         if event.head is None:
@@ -273,7 +273,7 @@
         return self._judge_whole(head, b"".join(pieces))
 
     def _judge_whole(self, head: AnswerHead, body: bytes) -> AttemptResult:
-        result = judge_answer(head, self._instance.name, self._dispatch.weight_version)
+        result = classify_answer(head, self._instance.name, self._dispatch.weight_version)
         if result is AttemptResult.TURNED_AWAY and head.rest.seconds is not None:
             self.told_wait_seconds = head.rest.seconds
         if result is AttemptResult.WRONG_INSTANCE and head.instance not in (
@@ -310,7 +310,7 @@
                 self._note_heard()
                 self._listener.on_piece(self)
                 self._relay.pass_events(head, whole, splitter.last_event_id)
-                self._silence_timer.expect_within(gap_seconds(self._job.route))
+                self._silence_timer.expect_within(event_gap_timeout(self._job.route))
             if event.complete:
                 self._listener.on_piece(self)
                 self._relay.pass_events(head, splitter.take_rest(), splitter.last_event_id)
@@ -358,8 +358,8 @@
     def _seconds_of_patience(self) -> float:
         """How much longer a silent server that answers others is waited for."""
         route = self._job.route
-        usual = gap_seconds(route) if self._relay.begun else first_event_seconds(route)
+        usual = event_gap_timeout(route) if self._relay.begun else first_event_timeout(route)
         silent = self._silent_seconds()
-        return patience_left(
+        return extra_silence_seconds(
             usual, silent, self._context.server_answers.answers_others(self._instance)
         )
--- a/src/milletcourse/gateway/requests/dispatch_builder.py
+++ b/src/milletcourse/gateway/requests/dispatch_builder.py
@@ -77,9 +77,9 @@
         """The store that keeps this prompt's state, None when there is none that answers."""
         job = self._job
         context = self._context
-        if Mechanism.KEPT_STATE_STORE not in context.mechanisms:
+        if Mechanism.KV_CACHE_STORE not in context.mechanisms:
             return None
-        zone = context.selector.anchor_zone(job.service, job.request, job.scope)
+        zone = context.selector.home_zone(job.service, job.request, job.scope)
         store = job.table.cache_store(
             zone or self._instance.record.zone, chain.keys[chain.shared - 1]
         )
@@ -89,7 +89,7 @@
 
     def _should_send(self, store: ServiceRecord, chain: PromptChain) -> bool:
         context = self._context
-        if Mechanism.STORE_ROOM not in context.mechanisms:
+        if Mechanism.STORE_CAPACITY not in context.mechanisms:
             return True
         return context.cache_stores.should_send(
             store, chain, context.members, context.settings.bounds.reuse, context.now()
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -23,7 +23,7 @@
     ServiceRecord,
     TenantRecord,
 )
-from milletcourse.exchange.placement.engine_load import longest_wait
+from milletcourse.exchange.placement.engine_load import max_wait_seconds
 from milletcourse.exchange.placement.reuse_scope import reuse_scope
 from milletcourse.exchange.placement.route_table import RouteTable
 from milletcourse.exchange.servers.instance_table import Instance
@@ -186,7 +186,7 @@
         if visit.attempt.loss in CLOSED_BY_SERVER:
             watch = self._context.crash_watch
             watch.on_loss(self._job.identity, visit.instance, visit.attempt.sent_at)
-        self._record_end(visit, result, NextStep.FIRST_GOES_ON)
+        self._record_end(visit, result, NextStep.FIRST_CONTINUES)
 
     def _note_end(self, visit: Visit, result: AttemptResult) -> None:
         """What the end of an attempt means for the next ones."""
@@ -218,7 +218,7 @@
         if visit.attempt.loss not in CLOSED_BY_SERVER:
             return
         check = watch.on_loss(self._job.identity, visit.instance, visit.attempt.sent_at)
-        if self._plan.may_send_again(self._seconds_left()):
+        if self._plan.may_retry(self._seconds_left()):
             # Without knowing the latest end, the request might go to one server too many.
             await asyncio.wait((check,), timeout=MAX_CHECK_SECONDS)
 
@@ -247,7 +247,7 @@
             self._refuse(containment.failure())
             return None
         has_bound = Mechanism.WAIT_BOUND in self._context.mechanisms
-        bound = longest_wait(self._job.route, self._job.tenant) if has_bound else float("inf")
+        bound = max_wait_seconds(self._job.route, self._job.tenant) if has_bound else float("inf")
         found = await self._search.reserve(self._search.best(), bound)
         if isinstance(found, Destination):
             return found
@@ -274,13 +274,13 @@
             return successor, NextStep.HANDED_OVER
         destination = await self._next_destination()
         if destination is not None:
-            return self._open(destination), NextStep.SEND_AGAIN
+            return self._open(destination), NextStep.RETRY
         return None, self._plan.final_step(result)
 
     async def _next_destination(self) -> Destination | None:
         """Another server for the request, within the shared retry budget."""
         # Without means of its own this gateway reaches no other server either.
-        if self._lacks_means or not self._may_go_on(self._plan.may_send_again):
+        if self._lacks_means or not self._may_go_on(self._plan.may_retry):
             return None
         choice = self._search.best()
         # What no server has got yet costs nothing of the budget.
@@ -307,7 +307,7 @@
         elif self._relay.begun:
             record.cut(self._job.request, self._job.route, self._stream_cut())
             self._client.cut()
-        elif step is NextStep.PASS_FAILURE and self._relay.failure is not None:
+        elif step is NextStep.FORWARD_FAILURE and self._relay.failure is not None:
             record.passed_failure(self._job.route)
             self._relay.pass_failure(self._relay.failure)
         else:
--- a/src/milletcourse/gateway/requests/exchange_runner.py
+++ b/src/milletcourse/gateway/requests/exchange_runner.py
@@ -97,7 +97,7 @@
     def _find_tenant(
         self, table: RouteTable, route: RouteRecord, request: ExchangeRequest
     ) -> TenantRecord | None:
-        if route.public or not table.asks_for_keys:
+        if route.public or not table.requires_keys:
             return None
         context = self._context
         now = context.now()
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -13,7 +13,7 @@
     ServersLeaving,
     ServersResting,
 )
-from milletcourse.exchange.limits.backoff_retry import return_seconds
+from milletcourse.exchange.limits.backoff_retry import backoff_retry_seconds
 from milletcourse.exchange.load.known_server import Signal
 from milletcourse.exchange.placement.instance_selector import Choice
 from milletcourse.exchange.servers.instance_table import Instance
@@ -149,7 +149,7 @@
         rests = [signals.rest(instance.key, now) for instance in self._allowed(now)]
         first = min((rest for rest in rests if rest is not None), key=lambda rest: rest.left)
         drawn = self._context.random.random()
-        return return_seconds(first.left, first.seconds, self._job.rank, drawn)
+        return backoff_retry_seconds(first.left, first.seconds, self._job.rank, drawn)
 
     def _choose(self, left_out: set[str]) -> Choice | None:
         job = self._job
--- a/src/milletcourse/gateway/requests/stream_handover.py
+++ b/src/milletcourse/gateway/requests/stream_handover.py
@@ -8,9 +8,9 @@
 from milletcourse.exchange.attempts.handover import (
     MAX_OVERLAP_SECONDS,
     Handover,
+    HandoverAction,
+    HandoverSide,
     HandoverState,
-    HandoverStep,
-    Runner,
 )
 from milletcourse.exchange.messages.messages import AttemptResult, LeaveCause
 from milletcourse.exchange.servers.instance_table import Instance
@@ -75,8 +75,8 @@
         if self._successor is None:
             return
         is_successor = self._successor.attempt is attempt
-        runner = Runner.SUCCESSOR if is_successor else Runner.FIRST
-        self._carry_out(self._core.on_piece(runner), LeaveCause.FIRST_WENT_ON)
+        runner = HandoverSide.SUCCESSOR if is_successor else HandoverSide.FIRST
+        self._carry_out(self._core.on_chunk(runner), LeaveCause.FIRST_WENT_ON)
 
     # -- the exchange asks ----------------------------------------------------------------------
 
@@ -105,13 +105,13 @@
     # -- inside ---------------------------------------------------------------------------------
 
     def _on_overlap_over(self) -> None:
-        self._carry_out(self._core.on_overlap_over(), LeaveCause.OVERLAP_OVER)
+        self._carry_out(self._core.on_overlap_timeout(), LeaveCause.OVERLAP_OVER)
 
-    def _carry_out(self, step: HandoverStep, cause: LeaveCause) -> None:
-        if step is HandoverStep.WAIT or self.current is None or self._successor is None:
+    def _carry_out(self, step: HandoverAction, cause: LeaveCause) -> None:
+        if step is HandoverAction.WAIT or self.current is None or self._successor is None:
             return
         self._stop_timer()
-        if step is HandoverStep.END_FIRST:
+        if step is HandoverAction.CANCEL_FIRST:
             self.current.attempt.end(LeaveCause.HANDED_OVER)
             return
         self._successor.attempt.end(cause)
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 from itertools import count
 
-from milletcourse.exchange.limits.quota_owner_selector import AllowanceHomes, ChosenLender
+from milletcourse.exchange.limits.permit_retry_delays import PermitRetryDelays
 from milletcourse.exchange.limits.quota_owner import (
     GRANTED,
-    AllowanceLender,
-    Standing,
-    UnitReply,
+    OwnerRole,
+    PermitReply,
+    QuotaOwner,
 )
-from milletcourse.exchange.limits.permit_retry_delays import AskPauses
+from milletcourse.exchange.limits.quota_owner_selector import QuotaOwnerSelector, SelectedOwner
 from milletcourse.exchange.load.known_server import ServerLimitState, Signal
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.messages.allowance_messages import UnitMessage, UnitStep, told_ms
@@ -73,7 +73,7 @@
         self,
         own_name: str,
         signals: ServerSignals,
-        pauses: AskPauses,
+        pauses: PermitRetryDelays,
         on_reports: TakeReports,
         random_source: random.Random,
         clock: AttendedClock,
@@ -94,13 +94,13 @@
             members: How many gateways there are, as far as is known.
             figures: Counts what is asked.
         """
-        self.homes = AllowanceHomes(own_name)
+        self.homes = QuotaOwnerSelector(own_name)
         self.pauses = pauses
         self.send: SendMessage = lambda name, message: None
         self._own_name = own_name
         self._signals = signals
         self._on_reports = on_reports
-        self._lender = AllowanceLender(random_source)
+        self._lender = QuotaOwner(random_source)
         self._clock = clock
         self._now = now
         self._members = members
@@ -157,9 +157,9 @@
         if per_second is None:
             return None
         now = self._now()
-        lender = self.homes.lender(instance.key, now)
+        lender = self.homes.select(instance.key, now)
         said = round(self._signals.age(instance.key, now), 3)
-        return ServerLimitState(instance.name, per_second, said, lender.name, lender.standing.value)
+        return ServerLimitState(instance.name, per_second, said, lender.name, lender.role.value)
 
     def promise(self, instances: Iterable[Instance], now: float) -> float | None:
         """Seconds after which a refused caller may be served by one of these servers.
@@ -170,22 +170,22 @@
             instances: The servers.
             now: Monotonic time at which they were passed over.
         """
-        return self.pauses.promise([instance.key for instance in instances], now)
+        return self.pauses.retry_after_seconds([instance.key for instance in instances], now)
 
-    async def _ask(self, key: int, per_second: float, rank: int) -> UnitReply:
-        chosen = self.homes.lender(key, self._now())
+    async def _ask(self, key: int, per_second: float, rank: int) -> PermitReply:
+        chosen = self.homes.select(key, self._now())
         if chosen.name == self._own_name:
-            return self._lend(key, per_second, chosen.standing, self._own_name, rank)
+            return self._lend(key, per_second, chosen.role, self._own_name, rank)
         reply = await self._ask_lender(chosen, key, rank)
         if reply is not None:
             self.homes.on_reply(chosen.name)
             return reply
-        self.homes.on_silent(chosen.name, self._now())
+        self.homes.on_no_reply(chosen.name, self._now())
         self._figures.on_lender_silent()
         # What another lender has is for the next request: this one has waited long enough.
-        return UnitReply(False)
+        return PermitReply(False)
 
-    async def _ask_lender(self, chosen: ChosenLender, key: int, rank: int) -> UnitReply | None:
+    async def _ask_lender(self, chosen: SelectedOwner, key: int, rank: int) -> PermitReply | None:
         number = next(self._numbers)
         future = asyncio.get_running_loop().create_future()
         self._waiting[chosen.name, number] = future
@@ -210,7 +210,9 @@
             del self._waiting[chosen.name, number]
         if message.step is UnitStep.GRANT:
             return GRANTED
-        return UnitReply(False, message.unit_ms / 1000.0, message.pause_ms / 1000.0, message.askers)
+        return PermitReply(
+            False, message.unit_ms / 1000.0, message.pause_ms / 1000.0, message.askers
+        )
 
     # -- messages -------------------------------------------------------------------------------
 
@@ -229,7 +231,7 @@
         per_second = self._signals.income(ask.key)
         reply = GRANTED
         if per_second is not None:
-            standing = self.homes.own_standing(ask.key)
+            standing = self.homes.own_role(ask.key)
             reply = self._lend(ask.key, per_second, standing, ask.sender, ask.rank)
         self.send(
             ask.sender,
@@ -238,16 +240,16 @@
                 self._own_name,
                 ask.key,
                 ask.number,
-                unit_ms=told_ms(reply.unit_seconds),
-                pause_ms=told_ms(reply.pause_seconds),
-                askers=reply.askers,
+                unit_ms=told_ms(reply.permit_seconds),
+                pause_ms=told_ms(reply.retry_seconds),
+                askers=reply.requesters,
             ),
         )
 
     def _lend(
-        self, key: int, per_second: float, standing: Standing, asker: str, rank: int
-    ) -> UnitReply:
-        return self._lender.ask(
+        self, key: int, per_second: float, standing: OwnerRole, asker: str, rank: int
+    ) -> PermitReply:
+        return self._lender.request_permit(
             key, per_second, standing, self._members(), asker, rank, self._now()
         )
 
--- a/src/milletcourse/gateway/servers/signal_watch.py
+++ b/src/milletcourse/gateway/servers/signal_watch.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from milletcourse.exchange.attempts.answer_rules import MISDIRECTED
-from milletcourse.exchange.limits.permit_retry_delays import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import PermitRetryDelays
 from milletcourse.exchange.load.known_server import ANSWER, ENTRY, PEER, LimitChange, Signal
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.messages.messages import AnswerHead
@@ -20,7 +20,7 @@
     def __init__(
         self,
         signals: ServerSignals,
-        pauses: AskPauses,
+        pauses: PermitRetryDelays,
         instances: InstanceTable,
         record: Recorder,
         on_news: Callable[[], None],
@@ -155,7 +155,7 @@
     def _on_limit_change(
         self, instance: Instance, change: LimitChange, per_second: float | None, told_by: str
     ) -> None:
-        self._pauses.end(instance.key)
+        self._pauses.clear(instance.key)
         self._record.signals.limit(instance.name, change, per_second, told_by)
 
 
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -11,9 +11,9 @@
 from milletcourse.exchange.attempts.planned_stop import PlannedStop, StopPhase
 from milletcourse.exchange.counting.weighted_choice import WeightedChoice
 from milletcourse.exchange.evidence.crash_evidence import CrashEvidence
-from milletcourse.exchange.limits.permit_retry_delays import AskPauses
-from milletcourse.exchange.limits.connection_share import connection_part
-from milletcourse.exchange.limits.peer_usage import SummedUse
+from milletcourse.exchange.limits.connection_share import connection_share
+from milletcourse.exchange.limits.peer_usage import SummedPeerUsage
+from milletcourse.exchange.limits.permit_retry_delays import PermitRetryDelays
 from milletcourse.exchange.limits.tenant_limits import TenantLimits
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.load.server_signals import ServerSignals
@@ -124,7 +124,7 @@
         self.attended = AttendedClock()
         self.news_listeners: list[Callable[[], None]] = []
         self.server_signals = ServerSignals()
-        pauses = AskPauses()
+        pauses = PermitRetryDelays()
         self.signal_watch = SignalWatch(
             self.server_signals,
             pauses,
@@ -149,7 +149,7 @@
         self.loads = LoadExchange(settings.name, self.crash_evidence, self.server_signals)
         self.server_answers = ServerAnswers(self.loads, mechanisms, self.now)
         self.tenant_limits = TenantLimits(
-            SummedUse(self.loads, lambda: self.members), bounds.limit_tolerance
+            SummedPeerUsage(self.loads, lambda: self.members), bounds.limit_tolerance
         )
         self.cache_stores = CacheStorePlan()
         self.cache_store_reach = CacheStoreReach(self.cache_stores, log)
@@ -256,7 +256,7 @@
     def refusing(self) -> bool:
         """Whether a planned stop has come so far that new requests are refused."""
         stop = self.planned_stop
-        return stop is not None and stop.phase(self.now()) is not StopPhase.LEAVING
+        return stop is not None and stop.phase(self.now()) is not StopPhase.DRAINING
 
     def asks_clients_to_leave(self) -> bool:
         """Whether answers ask clients to close their connections: others need the room."""
@@ -307,7 +307,7 @@
 
     def note_limits(self) -> None:
         """Say which tenants were refused over their limits since the last call."""
-        for state in self.tenant_limits.due_notes(self.now()):
+        for state in self.tenant_limits.due_reports(self.now()):
             self.record.limited(state)
 
     def retry_after(self) -> float:
@@ -339,7 +339,7 @@
         """Connections to a server that this gateway keeps at most."""
         service = self.table.service(self.instances.service_at(address)) if self.table else None
         takes = service.max_connections if service is not None else 0
-        return connection_part(takes, self.members, self.settings.name, address)
+        return connection_share(takes, self.members, self.settings.name, address)
 
     def _on_leaving(self, instance: Instance) -> None:
         """A server leaves: it closes its connections after their next answer."""
@@ -364,7 +364,9 @@
         if known is not None and started_ms and started_ms < known.record.started_ms:
             # It has started again since.
             return False
-        if Mechanism.ENDED_INCARNATIONS not in self.mechanisms or not self.instances.end(name):
+        if Mechanism.TERMINATED_INCARNATIONS not in self.mechanisms or not self.instances.terminate(
+            name
+        ):
             return False
         self.record.instance_ended(name, successor)
         self.crash_watch.on_instance_ended(name)
--- a/src/milletcourse/gateway/store/sinks.py
+++ b/src/milletcourse/gateway/store/sinks.py
@@ -25,7 +25,7 @@
 
     def on_unavailable(self) -> None:
         """A call failed: the store is unstable."""
-        self._context.instances.on_unstable()
+        self._context.instances.on_store_failed()
         self._context.record.store_call(self._kind, False)
 
     def _on_reached(self) -> None:
@@ -163,12 +163,12 @@
     def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
         """See `KindSink`."""
         if before is not None:
-            self._context.instances.on_copy(self._context.now())
+            self._context.instances.on_store_restored(self._context.now())
 
     def on_list(self, objects: list[StoredObject], sent_at: float) -> None:
         """See `KindSink`."""
         self._on_reached()
-        self._context.instances.on_reached(self._context.now())
+        self._context.instances.on_store_reached(self._context.now())
         table = self._context.instances
         records = []
         for stored in objects:
@@ -184,7 +184,7 @@
         """See `KindSink`."""
         self._on_reached()
         table = self._context.instances
-        table.on_reached(self._context.now())
+        table.on_store_reached(self._context.now())
         for change in changes:
             if change.gone:
                 table.remove(change.stored.name, self._context.now())
--- a/src/milletcourse/gateway/store/store_sync.py
+++ b/src/milletcourse/gateway/store/store_sync.py
@@ -217,7 +217,7 @@
                 leader,
                 MAX_PAUSE_SECONDS if self._plan.is_reader else MAX_FOLLOWER_PAUSE_SECONDS,
             )
-            if Mechanism.LEADING_WATCH in self._context.mechanisms:
+            if Mechanism.SINGLE_KIND_POLLING in self._context.mechanisms:
                 leader = leader or watch
             self._leading_watch = self._leading_watch or watch
             self._watches.append(self._spawn(watch.run()))
--- a/src/milletcourse/gateway/telling/recorder.py
+++ b/src/milletcourse/gateway/telling/recorder.py
@@ -155,7 +155,7 @@
     def attempt(self, route: RouteRecord, result: AttemptResult, step: NextStep) -> None:
         """An attempt ended; those without an answer get a line by `attempt_failed`."""
         self._figures.on_attempt(result)
-        if step is NextStep.SEND_AGAIN:
+        if step is NextStep.RETRY:
             self.tally.on_sent_again(route.name)
 
     def attempt_failed(
--- a/tests/exchange/attempts/test_stop_machine.py
+++ b/tests/exchange/attempts/test_stop_machine.py
@@ -53,7 +53,7 @@
     @rule()
     def client_connects(self) -> None:
         """It comes up in the kernel; the listener closes only when nothing waits there."""
-        is_open = self.stop is None or self.stop.phase(self.now) is StopPhase.LEAVING
+        is_open = self.stop is None or self.stop.phase(self.now) is StopPhase.DRAINING
         if is_open and len(self.connections) < MAX_CONNECTIONS:
             self.connections.append(ModelConnection())
 
@@ -95,7 +95,7 @@
     @rule()
     def stop_looks(self) -> None:
         """The stop closes what it may."""
-        if self.stop is None or self.stop.phase(self.now) is StopPhase.OVER:
+        if self.stop is None or self.stop.phase(self.now) is StopPhase.EXPIRED:
             return
         for connection in self.connections:
             if not connection.is_accepted or connection.is_closed:
@@ -116,7 +116,7 @@
     @staticmethod
     def may_close(stop: PlannedStop, connection: ConnectionState, now: float) -> bool:
         """Closes what looks idle."""
-        return stop.phase(now) is not StopPhase.LEAVING and connection.is_idle
+        return stop.phase(now) is not StopPhase.DRAINING and connection.is_idle
 
 
 TestStopMachine = StopMachine.TestCase
--- a/tests/exchange/limits/test_backoff_retry.py
+++ b/tests/exchange/limits/test_backoff_retry.py
@@ -5,7 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from milletcourse.exchange.limits.backoff_retry import MAX_SPREAD_SECONDS, RANKS, return_seconds
+from milletcourse.exchange.limits.backoff_retry import (
+    MAX_SPREAD_SECONDS,
+    RANKS,
+    backoff_retry_seconds,
+)
 from milletcourse.experiments.rest_model import Need, RestModel, RestWay
 
 GATEWAYS = 20
@@ -22,14 +26,14 @@
     left: float, rest: float, rank: int, drawn: float
 ) -> None:
     """And never later than the most that returns are spread over."""
-    seconds = return_seconds(left, rest, rank, drawn)
+    seconds = backoff_retry_seconds(left, rest, rank, drawn)
     assert left <= seconds <= left + min(rest, MAX_SPREAD_SECONDS)
 
 
 def test_the_more_urgent_come_back_first() -> None:
     """On the mean, and the most urgent in the first half."""
-    urgent = [return_seconds(0.0, 3.0, 0, drawn / 10) for drawn in range(11)]
-    least = [return_seconds(0.0, 3.0, RANKS, drawn / 10) for drawn in range(11)]
+    urgent = [backoff_retry_seconds(0.0, 3.0, 0, drawn / 10) for drawn in range(11)]
+    least = [backoff_retry_seconds(0.0, 3.0, RANKS, drawn / 10) for drawn in range(11)]
     assert max(urgent) <= 1.5
     assert sum(urgent) < sum(least)
 
--- a/tests/exchange/limits/test_connection_share.py
+++ b/tests/exchange/limits/test_connection_share.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from milletcourse.exchange.limits.connection_share import CHANCE_SHARE, KEPT_SHARE, connection_part
+from milletcourse.exchange.limits.connection_share import (
+    KEPT_FRACTION,
+    RANDOM_KEEP_FACTOR,
+    connection_share,
+)
 
 ADDRESS = "10.0.0.1:80"
 
@@ -15,10 +19,10 @@
 @pytest.mark.parametrize(("takes", "members"), SIZES)
 def test_all_gateways_together_keep_no_more_than_a_server_takes(takes: int, members: int) -> None:
     """Also where there are fewer connections than gateways."""
-    parts = [connection_part(takes, members, f"front-{n}", ADDRESS) for n in range(members)]
-    assert 0.8 * CHANCE_SHARE * KEPT_SHARE * takes <= sum(parts) <= takes
+    parts = [connection_share(takes, members, f"front-{n}", ADDRESS) for n in range(members)]
+    assert 0.8 * RANDOM_KEEP_FACTOR * KEPT_FRACTION * takes <= sum(parts) <= takes
 
 
 def test_a_server_that_does_not_say_takes_as_many_as_come() -> None:
     """As most applications."""
-    assert connection_part(0, 7, "front-1", ADDRESS) > 1000
+    assert connection_share(0, 7, "front-1", ADDRESS) > 1000
--- a/tests/exchange/limits/test_server_quotas.py
+++ b/tests/exchange/limits/test_server_quotas.py
@@ -9,20 +9,23 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from milletcourse.exchange.limits.quota_owner_selector import (
-    FIRST_SILENCE_SECONDS,
-    MAX_SILENCE_SECONDS,
-    AllowanceHomes,
+from milletcourse.exchange.limits.permit_retry_delays import (
+    MAX_RETRY_AFTER_SECONDS,
+    PermitRetryDelays,
 )
 from milletcourse.exchange.limits.quota_owner import (
-    BURST_UNITS,
-    DEPUTY_BURST_UNITS,
+    BURST_PERMITS,
+    DEPUTY_BURST_PERMITS,
     MAX_ACCOUNTS,
-    AllowanceLender,
-    Standing,
-    UnitReply,
+    OwnerRole,
+    PermitReply,
+    QuotaOwner,
+)
+from milletcourse.exchange.limits.quota_owner_selector import (
+    FIRST_SKIP_SECONDS,
+    MAX_SKIP_SECONDS,
+    QuotaOwnerSelector,
 )
-from milletcourse.exchange.limits.permit_retry_delays import MAX_PROMISE_SECONDS, AskPauses
 from milletcourse.exchange.load.known_server import ENDED_SECONDS, LimitChange
 from milletcourse.exchange.load.server_signals import (
     MAX_KNOWN,
@@ -224,9 +227,9 @@
     def __init__(self, per_second: float, gateways: int, demand: float, seed: int) -> None:
         self.random = random.Random(seed)
         self.per_second = per_second
-        self.lender = AllowanceLender(self.random)
+        self.lender = QuotaOwner(self.random)
         self.names = [f"g{number}" for number in range(gateways)]
-        self.pauses = {name: AskPauses() for name in self.names}
+        self.pauses = {name: PermitRetryDelays() for name in self.names}
         self.demand = demand
         self.granted: list[float] = []
         self.asks = 0
@@ -242,10 +245,12 @@
 
     def request(self, name: str, now: float) -> None:
         """A request at a gateway wants to go to the server."""
-        if self.pauses[name].is_paused(KEY, now):
+        if self.pauses[name].is_delayed(KEY, now):
             return
         self.asks += 1
-        reply = self.lender.ask(KEY, self.per_second, Standing.HOME, len(self.names), name, 0, now)
+        reply = self.lender.request_permit(
+            KEY, self.per_second, OwnerRole.HOME, len(self.names), name, 0, now
+        )
         if reply.granted:
             self.granted.append(now)
         else:
@@ -261,7 +266,7 @@
         asking = AskingGateways(per_second, gateways, factor * per_second, seed=gateways)
         asking.run(seconds)
         most = most_in_window(asking.granted, WINDOW_SECONDS)
-        assert most <= per_second * WINDOW_SECONDS + BURST_UNITS + 1
+        assert most <= per_second * WINDOW_SECONDS + BURST_PERMITS + 1
         assert len(asking.granted) >= 0.85 * per_second * seconds, factor
 
 
@@ -274,63 +279,66 @@
 
 def test_a_lender_starts_empty_and_saves_little_up() -> None:
     """A restart, or a pause, gives no burst to a server in need."""
-    lender = AllowanceLender(random.Random(1))
-    assert not lender.ask(KEY, 2.0, Standing.HOME, 3, "g1", 0, 10.0).granted
-    replies = [lender.ask(KEY, 2.0, Standing.HOME, 3, "g1", 0, 1000.0) for _ in range(9)]
-    assert sum(reply.granted for reply in replies) == BURST_UNITS
+    lender = QuotaOwner(random.Random(1))
+    assert not lender.request_permit(KEY, 2.0, OwnerRole.HOME, 3, "g1", 0, 10.0).granted
+    replies = [
+        lender.request_permit(KEY, 2.0, OwnerRole.HOME, 3, "g1", 0, 1000.0) for _ in range(9)
+    ]
+    assert sum(reply.granted for reply in replies) == BURST_PERMITS
 
 
 def test_a_deputy_lends_half_and_who_is_alone_its_part() -> None:
     """So that gateways that can't reach the same lender don't each spend the whole."""
-    for standing, part in ((Standing.DEPUTY, 0.5), (Standing.ALONE, 1 / 10)):
-        lender = AllowanceLender(random.Random(1))
+    for standing, part in ((OwnerRole.DEPUTY, 0.5), (OwnerRole.LOCAL_SHARE, 1 / 10)):
+        lender = QuotaOwner(random.Random(1))
         granted = [
-            lender.ask(KEY, 5.0, standing, 10, "g1", 0, step / 100).granted for step in range(4000)
+            lender.request_permit(KEY, 5.0, standing, 10, "g1", 0, step / 100).granted
+            for step in range(4000)
         ]
-        assert sum(granted) <= 40 * 5.0 * part + DEPUTY_BURST_UNITS
+        assert sum(granted) <= 40 * 5.0 * part + DEPUTY_BURST_PERMITS
 
 
 def test_more_urgent_work_goes_first_and_the_rest_is_not_starved() -> None:
     """Both want more than there is."""
-    lender = AllowanceLender(random.Random(1))
+    lender = QuotaOwner(random.Random(1))
     counts = {0: 0, 2: 0}
     source = random.Random(2)
     now = 0.0
     while now < 100.0:
         now += source.expovariate(20.0)
         rank = source.choice([0, 2])
-        counts[rank] += lender.ask(KEY, 2.0, Standing.HOME, 5, "g1", rank, now).granted
+        counts[rank] += lender.request_permit(KEY, 2.0, OwnerRole.HOME, 5, "g1", rank, now).granted
     assert counts[0] > 2 * counts[2]
     assert counts[2] > 0.1 * counts[0]
 
 
 def test_a_limit_that_is_lowered_takes_away_what_was_saved() -> None:
     """The debt of none is carried over either."""
-    lender = AllowanceLender(random.Random(1))
-    lender.ask(KEY, 10.0, Standing.HOME, 3, "g1", 0, 0.0)
+    lender = QuotaOwner(random.Random(1))
+    lender.request_permit(KEY, 10.0, OwnerRole.HOME, 3, "g1", 0, 0.0)
     granted = [
-        lender.ask(KEY, 0.5, Standing.HOME, 3, "g1", 0, 10.0 + step / 10).granted
+        lender.request_permit(KEY, 0.5, OwnerRole.HOME, 3, "g1", 0, 10.0 + step / 10).granted
         for step in range(40)
     ]
-    assert sum(granted) <= BURST_UNITS + 0.5 * 4
+    assert sum(granted) <= BURST_PERMITS + 0.5 * 4
 
 
 def test_accounts_are_bounded() -> None:
     """However many keys are asked for."""
-    lender = AllowanceLender(random.Random(1))
+    lender = QuotaOwner(random.Random(1))
     for key in range(2 * MAX_ACCOUNTS):
-        lender.ask(key, 1.0, Standing.HOME, 3, "g1", 0, 1.0)
+        lender.request_permit(key, 1.0, OwnerRole.HOME, 3, "g1", 0, 1.0)
     assert len(lender._accounts) <= MAX_ACCOUNTS
 
 
 # -- who lends ------------------------------------------------------------------------------------
 
 
-def _homes(size: int) -> dict[str, AllowanceHomes]:
+def _homes(size: int) -> dict[str, QuotaOwnerSelector]:
     names = [f"g{number}" for number in range(size)]
-    all_homes = {name: AllowanceHomes(name) for name in names}
+    all_homes = {name: QuotaOwnerSelector(name) for name in names}
     for name, homes in all_homes.items():
-        homes.set_others([other for other in names if other != name])
+        homes.set_peers([other for other in names if other != name])
     return all_homes
 
 
@@ -339,10 +347,10 @@
     all_homes = _homes(23)
     lenders = []
     for key in range(200):
-        chosen = {homes.lender(key, 0.0).name for homes in all_homes.values()}
+        chosen = {homes.select(key, 0.0).name for homes in all_homes.values()}
         assert len(chosen) == 1
         name = chosen.pop()
-        assert all_homes[name].own_standing(key) is Standing.HOME
+        assert all_homes[name].own_role(key) is OwnerRole.HOME
         lenders.append(name)
     assert len(set(lenders)) == 23
 
@@ -350,24 +358,24 @@
 def test_a_silent_home_is_passed_over_for_its_deputy_and_tried_again() -> None:
     """When both are silent, the gateway spends its own part."""
     homes = _homes(5)["g0"]
-    key = next(key for key in range(100) if "g0" not in homes._homes_of(key))
-    home = homes.lender(key, 0.0).name
-    homes.on_silent(home, 0.0)
-    deputy = homes.lender(key, 0.1)
-    assert deputy.standing is Standing.DEPUTY
-    homes.on_silent(deputy.name, 0.1)
-    assert homes.lender(key, 0.2).standing is Standing.ALONE
-    assert homes.lender(key, FIRST_SILENCE_SECONDS + 0.05).name == home
+    key = next(key for key in range(100) if "g0" not in homes._owners_of(key))
+    home = homes.select(key, 0.0).name
+    homes.on_no_reply(home, 0.0)
+    deputy = homes.select(key, 0.1)
+    assert deputy.role is OwnerRole.DEPUTY
+    homes.on_no_reply(deputy.name, 0.1)
+    assert homes.select(key, 0.2).role is OwnerRole.LOCAL_SHARE
+    assert homes.select(key, FIRST_SKIP_SECONDS + 0.05).name == home
     for _ in range(9):
-        homes.on_silent(home, 2.0)
-    assert homes.lender(key, 2.0 + MAX_SILENCE_SECONDS + 0.1).name == home
+        homes.on_no_reply(home, 2.0)
+    assert homes.select(key, 2.0 + MAX_SKIP_SECONDS + 0.1).name == home
     homes.on_reply(home)
-    assert homes.lender(key, 2.1).name == home
+    assert homes.select(key, 2.1).name == home
 
 
 def test_without_others_a_gateway_is_alone() -> None:
     """As before the list of gateways is known."""
-    assert AllowanceHomes("g0").lender(KEY, 0.0).standing is Standing.ALONE
+    assert QuotaOwnerSelector("g0").select(KEY, 0.0).role is OwnerRole.LOCAL_SHARE
 
 
 # -- messages and callers -------------------------------------------------------------------------
@@ -387,18 +395,18 @@
 
 def test_refused_callers_are_told_to_come_back_one_after_the_other() -> None:
     """As this gateway's part of the units comes in, and not later than callers wait."""
-    pauses = AskPauses()
-    assert pauses.promise([KEY], 0.0) is None
-    pauses.on_denied(KEY, UnitReply(False, 0.5, 0.7, 2), 4.0, 0.0)
-    promised = [pauses.promise([KEY], 0.0) for _ in range(20)]
+    pauses = PermitRetryDelays()
+    assert pauses.retry_after_seconds([KEY], 0.0) is None
+    pauses.on_denied(KEY, PermitReply(False, 0.5, 0.7, 2), 4.0, 0.0)
+    promised = [pauses.retry_after_seconds([KEY], 0.0) for _ in range(20)]
     assert promised[:3] == [0.5, 1.0, 1.5]
-    assert promised[-1] == MAX_PROMISE_SECONDS
-    assert pauses.is_paused(KEY, 0.6) and not pauses.is_paused(KEY, 0.8)
-    assert set(pauses.paused(0.6)) == {KEY} and not pauses.paused(0.8)
+    assert promised[-1] == MAX_RETRY_AFTER_SECONDS
+    assert pauses.is_delayed(KEY, 0.6) and not pauses.is_delayed(KEY, 0.8)
+    assert set(pauses.delayed(0.6)) == {KEY} and not pauses.delayed(0.8)
     pauses.expire(0.8)
-    assert pauses.promise([KEY], 0.6) == pytest.approx(MAX_PROMISE_SECONDS - 0.6)
+    assert pauses.retry_after_seconds([KEY], 0.6) == pytest.approx(MAX_RETRY_AFTER_SECONDS - 0.6)
     pauses.expire(6.0)
-    assert pauses.promise([KEY], 0.6) is None
-    pauses.on_denied(KEY, UnitReply(False, 0.5, 0.7, 2), 4.0, 0.0)
-    pauses.end(KEY)
-    assert not pauses.is_paused(KEY, 0.1)
+    assert pauses.retry_after_seconds([KEY], 0.6) is None
+    pauses.on_denied(KEY, PermitReply(False, 0.5, 0.7, 2), 4.0, 0.0)
+    pauses.clear(KEY)
+    assert not pauses.is_delayed(KEY, 0.1)
--- a/tests/exchange/limits/test_tenant_limits.py
+++ b/tests/exchange/limits/test_tenant_limits.py
@@ -24,8 +24,8 @@
 from milletcourse.cli.experiment import read_sizes
 from milletcourse.errors import FailureError
 from milletcourse.exchange.counting.recent_use import TOLD_SECONDS, RecentUse
-from milletcourse.exchange.limits.peer_usage import SummedUse, UseKnowledge
-from milletcourse.exchange.limits.shared_bucket import START_SECONDS
+from milletcourse.exchange.limits.peer_usage import SummedPeerUsage, UsageSource
+from milletcourse.exchange.limits.shared_bucket import INITIAL_FILL_SECONDS
 from milletcourse.exchange.limits.tenant_limits import MAX_WAIT_SECONDS, TenantLimits
 from milletcourse.exchange.load.load_exchange import TICK_SECONDS, LoadExchange
 from milletcourse.exchange.messages.messages import ExchangeRequest
@@ -58,9 +58,9 @@
     return TenantRecord("tenant-1", limit=TenantLimit(rate, rate, unit, 200))
 
 
-def _alone() -> SummedUse:
+def _alone() -> SummedPeerUsage:
     """What the only gateway there is knows of others."""
-    return SummedUse(LoadExchange("gateway-1"), lambda: 1)
+    return SummedPeerUsage(LoadExchange("gateway-1"), lambda: 1)
 
 
 def _limits(tenant: TenantRecord) -> TenantLimits:
@@ -122,7 +122,9 @@
         assert limits.try_spend(tenant, request, 0.0) is None
         limits.settle(tenant, request, runs, 0.0)
         told = limits.tick(0.0)
-        assert sum(use.per_second for use in told) * TOLD_SECONDS == START_SECONDS * RATE - left
+        assert (
+            sum(use.per_second for use in told) * TOLD_SECONDS == INITIAL_FILL_SECONDS * RATE - left
+        )
 
 
 def test_tenants_without_a_limit_cost_nothing() -> None:
@@ -179,11 +181,11 @@
     limits.try_spend(tenant, _request(2000), 0.0)
     for step in range(40):
         limits.try_spend(tenant, _request(10), 0.01 + step * 0.01)
-    (note,) = limits.due_notes(0.41)
+    (note,) = limits.due_reports(0.41)
     assert (note.tenant, note.per_second, note.refused) == ("tenant-1", RATE, 40)
     limits.try_spend(tenant, _request(10), 0.6)
-    assert limits.due_notes(0.9) == []
-    assert limits.due_notes(1.42)[0].refused == 1
+    assert limits.due_reports(0.9) == []
+    assert limits.due_reports(1.42)[0].refused == 1
 
 
 # -- many gateways ------------------------------------------------------------------------------
@@ -220,11 +222,11 @@
 """Times the limit; what comes within the time that telling takes may go beyond the bound."""
 
 
-def _summed(loads: LoadExchange) -> UseKnowledge:
-    return SummedUse(loads, lambda: GATEWAYS)
+def _summed(loads: LoadExchange) -> UsageSource:
+    return SummedPeerUsage(loads, lambda: GATEWAYS)
 
 
-def _whole_limit_each(loads: LoadExchange) -> UseKnowledge:
+def _whole_limit_each(loads: LoadExchange) -> UsageSource:
     """Keeps no account of the others: the mistake that the machine below must find."""
     return EqualParts(1)
 
@@ -232,7 +234,7 @@
 class BoundMachine(RuleBasedStateMachine):
     """Gateways that join, are cut off, restart, and get other limits, under changing demand."""
 
-    knowledge: Callable[[LoadExchange], UseKnowledge] = staticmethod(_summed)
+    knowledge: Callable[[LoadExchange], UsageSource] = staticmethod(_summed)
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/exchange/load/test_load_exchange.py
+++ b/tests/exchange/load/test_load_exchange.py
@@ -26,8 +26,8 @@
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import InstanceTable
 from milletcourse.exchange.servers.server_health import (
-    MAX_TOLD_BAD,
-    SUSPICION_BAD,
+    MAX_REPORTED_FAILURES,
+    SUSPICION_FAILURES,
     ServerHealth,
     ServerTally,
 )
@@ -196,12 +196,12 @@
 def test_one_gateway_alone_makes_nobody_suspect_a_server() -> None:
     """Its own link may be what is sick; nor do failures among many answers."""
     health = ServerHealth()
-    assert not health.is_suspected(ServerTally(MAX_TOLD_BAD, 0), 0.0)
-    assert health.is_suspected(ServerTally(SUSPICION_BAD, 0), 0.0)
-    assert not health.is_suspected(ServerTally(SUSPICION_BAD, 2 * SUSPICION_BAD), 0.0)
+    assert not health.is_suspected(ServerTally(MAX_REPORTED_FAILURES, 0), 0.0)
+    assert health.is_suspected(ServerTally(SUSPICION_FAILURES, 0), 0.0)
+    assert not health.is_suspected(ServerTally(SUSPICION_FAILURES, 2 * SUSPICION_FAILURES), 0.0)
     for _ in range(9):
         health.on_result(AttemptResult.LOST, 1.0)
-    assert health.tally(1.0) == ServerTally(MAX_TOLD_BAD, 0)
+    assert health.tally(1.0) == ServerTally(MAX_REPORTED_FAILURES, 0)
     assert health.tally(9.0) == ServerTally(0, 0)
 
 
--- a/tests/exchange/placement/test_engine_load.py
+++ b/tests/exchange/placement/test_engine_load.py
@@ -28,11 +28,11 @@
     WeightedService,
 )
 from milletcourse.exchange.placement.engine_load import (
-    MAX_WAIT_SHARE,
-    SLOT_SECONDS,
+    MAX_WAIT_FRACTION,
+    SLOT_WAIT_SECONDS,
     ServerLoad,
-    disturbance_seconds,
-    longest_wait,
+    interference_seconds,
+    max_wait_seconds,
     memory_tokens,
     wait_seconds,
 )
@@ -43,7 +43,7 @@
 SLOTS = 16
 MEMORY = 80_000
 SERVICE = ServiceRecord("s", ("m",), capacity_tokens=MEMORY, slots=SLOTS)
-PAUSE_SECONDS = 0.6
+MAX_GAP_SECONDS = 0.6
 
 
 def _prompt(tokens: int, output: int = 200) -> ExchangeRequest:
@@ -68,7 +68,7 @@
     told = [load for load in loads.values() if not load.is_nothing]
     exchange.on_message(PeerMessage("other", 1, told, scope=LoadScope.ZONE), 0.0)
     selector = InstanceSelector(table, VersionGate(8.0), exchange, "", random.Random(1))
-    choice = selector.choose(SERVICE, request, "scope", (), 0.0, PAUSE_SECONDS)
+    choice = selector.choose(SERVICE, request, "scope", (), 0.0, MAX_GAP_SECONDS)
     assert choice is not None
     return choice
 
@@ -100,17 +100,17 @@
     request = _prompt(800)
     full = {f"e-{number}": _load(f"e-{number}", running=SLOTS + 6) for number in range(3)}
     wait = _choice(full, request).wait_seconds
-    assert wait >= 6 * SLOT_SECONDS
-    assert wait > longest_wait(_route(0.6), None)
+    assert wait >= 6 * SLOT_WAIT_SECONDS
+    assert wait > max_wait_seconds(_route(0.6), None)
     one_free = {**full, "e-1": _load("e-1", running=3)}
     choice = _choice(one_free, request)
     assert choice.instance.name == "e-1"
-    assert choice.wait_seconds <= longest_wait(_route(0.6), None)
+    assert choice.wait_seconds <= max_wait_seconds(_route(0.6), None)
 
 
 def test_long_prompts_are_not_refused_for_their_own_length() -> None:
     """Only what others make them wait for counts: at a calm fleet nothing is refused."""
-    bound = longest_wait(_route(0.8), None)
+    bound = max_wait_seconds(_route(0.8), None)
     assert _choice({}, _prompt(60_000)).wait_seconds <= bound
     # Nor is one that may not fit at all: that is for the server to say.
     assert _choice({}, _prompt(2 * MEMORY)).wait_seconds <= bound
@@ -118,15 +118,15 @@
 
 def test_a_route_without_a_target_has_no_bound() -> None:
     """Whoever set none wants the answer whenever it comes."""
-    assert longest_wait(_route(0.0), None) == float("inf")
-    assert longest_wait(_route(0.8), None) == pytest.approx(0.8 * MAX_WAIT_SHARE)
+    assert max_wait_seconds(_route(0.0), None) == float("inf")
+    assert max_wait_seconds(_route(0.8), None) == pytest.approx(0.8 * MAX_WAIT_FRACTION)
 
 
 def test_what_is_less_urgent_gives_way_first() -> None:
     """A tenant's priority goes before a route's, as at servers."""
     tenants = [TenantRecord("t", priority=priority) for priority in range(3)]
     routes = [msgspec.structs.replace(_route(0.8), priority=priority) for priority in range(3)]
-    bounds = [longest_wait(route, tenant) for tenant in tenants for route in routes]
+    bounds = [max_wait_seconds(route, tenant) for tenant in tenants for route in routes]
     assert bounds == sorted(bounds, reverse=True)
     assert len(set(bounds)) == len(bounds)
 
@@ -139,7 +139,7 @@
     request = _prompt(tokens)
     load = ServerLoad(waiting, requests, memory)
     wait = wait_seconds(SERVICE, load, request)
-    disturbance = disturbance_seconds(load, request, PAUSE_SECONDS)
+    disturbance = interference_seconds(load, request, MAX_GAP_SECONDS)
     assert wait >= 0.0
     for more in (
         ServerLoad(waiting + 500, requests, memory),
@@ -147,7 +147,7 @@
         ServerLoad(waiting, requests, memory + 500),
     ):
         assert wait_seconds(SERVICE, more, request) >= wait
-        assert disturbance_seconds(more, request, PAUSE_SECONDS) >= disturbance
+        assert interference_seconds(more, request, MAX_GAP_SECONDS) >= disturbance
 
 
 def test_services_that_tell_no_bounds_have_none() -> None:
--- a/tests/exchange/placement/test_placement.py
+++ b/tests/exchange/placement/test_placement.py
@@ -26,12 +26,12 @@
 )
 from milletcourse.exchange.placement.long_prompt_servers import (
     MIN_ZONE_SERVERS,
-    ZONE_SHARE,
+    ZONE_FRACTION,
     is_long,
     long_prompt_servers,
     mostly_generates,
 )
-from milletcourse.exchange.placement.recent_cache_holders import MAX_PARTS, RecentHolders
+from milletcourse.exchange.placement.recent_cache_holders import MAX_PARTS, RecentCacheHolders
 from milletcourse.exchange.placement.reuse_scope import reuse_scope
 from milletcourse.exchange.placement.route_table import RouteTable
 from milletcourse.exchange.rollout.roll_out_timing import GRACE_SECONDS
@@ -163,7 +163,7 @@
 
     before = homes()
     restarted = next(iter(table))
-    table.end(restarted.name)
+    table.terminate(restarted.name)
     record = msgspec.structs.replace(restarted.record, name="e99")
     table.upsert(record)
     assert homes() == before
@@ -173,12 +173,12 @@
 
 
 def test_a_belief_ends_after_a_while() -> None:
-    holders = RecentHolders(believed_seconds=4.0)
+    holders = RecentCacheHolders(lifetime_seconds=4.0)
     holders.note_sent("e1", [b"a", b"b"], 0.0)
     holders.note_sent("e2", [b"a"], 3.0)
-    assert holders.held_parts("e1", [b"a", b"b"], 3.9) == 2
+    assert holders.cached_parts("e1", [b"a", b"b"], 3.9) == 2
     assert holders.holders([b"a", b"b"], 4, 3.9) == ["e1", "e2"]
-    assert holders.held_parts("e1", [b"a", b"b"], 4.0) == 0
+    assert holders.cached_parts("e1", [b"a", b"b"], 4.0) == 0
     assert holders.holders([b"a", b"b"], 4, 4.0) == ["e2"]
 
 
@@ -211,7 +211,7 @@
     steps: list[tuple[str, int, int, float]],
 ) -> None:
     """Against a plain list of what was sent."""
-    holders = RecentHolders(believed_seconds=4.0)
+    holders = RecentCacheHolders(lifetime_seconds=4.0)
     sent: dict[tuple[str, bytes], float] = {}
     now = 0.0
     for step, server_number, part_number, pause in steps:
@@ -227,11 +227,11 @@
         for number in range(6):
             part = b"%d" % number
             expected = now - sent.get((server, part), float("-inf")) < 4.0
-            assert bool(holders.held_parts(server, [part], now)) is expected
+            assert bool(holders.cached_parts(server, [part], now)) is expected
 
 
 def test_beliefs_are_bounded() -> None:
-    holders = RecentHolders(believed_seconds=4.0)
+    holders = RecentCacheHolders(lifetime_seconds=4.0)
     for number in range(MAX_PARTS + 10):
         holders.note_sent("e1", [b"%d" % number], 0.0)
     assert len(holders) == MAX_PARTS
@@ -253,7 +253,7 @@
     """From every gateway, while there is room on both sides."""
     table = _table()
     for_long = _for_long(table)
-    assert len(for_long) == round(SERVERS * ZONE_SHARE)
+    assert len(for_long) == round(SERVERS * ZONE_FRACTION)
     for seed in range(30):
         selector = _selector(table, seed, f"zone-{seed % ZONES}")
         assert _chosen(selector, _stream(f"b{seed}")).name not in for_long
--- a/tests/exchange/placement/test_server_candidates.py
+++ b/tests/exchange/placement/test_server_candidates.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from milletcourse.exchange.limits.permit_retry_delays import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import PermitRetryDelays
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS
 from milletcourse.exchange.messages.messages import AttemptResult
@@ -25,7 +25,7 @@
         self.table = InstanceTable()
         self.loads = LoadExchange("g-1")
         self.candidates = ServerCandidates(
-            self.table, VersionGate(8.0), self.loads, ALL_MECHANISMS, AskPauses()
+            self.table, VersionGate(8.0), self.loads, ALL_MECHANISMS, PermitRetryDelays()
         )
         for name in ("s-1", "s-2"):
             self.table.upsert(InstanceRecord(name, "app", f"{name}:1"))
--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -49,7 +49,11 @@
     WeightOrder,
 )
 from milletcourse.exchange.rollout.version_gate import VersionGate
-from milletcourse.exchange.servers.instance_table import BACK_SECONDS, Instance, InstanceTable
+from milletcourse.exchange.servers.instance_table import (
+    REREGISTRATION_SECONDS,
+    Instance,
+    InstanceTable,
+)
 from milletcourse.exchange.servers.server_health import ServerHealth
 from milletcourse.gateway.state.settings import GatewayBounds
 from milletcourse.gateway.store.feed_client import FEED_MARGIN_SECONDS
@@ -122,7 +126,7 @@
         plan.on_result(result)
         if plan.final_step(result) is NextStep.REFUSE:
             assert possible_runs == 0
-        if result is AttemptResult.ANSWERED or not plan.may_send_again(1.0):
+        if result is AttemptResult.ANSWERED or not plan.may_retry(1.0):
             return
         allowed = max_attempts if repeatable else 1
         assert possible_runs < allowed or possible_runs == 0
@@ -234,19 +238,19 @@
     table.replace_all([engine("a"), engine("b"), engine("c"), engine("d")], 0.0)
     table.remove("c", 0.0)
     assert table.get("c") is None
-    table.on_unstable()
+    table.on_store_failed()
     returned = 20.0
-    table.expire_doubtful(returned)
-    table.on_reached(returned)
+    table.expire_unverified(returned)
+    table.on_store_reached(returned)
     table.replace_all([engine("d")], returned)
     assert set(table.of_service("s")) == {"a", "b", "d"}
-    table.on_reached(returned + 1.0)
-    table.expire_doubtful(returned + 1.9)
+    table.on_store_reached(returned + 1.0)
+    table.expire_unverified(returned + 1.9)
     assert set(table.of_service("s")) == {"a", "b", "d"}
     table.upsert(engine("b"))
-    table.expire_doubtful(returned + BACK_SECONDS)
+    table.expire_unverified(returned + REREGISTRATION_SECONDS)
     assert set(table.of_service("s")) == {"b", "d"}
-    table.remove("d", returned + BACK_SECONDS)
+    table.remove("d", returned + REREGISTRATION_SECONDS)
     assert set(table.of_service("s")) == {"b"}, "a store that is well tells what is gone"
 
 
@@ -255,15 +259,15 @@
     table = InstanceTable()
     table.replace_all([engine("a"), engine("b")], 0.0)
     table.upsert(msgspec.structs.replace(engine("a"), draining=True))
-    table.on_unstable()
+    table.on_store_failed()
     leaving = table.get("a")
     assert leaving is not None and leaving.record.draining
     table.remove("a", 1.0)
     table.remove("b", 1.0)
     assert table.get("a") is None
     assert set(table.of_service("s")) == {"b"}, "one that said nothing is only doubtful"
-    table.on_reached(9.0)
-    table.expire_doubtful(9.0 + BACK_SECONDS)
+    table.on_store_reached(9.0)
+    table.expire_unverified(9.0 + REREGISTRATION_SECONDS)
     assert not table.of_service("s")
 
 
@@ -271,8 +275,8 @@
     """Lists that still show it change nothing; an entry that was written anew brings it back."""
     table = InstanceTable()
     table.replace_all([engine("a"), engine("b")], 0.0)
-    assert table.end("a")
-    assert not table.end("a")
+    assert table.terminate("a")
+    assert not table.terminate("a")
     table.replace_all([engine("a"), engine("b")], 1.0)
     assert set(table.of_service("s")) == {"b"}
     assert [instance.name for instance in table] == ["b"]
@@ -285,8 +289,8 @@
     """It goes with its entry, also while the store is unstable."""
     table = InstanceTable()
     table.replace_all([engine("a"), engine("b")], 0.0)
-    table.end("a")
-    table.on_unstable()
+    table.terminate("a")
+    table.on_store_failed()
     table.replace_all([], 1.5)
     assert table.get("a") is None
     assert set(table.of_service("s")) == {"b"}
--- a/tests/exchange/test_mechanisms.py
+++ b/tests/exchange/test_mechanisms.py
@@ -32,7 +32,7 @@
     """And nothing else."""
     assert mechanisms_without([]) == ALL_MECHANISMS
     left = mechanisms_without(["store-room", "home-servers"])
-    assert ALL_MECHANISMS - left == {Mechanism.STORE_ROOM, Mechanism.HOME_SERVERS}
+    assert ALL_MECHANISMS - left == {Mechanism.STORE_CAPACITY, Mechanism.HOME_SERVERS}
 
 
 def test_a_name_that_is_none_is_refused_with_those_that_are() -> None:
--- a/tests/exchange/test_server_tombstones.py
+++ b/tests/exchange/test_server_tombstones.py
@@ -5,8 +5,8 @@
 import pytest
 
 from milletcourse.exchange.messages.records import InstanceRecord
-from milletcourse.exchange.servers.server_tombstones import DOUBT_SECONDS
-from milletcourse.exchange.servers.instance_table import BACK_SECONDS, InstanceTable
+from milletcourse.exchange.servers.instance_table import REREGISTRATION_SECONDS, InstanceTable
+from milletcourse.exchange.servers.server_tombstones import VERIFICATION_SECONDS
 
 START = 1_700_000_000_000
 
@@ -29,11 +29,11 @@
     table.replace_all([record("a"), record("b")], 0.0)
     table.on_start_seen("a", told)
     table.remove("a", 1.0)
-    table.on_copy(2.0)
+    table.on_store_restored(2.0)
     table.replace_all([record("a", listed if told else 0), record("b")], 2.0)
     assert known(table) == {"b"}
     table.remove("a", 3.0)
-    table.expire_doubtful(2.0 + DOUBT_SECONDS)
+    table.expire_unverified(2.0 + VERIFICATION_SECONDS)
     assert known(table) == {"b"}
 
 
@@ -43,12 +43,12 @@
     table.replace_all([record("a", START), record("b", START)], 0.0)
     table.remove("a", 1.0)
     table.remove("b", 1.0)
-    table.on_copy(2.0)
+    table.on_store_restored(2.0)
     table.replace_all([record("a", START), record("b", START + 9)], 2.0)
     assert known(table) == {"b"}
-    table.expire_doubtful(1.9 + DOUBT_SECONDS)
+    table.expire_unverified(1.9 + VERIFICATION_SECONDS)
     assert known(table) == {"b"}
-    table.expire_doubtful(2.0 + DOUBT_SECONDS)
+    table.expire_unverified(2.0 + VERIFICATION_SECONDS)
     assert known(table) == {"a", "b"}
 
 
@@ -56,10 +56,10 @@
     """It may have entered after the copy, also when the store wasn't missed for a moment."""
     table = InstanceTable()
     table.replace_all([record("a"), record("b")], 0.0)
-    table.on_copy(2.0)
+    table.on_store_restored(2.0)
     table.replace_all([record("a")], 2.0)
     assert known(table) == {"a", "b"}
-    table.expire_doubtful(2.0 + BACK_SECONDS)
+    table.expire_unverified(2.0 + REREGISTRATION_SECONDS)
     assert known(table) == {"a"}
 
 
--- a/tests/gateway/requests/test_gateway_streams.py
+++ b/tests/gateway/requests/test_gateway_streams.py
@@ -21,7 +21,7 @@
     event,
     serve_whole,
 )
-from milletcourse.exchange.attempts import patience
+from milletcourse.exchange.attempts import silence_timeouts
 from milletcourse.exchange.attempts.silence_timeouts import MIN_SILENCE_SECONDS
 from milletcourse.exchange.messages.messages import AttemptResult, ExchangeRequest
 from milletcourse.gateway.clients.client_connection import ClientConnection
@@ -96,7 +96,7 @@
     lively: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It has a queue; one that answers nobody is left for another one."""
-    monkeypatch.setattr(patience, "LIVE_PATIENCE", 20.0)
+    monkeypatch.setattr(silence_timeouts, "LIVE_SERVER_FACTOR", 20.0)
 
     async def slow_if_asked(
         server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
--- a/tests/gateway/requests/test_stream_handover.py
+++ b/tests/gateway/requests/test_stream_handover.py
@@ -25,9 +25,9 @@
 from milletcourse.exchange.attempts.handover import (
     MAX_OVERLAP_SECONDS,
     Handover,
+    HandoverAction,
+    HandoverSide,
     HandoverState,
-    HandoverStep,
-    Runner,
 )
 
 ALLOWED_OVERLAP_SECONDS = 0.4
@@ -43,7 +43,7 @@
         self.core = Handover()
         self.first_runs = True
         self.successor_runs = False
-        self.passed: list[Runner] = []
+        self.passed: list[HandoverSide] = []
 
     @precondition(lambda self: self.first_runs and not self.successor_runs)
     @rule()
@@ -52,12 +52,12 @@
         self.core.on_offer()
         self.successor_runs = True
 
-    @rule(runner=st.sampled_from(list(Runner)))
-    def piece(self, runner: Runner) -> None:
+    @rule(runner=st.sampled_from(list(HandoverSide)))
+    def piece(self, runner: HandoverSide) -> None:
         """One of them says something, if it still runs."""
-        if not (self.first_runs if runner is Runner.FIRST else self.successor_runs):
+        if not (self.first_runs if runner is HandoverSide.FIRST else self.successor_runs):
             return
-        self.carry_out(self.core.on_piece(runner))
+        self.carry_out(self.core.on_chunk(runner))
         self.passed.append(runner)
         assert self.first_runs != self.successor_runs
 
@@ -65,8 +65,8 @@
     def overlap_over(self) -> None:
         """Neither has said anything; a late timer may tell it when all is decided."""
         both = self.first_runs and self.successor_runs
-        step = self.core.on_overlap_over()
-        assert step is (HandoverStep.END_SUCCESSOR if both else HandoverStep.WAIT)
+        step = self.core.on_overlap_timeout()
+        assert step is (HandoverAction.CANCEL_SUCCESSOR if both else HandoverAction.WAIT)
         self.carry_out(step)
 
     @precondition(lambda self: self.first_runs and self.successor_runs)
@@ -83,11 +83,11 @@
         self.first_runs, self.successor_runs = True, False
         self.core.on_first_end()
 
-    def carry_out(self, step: HandoverStep) -> None:
+    def carry_out(self, step: HandoverAction) -> None:
         """What the gateway does."""
-        if step is HandoverStep.END_FIRST:
+        if step is HandoverAction.CANCEL_FIRST:
             self.first_runs = False
-        elif step is HandoverStep.END_SUCCESSOR:
+        elif step is HandoverAction.CANCEL_SUCCESSOR:
             self.successor_runs = False
 
     @invariant()
--- a/tests/gateway/servers/test_server_limits.py
+++ b/tests/gateway/servers/test_server_limits.py
@@ -41,7 +41,7 @@
     stream_head,
 )
 from milletcourse.cli.main import app
-from milletcourse.exchange.limits.quota_owner import UnitReply
+from milletcourse.exchange.limits.quota_owner import PermitReply
 from milletcourse.experiments.allowance_model import WINDOW_SECONDS, borne_in_window
 from milletcourse.experiments.sliding_window import most_in_window
 from milletcourse.gateway.node import GatewayNode
@@ -172,7 +172,7 @@
         await fleet.start({"s-1": "2"})
         await fleet.load(KNOWN_AFTER_SECONDS)
         key = fleet.instance(fleet.nodes[0], "s-1").key
-        lender = fleet.nodes[0].context.permits.homes.lender(key, 0.0).name
+        lender = fleet.nodes[0].context.permits.homes.select(key, 0.0).name
         gone = next(node for node in fleet.nodes if node.context.settings.name == lender)
         gone.close()
         fleet.nodes.remove(gone)
@@ -384,7 +384,7 @@
         choose = context.selector.choose
 
         def choose_slowly(*arguments: Any) -> Any:
-            context.permits.pauses.on_denied(key, UnitReply(False, 0.0, 0.05), 2.0, context.now())
+            context.permits.pauses.on_denied(key, PermitReply(False, 0.0, 0.05), 2.0, context.now())
             choice = choose(*arguments)
             time.sleep(0.1)
             return choice
@@ -404,9 +404,9 @@
         await fleet.start({"s-1": "2"})
         await fleet.load(KNOWN_AFTER_SECONDS)
         key = fleet.instance(fleet.nodes[0], "s-1").key
-        home = fleet.nodes[0].context.permits.homes.lender(key, 0.0).name
+        home = fleet.nodes[0].context.permits.homes.select(key, 0.0).name
         asker = next(node for node in fleet.nodes if node.context.settings.name != home)
-        asker.context.permits.pauses.end(key)
+        asker.context.permits.pauses.clear(key)
         asker.context.permits.send = lambda name, message: None
         client = await Client.connect(asker.frontend_address)
         result = await client.ask("/safe/", "unheard")
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -20,7 +20,7 @@
     run_state_machine_as_test,
 )
 
-from milletcourse.exchange.limits.permit_retry_delays import AskPauses
+from milletcourse.exchange.limits.permit_retry_delays import PermitRetryDelays
 from milletcourse.exchange.load.load_exchange import LoadExchange
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS
@@ -80,7 +80,7 @@
         self._now = now
         self.table = InstanceTable()
         self.signals = ServerSignals()
-        pauses = AskPauses()
+        pauses = PermitRetryDelays()
         record = Recorder(EventLog(name, None), Figures(), dict, self.now)
         self.watch = SignalWatch(
             self.signals, pauses, self.table, record, lambda: None, lambda _: None
--- a/tests/gateway/store/test_gateway_store.py
+++ b/tests/gateway/store/test_gateway_store.py
@@ -252,7 +252,7 @@
 
         def is_doubtful() -> bool:
             instance = instances.get("app-1")
-            return instance is not None and instance.vanished_at is not None
+            return instance is not None and instance.missing_since is not None
 
         await harness.until(is_doubtful)
         assert (await (await harness.client()).ask("/safe/")).status == 200
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -34,8 +34,8 @@
 )
 from milletcourse.errors import NoEngineAvailable
 from milletcourse.exchange.attempts.planned_stop import (
-    MAX_TAKE_SECONDS,
-    QUIET_SECONDS,
+    IDLE_CLOSE_SECONDS,
+    MAX_ACCEPT_SECONDS,
     ConnectionState,
     PlannedStop,
     StopPhase,
@@ -354,8 +354,8 @@
     if not stop.may_close(connection, now):
         return
     assert connection.is_idle and not connection.unread_bytes
-    assert stop.phase(now) is not StopPhase.LEAVING
-    assert now - connection.idle_since >= QUIET_SECONDS
+    assert stop.phase(now) is not StopPhase.DRAINING
+    assert now - connection.idle_since >= IDLE_CLOSE_SECONDS
 
 
 @given(heard=times, held=times, grace=st.floats(min_value=1.0, max_value=30.0))
@@ -366,7 +366,7 @@
     sent_after = heard - held
     stop = PlannedStop(heard, sent_after, grace)
     assert stop.ends_at < sent_after + grace
-    assert stop.refuses_at <= sent_after + MAX_TAKE_SECONDS
+    assert stop.refuses_at <= sent_after + MAX_ACCEPT_SECONDS
     phases = [stop.phase(heard + step / 10) for step in range(300)]
     order = list(StopPhase)
     assert phases == sorted(phases, key=order.index)
--- a/tests/gateway/test_sleep_machines.py
+++ b/tests/gateway/test_sleep_machines.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from milletcourse.control.lease import LeaseSpec, LeaseTracker
-from milletcourse.exchange.limits.shared_bucket import MAX_STEP_SECONDS, SharedBucket
+from milletcourse.exchange.limits.shared_bucket import MAX_UPDATE_GAP_SECONDS, SharedBucket
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.reading.freshness import ProofOfFreshness
 
@@ -139,7 +139,7 @@
         if level > 0.0:
             machine.bucket.spend(BURST)
             after = machine.bucket.level(machine.now(self.time), 0.0, 1.0)
-            assert after <= level - BURST + RATE * MAX_STEP_SECONDS
+            assert after <= level - BURST + RATE * MAX_UPDATE_GAP_SECONDS
 
     @invariant()
     def at_most_one_holds_the_lease(self) -> None:
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from milletcourse.exchange.attempts.planned_stop import ConnectionState, PlannedStop, StopPhase
-from milletcourse.exchange.limits.quota_owner_selector import AllowanceHomes, ChosenLender
-from milletcourse.exchange.limits.quota_owner import Standing
+from milletcourse.exchange.limits.quota_owner import OwnerRole
+from milletcourse.exchange.limits.quota_owner_selector import QuotaOwnerSelector, SelectedOwner
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.messages import feed_messages
 from milletcourse.exchange.messages.feed_messages import FedKind
@@ -64,7 +64,7 @@
     """A stop closes connections whatever is on them."""
 
     def may_close(stop: PlannedStop, _: ConnectionState, now: float) -> bool:
-        return stop.phase(now) is not StopPhase.LEAVING
+        return stop.phase(now) is not StopPhase.DRAINING
 
     PlannedStop.may_close = may_close  # type: ignore[method-assign]
 
@@ -116,10 +116,10 @@
 def keep_limits_alone() -> None:
     """Each gateway keeps to the limits of servers, and none asks another one."""
 
-    def lender(homes: AllowanceHomes, *_: object) -> ChosenLender:
-        return ChosenLender(homes._own_name, Standing.HOME)
+    def lender(homes: QuotaOwnerSelector, *_: object) -> SelectedOwner:
+        return SelectedOwner(homes._own_name, OwnerRole.HOME)
 
-    AllowanceHomes.lender = lender  # type: ignore[method-assign]
+    QuotaOwnerSelector.select = lender  # type: ignore[method-assign]
 
 
 def ask_resting_servers() -> None:
