--- a/src/milletcourse/exchange/attempts/__init__.py
+++ b/src/milletcourse/exchange/attempts/__init__.py
@@ -1,4 +1,5 @@
-"""What follows an attempt: another one, a hand-over, a refusal; and how long silence is borne.
+"""What follows an attempt: a retry, a hand-over or a refusal; and timeouts of silent servers.
 
-Results come in; steps go out. It may import placement and what is below it.
+Inputs are results of attempts; outputs are next steps. The package may import placement and the
+layers below it.
 """
--- a/src/milletcourse/exchange/attempts/answer_rules.py
+++ b/src/milletcourse/exchange/attempts/answer_rules.py
@@ -1,4 +1,4 @@
-"""What a whole answer of a server means for its request; no input/output."""
+"""Classifies complete answers of servers; no input/output."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 MISDIRECTED = 421
 NEVER_RUN_STATUSES = frozenset({408, 429, 503})
-"""Statuses that promise a client that its request has not run and never will."""
+"""Statuses by which a gateway guarantees a client that its request has not run and never will."""
 
 
 def classify_answer(head: AnswerHead, instance: str, expected_version: int | None) -> AttemptResult:
-    """The result of an attempt that ended with a whole answer.
+    """The result of an attempt that ended with a complete answer.
 
     Args:
         head: Head of the answer.
         instance: Incarnation that the request was sent to.
-        expected_version: Weight version that the request demanded, None if none.
+        expected_version: Weight version that the request required, None if none.
     """
     if head.status == MISDIRECTED:
         if expected_version is None or head.instance not in ("", instance):
@@ -24,7 +24,8 @@
     if head.not_executed:
         return AttemptResult.TURNED_AWAY
     if head.encoded or head.status in NEVER_RUN_STATUSES:
-        # Only a server that says so has not run it: a bare promise can't be passed on.
+        # Without the explicit not-executed marker the server may have run the request, so that the
+        # status can't be forwarded as a guarantee.
         return AttemptResult.LOST
     if not head.successful:
         return AttemptResult.FAILED
--- a/src/milletcourse/exchange/attempts/attempt_plan.py
+++ b/src/milletcourse/exchange/attempts/attempt_plan.py
@@ -1,7 +1,7 @@
-"""Decides, after each attempt of a request, what may be done next; no input/output.
+"""Decides the next step after each attempt of a request; no input/output.
 
-What may run at most once is sent again only when it certainly has not run. What may be repeated is
-sent again within the route's attempts, the retry budget and the time left.
+A request that may run at most once is retried only when it certainly has not run. A repeatable
+request is retried within the route's attempts, the retry budget and the time left.
 """
 
 from __future__ import annotations
@@ -11,26 +11,26 @@
 from milletcourse.exchange.messages.messages import AttemptResult
 
 MIN_USEFUL_SECONDS = 0.02
-"""With less time than this left, another attempt could not answer in time."""
+"""With less time left than this, another attempt could not answer in time."""
 MAX_SENDS = 4
-"""Bound on servers tried for one request, those that turned it away included."""
+"""Maximum number of servers tried for one request, including those that rejected it."""
 _POSSIBLE_RUNS = frozenset({AttemptResult.LOST, AttemptResult.FAILED, AttemptResult.CUT})
 
 
 class NextStep(Enum):
-    """What follows an attempt."""
+    """The step that follows an attempt."""
 
     RETRY = "send-again"
     HANDED_OVER = "handed-over"
-    """Another server has its stream already."""
+    """Another server has already taken the stream over."""
     FIRST_CONTINUES = "first-goes-on"
-    """The server that it was to take a stream over from still has it."""
+    """The server from which the stream was to be taken over continues it."""
     REFUSE = "refuse"
-    """It never ran: refuse, and say when to come back."""
+    """The request never ran: refuse it with a retry time."""
     FORWARD_FAILURE = "pass-failure"
-    """Pass on the server's own failure."""
+    """Forward the server's own failure."""
     ANSWER_LOST = "answer-lost"
-    """It may have run: say so, without a promise."""
+    """The request may have run: report that its outcome is unknown."""
     FINISHED = "finished"
 
 
@@ -46,24 +46,24 @@
 
     @property
     def runs(self) -> int:
-        """Servers that ran it, or may have."""
+        """Number of servers that ran the request or may have."""
         return self.possible_runs + self._answered
 
     def on_send(self) -> None:
-        """A server is about to get the request."""
+        """Count an attempt that is about to be sent."""
         self.sends += 1
 
     def on_result(self, result: AttemptResult) -> None:
-        """The latest attempt ended."""
+        """Record the result of the latest attempt."""
         self.possible_runs += result in _POSSIBLE_RUNS
         self._answered = self._answered or result is AttemptResult.ANSWERED
 
     def may_retry(self, seconds_left: float) -> bool:
-        """Whether another server may get the request, as far as its own attempts tell."""
+        """Whether the attempts so far allow sending the request to another server."""
         return self._may_send(self.possible_runs, seconds_left)
 
     def may_hand_over(self, seconds_left: float) -> bool:
-        """Whether another server may get it beside the running attempt, which counts as a run."""
+        """Whether another server may get it alongside the running attempt, which counts as one."""
         return self._may_send(self.possible_runs + 1, seconds_left)
 
     def _may_send(self, possible_runs: int, seconds_left: float) -> bool:
@@ -74,7 +74,7 @@
         return self._repeatable and possible_runs < self._max_attempts
 
     def final_step(self, result: AttemptResult) -> NextStep:
-        """How the request ends when it is not sent again."""
+        """The step that ends the request when it is not retried."""
         if result is AttemptResult.ANSWERED:
             return NextStep.FINISHED
         if result is AttemptResult.FAILED:
--- a/src/milletcourse/exchange/attempts/handover.py
+++ b/src/milletcourse/exchange/attempts/handover.py
@@ -1,9 +1,10 @@
-"""Which of two servers goes on with a stream that has begun; no input/output.
+"""Hands a started stream over from a silent server to another one; no input/output.
 
-A server that falls silent in the middle of a stream may be dead, or may have given its memory to
-more urgent work and finish later. So the stream is offered to another server while the first one
-still has it, and the first one is ended only when the other has begun to go on. What comes first
-decides: a piece from either ends the other. Without one the first server keeps the stream.
+A server that falls silent in the middle of a stream may have crashed, or may have given its memory
+to more urgent work and finish later. The stream is therefore offered to another server while the
+first one still has it, and the first attempt is cancelled only when the successor has started to
+continue the stream. The first chunk decides: a chunk from either server cancels the other attempt.
+Without any chunk the first server keeps the stream.
 """
 
 from __future__ import annotations
@@ -11,7 +12,8 @@
 from enum import Enum
 
 MAX_OVERLAP_SECONDS = 0.3
-"""Both may work on the stream for so long: 0.4 s are allowed, less the way of a close."""
+"""Time for which both servers may work on the stream: 0.4 s are allowed, minus the time that a
+cancellation takes to reach a server."""
 
 
 class HandoverSide(Enum):
@@ -22,20 +24,20 @@
 
 
 class HandoverState(Enum):
-    """Who has the stream."""
+    """Which servers work on the stream."""
 
     SINGLE = "alone"
-    """One server."""
+    """One server has the stream."""
     OFFERED = "offered"
-    """Another one has been asked to go on, and nothing is decided."""
+    """A successor was asked to continue, and nothing is decided yet."""
     HANDED_OVER = "handed-over"
-    """The other one goes on; the end of the first is about to be seen."""
+    """The successor continues; the first attempt is being cancelled."""
     FINISHED = "over"
-    """Nobody: the request has ended."""
+    """No server: the request has ended."""
 
 
 class HandoverAction(Enum):
-    """What is to be done."""
+    """Action that the caller must take."""
 
     WAIT = "wait"
     CANCEL_FIRST = "end-first"
@@ -43,10 +45,10 @@
 
 
 class Handover:
-    """One running answer, and at most one offer to go on with it.
+    """One running answer, and at most one offer to continue it.
 
     Attributes:
-        state: Who has the stream.
+        state: Which servers work on the stream.
     """
 
     def __init__(self) -> None:
@@ -54,16 +56,16 @@
 
     @property
     def may_offer(self) -> bool:
-        """Whether another server may be asked."""
+        """Whether a successor may be asked."""
         return self.state is HandoverState.SINGLE
 
     def on_offer(self) -> None:
-        """Another server is asked."""
-        assert self.may_offer, "one successor at a time, and only while the request lasts"
+        """Record that a successor is asked."""
+        assert self.may_offer, "only one successor at a time, and only while the request runs"
         self.state = HandoverState.OFFERED
 
     def on_chunk(self, runner: HandoverSide) -> HandoverAction:
-        """A whole piece of the stream has come."""
+        """Record a complete chunk of the stream; the first one after an offer decides."""
         if self.state is not HandoverState.OFFERED:
             return HandoverAction.WAIT
         if runner is HandoverSide.FIRST:
@@ -73,17 +75,17 @@
         return HandoverAction.CANCEL_FIRST
 
     def on_overlap_timeout(self) -> HandoverAction:
-        """Both have had the stream for as long as they may, and neither has said anything."""
+        """Cancel the successor when the overlap time ends without a chunk from either server."""
         if self.state is not HandoverState.OFFERED:
             return HandoverAction.WAIT
         self.state = HandoverState.SINGLE
         return HandoverAction.CANCEL_SUCCESSOR
 
     def on_successor_end(self) -> bool:
-        """The other server's attempt ended.
+        """Record the end of the successor's attempt.
 
         Returns:
-            Whether nothing had been decided, so that the next server may be asked.
+            Whether nothing was decided yet, so that another successor may be asked.
         """
         if self.state is not HandoverState.OFFERED:
             return False
@@ -91,10 +93,10 @@
         return True
 
     def on_first_end(self) -> None:
-        """The attempt at the first server ended: whoever was asked is the first one now."""
+        """Record the end of the first attempt: a successor that was asked is the first one now."""
         if self.state is not HandoverState.FINISHED:
             self.state = HandoverState.SINGLE
 
     def on_request_end(self) -> None:
-        """The request has its answer, or none."""
+        """Record the end of the request, with or without an answer."""
         self.state = HandoverState.FINISHED
--- a/src/milletcourse/exchange/attempts/planned_stop.py
+++ b/src/milletcourse/exchange/attempts/planned_stop.py
@@ -1,7 +1,8 @@
-"""Steps of a planned stop, and which connections it may close: a core without input and output.
+"""Phases of a planned stop, and which connections it may close; no input/output.
 
-A stop goes by the clock and not by timers, which a starved event loop runs late. It closes only
-what is certain to hold nothing: what the process has read doesn't tell what reached the machine.
+Phases follow the monotonic clock and not timers, which a starved event loop runs late. A stop
+closes a connection only when it certainly carries no request: what the process has read doesn't
+show what the kernel has received.
 """
 
 from __future__ import annotations
@@ -11,39 +12,42 @@
 import msgspec
 
 DEREGISTRATION_SECONDS = 2.6
-"""After a stop signal: the entry asks each second and takes a node out after two misses."""
+"""Time from the stop signal until the load balancer sends no more requests: it checks readiness
+each second and removes a node after two failed checks."""
 MAX_ACCEPT_SECONDS = 2.9
-"""After a stop signal, however late it is heard: a request taken later might not end in time."""
+"""New requests are accepted at most this long after a stop signal, however late the process notices
+it: a request accepted later might not end in time."""
 MAX_DRAIN_FRACTION = 0.4
-"""Of a short grace time, so that what was taken can end."""
+"""Upper bound of the draining phase as a fraction of a short grace time, so that accepted requests
+can end."""
 GRACE_MARGIN_SECONDS = 0.5
-"""All work has ended this long before the kill."""
+"""All work ends this long before the process is killed."""
 IDLE_CLOSE_SECONDS = 1.0
-"""A connection closes this long after it came up or gave its last answer. A first request follows
-sooner, also when a packet is lost, which is sent again after 0.2 s; and an answer that began before
-the stop didn't say that it is the last one. Of 30,000 simulated requests beside 168 stops, 6 met a
-close on their way (13 when connections were closed at once); waiting for all clients until the end
-left 5, at 1,176 refusals (149)."""
+"""A connection is closed this long after it was established or finished its last answer. A first
+request arrives sooner, even when a packet is lost, which is retransmitted after 0.2 s; and an
+answer that started before the stop didn't announce the close. Of 30,000 simulated requests during
+168 stops, 6 met a closing connection, against 13 when idle connections were closed at once. Waiting
+for all clients until the end left 5, but refused 1,176 requests instead of 149."""
 
 
 class StopPhase(Enum):
-    """How far a planned stop has come."""
+    """Phase of a planned stop."""
 
     DRAINING = "leaving"
-    """Not ready; all that comes is served, and answers ask clients to leave."""
+    """The node is not ready; new requests are served, and answers ask clients to disconnect."""
     REFUSING = "refusing"
-    """What comes is refused; connections close when nothing is left on them."""
+    """New requests are refused; connections are closed when they are idle."""
     EXPIRED = "over"
-    """What is unfinished is cut."""
+    """Unfinished requests are aborted."""
 
 
 class ConnectionState(msgspec.Struct, frozen=True):
-    """What a stop goes by when it looks at a connection.
+    """State of a connection on which a stop decides whether to close it.
 
     Attributes:
-        idle_since: Monotonic time of its latest answer's end; when it came up, before any.
-        is_idle: No request is being read or served, and no answer is on its way out.
-        unread_bytes: Bytes that have arrived and aren't read yet.
+        idle_since: Monotonic time at which its latest answer ended, or at which it was established.
+        is_idle: No request is being read or served, and no answer is being written.
+        unread_bytes: Bytes that the kernel has received and the process hasn't read yet.
     """
 
     idle_since: float
@@ -56,30 +60,31 @@
 
     Attributes:
         refuses_at: Monotonic time from which new requests are refused.
-        ends_at: Monotonic time at which what is unfinished is cut.
+        ends_at: Monotonic time at which unfinished requests are aborted.
     """
 
     def __init__(self, received_at: float, sent_after: float, grace_seconds: float) -> None:
-        """A stop whose signal was heard at a monotonic time.
+        """Start a stop.
 
         Args:
-            heard_at: The process noticed the signal.
-            sent_after: The latest moment at which it would have noticed one: an event loop that was
-                held hears of it late, and the kill is counted from the signal.
-            grace_seconds: From the signal to the kill.
+            received_at: Monotonic time at which the process noticed the signal.
+            sent_after: Latest monotonic time at which the process would have noticed an earlier
+                signal: a blocked event loop notices it late, and the grace time counts from the
+                signal.
+            grace_seconds: Time from the signal until the process is killed.
         """
         leave_seconds = min(DEREGISTRATION_SECONDS, grace_seconds * MAX_DRAIN_FRACTION)
         self.refuses_at = min(received_at + leave_seconds, sent_after + MAX_ACCEPT_SECONDS)
         self.ends_at = sent_after + grace_seconds - GRACE_MARGIN_SECONDS
 
     def phase(self, now: float) -> StopPhase:
-        """How far it has come."""
+        """The phase at a monotonic time."""
         if now >= self.ends_at:
             return StopPhase.EXPIRED
         return StopPhase.REFUSING if now >= self.refuses_at else StopPhase.DRAINING
 
     def may_close(self, connection: ConnectionState, now: float) -> bool:
-        """Whether a connection holds no request, also none that hasn't been read yet."""
+        """Whether a connection carries no request, not even one that hasn't been read yet."""
         if self.phase(now) is StopPhase.DRAINING:
             return False
         if not connection.is_idle or connection.unread_bytes:
--- a/src/milletcourse/exchange/attempts/silence_timeouts.py
+++ b/src/milletcourse/exchange/attempts/silence_timeouts.py
@@ -1,18 +1,18 @@
-"""How long a silent server is waited for; no input/output."""
+"""Timeouts of silent servers; no input/output."""
 
 from __future__ import annotations
 
 from milletcourse.exchange.messages.records import RouteRecord
 
 FIRST_EVENT_TARGET_FACTOR = 2.5
-"""A repeatable request leaves a server that is silent for this many target latencies."""
+"""Timeout of a repeatable request's first event, as a multiple of the route's target latency."""
 MIN_SILENCE_SECONDS = 1.0
-"""A shorter silence tells nothing about a server."""
+"""Lower bound of the timeouts: a shorter silence is no sign of a fault."""
 LIVE_SERVER_FACTOR = 1.4
-"""A server that answers others is given this much longer: it has a queue, or reads prompts, and a
-request that is sent again elsewhere is read again, which makes an overload worse."""
+"""Factor on the timeout of a server that answers other requests: it has a queue or processes
+prompts, and a retry elsewhere processes the prompt again, which makes an overload worse."""
 EVENT_GAP_FACTOR = 2.0
-"""A resumable stream leaves a server that is silent for this many allowed gaps."""
+"""Timeout between events of a resumable stream, as a multiple of the route's allowed gap."""
 
 
 def first_event_timeout(route: RouteRecord) -> float:
@@ -21,7 +21,7 @@
 
 
 def event_gap_timeout(route: RouteRecord) -> float:
-    """Longest silence between events; a stream that can't go on elsewhere is waited for."""
+    """Longest silence between events; unlimited when no other server can continue the stream."""
     if not route.repeatable:
         return float("inf")
     return max(route.gap_seconds * EVENT_GAP_FACTOR, MIN_SILENCE_SECONDS)
@@ -30,10 +30,10 @@
 def extra_silence_seconds(
     usual_seconds: float, silent_seconds: float, answers_others: bool
 ) -> float:
-    """How much longer a server is waited for that was silent for as long as usual.
+    """Further time to wait for a server that has reached its usual timeout.
 
     Args:
-        usual_seconds: Silence after which a server is left.
+        usual_seconds: Silence after which a server usually times out.
         silent_seconds: How long it has been silent.
         answers_others: Whether it lately answered other requests.
     """
--- a/src/milletcourse/exchange/limits/__init__.py
+++ b/src/milletcourse/exchange/limits/__init__.py
@@ -1,5 +1,5 @@
-"""Bounds that all gateways keep together: tenants' limits, and units of servers' limits.
+"""Limits that all gateways enforce together: tenant limits, and quotas of servers.
 
-Requests and what others use come in; permits, refusals and times go out. It may import load and
-what is below it.
+Inputs are requests and the use reported by other gateways; outputs are permits, refusals and retry
+times. The package may import load and the layers below it.
 """
--- a/src/milletcourse/exchange/limits/backoff_retry.py
+++ b/src/milletcourse/exchange/limits/backoff_retry.py
@@ -1,25 +1,28 @@
-"""When callers that are refused while all servers rest may come back; no input/output."""
+"""When callers that are refused while all servers back off may retry; no input/output."""
 
 from __future__ import annotations
 
 MAX_SPREAD_SECONDS = 5.0
-"""Returns are spread over no longer than this: few callers wait longer."""
+"""Retries are spread over at most this time: few callers wait longer."""
 RANKS = 10
 """Ranks of requests, 0 for the most urgent."""
 
 
-def backoff_retry_seconds(left: float, rest: float, rank: int, drawn: float) -> float:
-    """Seconds after which a refused caller may come back.
+def backoff_retry_seconds(
+    seconds_left: float, backoff_seconds: float, rank: int, random_fraction: float
+) -> float:
+    """Seconds after which a refused caller may retry.
 
-    Who was refused in a rest comes back over as long a time as the rest took, so that servers get
-    at most twice their usual requests then and not all at once; the more urgent in its first part.
+    Callers refused during a back-off retry over a time as long as the back-off, so that servers
+    then get at most twice their usual request rate instead of all retries at once. More urgent
+    callers retry in the first part of it.
 
     Args:
-        left: Seconds until the first server has had its rest.
-        rest: Seconds that this rest takes as a whole.
+        seconds_left: Seconds until the first server ends its back-off.
+        backoff_seconds: Whole length of this back-off.
         rank: Rank of the request, 0 for the most urgent.
-        drawn: A random number from 0 to 1.
+        random_fraction: A random number from 0 to 1.
     """
-    spread = min(rest, MAX_SPREAD_SECONDS)
+    spread = min(backoff_seconds, MAX_SPREAD_SECONDS)
     turn = min(rank, RANKS - 1) / RANKS
-    return left + spread * (turn + drawn) / 2.0
+    return seconds_left + spread * (turn + random_fraction) / 2.0
--- a/src/milletcourse/exchange/limits/peer_usage.py
+++ b/src/milletcourse/exchange/limits/peer_usage.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of how a tenant's limit is used by all gateways; no input/output."""
+"""What a gateway knows of the use of a tenant's limit by all gateways; no input/output."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
     """Use of one limit by the other gateways.
 
     Attributes:
-        others_per_second: What they spend in a second, as they told it.
-        part: Part of the limit that this use and the own one come out of.
+        others_per_second: Units that they use each second, as they reported it.
+        limit_share: Fraction of the limit that this use and the own use are counted against.
     """
 
     others_per_second: float
-    part: float
+    limit_share: float
 
 
 class UsageSource(Protocol):
-    """A way for gateways to share limits."""
+    """A strategy by which gateways share limits."""
 
     def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
         """Use of one tenant's limit.
 
         Args:
             key: The tenant's identity in messages.
-            own_per_second: What this gateway spends.
+            own_per_second: Units that this gateway uses each second.
             now: Monotonic time.
         """
         ...
 
 
 class SummedPeerUsage:
-    """The sum of what all gateways tell.
+    """The sum of the use that all gateways report.
 
-    A group of gateways that doesn't hear the others uses its own part of a limit only, so that
-    groups which can't hear each other don't each use the whole.
+    A partition of gateways that doesn't receive the reports of the others counts against its own
+    share of a limit only, so that partitions don't each use the whole limit.
     """
 
     def __init__(self, loads: LoadExchange, gateways: Callable[[], int]) -> None:
-        """Use as load messages tell it.
+        """Use as reported in load messages.
 
         Args:
-            loads: What the others tell.
-            gateways: Tells how many gateways there are, whether they are heard or not.
+            loads: Reports of the other gateways.
+            gateways: Returns the number of gateways, whether they are reachable or not.
         """
         self._loads = loads
         self._gateways = gateways
 
     def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
         """See `UsageSource`."""
-        part = min(self._loads.heard_gateways(now) / self._gateways(), 1.0)
-        return PeerUsage(self._loads.others_use(key, now), part)
+        limit_share = min(self._loads.heard_gateways(now) / self._gateways(), 1.0)
+        return PeerUsage(self._loads.others_use(key, now), limit_share)
--- a/src/milletcourse/exchange/limits/permit_retry_delays.py
+++ b/src/milletcourse/exchange/limits/permit_retry_delays.py
@@ -1,4 +1,4 @@
-"""When a gateway may ask for a unit of an allowance again, and what callers are told; no I/O."""
+"""When a gateway may request a permit again, and when refused callers may retry; no I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from milletcourse.exchange.limits.quota_owner import PermitReply
 
 MAX_RETRY_AFTER_SECONDS = 5.0
-"""Longest time after which a refused caller is told to come back: few wait longer."""
+"""Longest retry time that a refused caller is given: few wait longer."""
 
 
 class _Delay(msgspec.Struct):
@@ -20,18 +20,18 @@
 
 
 class PermitRetryDelays:
-    """Allowances of which this gateway was denied a unit lately."""
+    """Server quotas of which this gateway was denied a permit lately."""
 
     def __init__(self) -> None:
         self._delays: dict[int, _Delay] = {}
 
     def on_denied(self, key: int, reply: PermitReply, per_second: float, now: float) -> None:
-        """A lender has no unit.
+        """Record that a quota owner denied a permit.
 
         Args:
-            key: Identity of the allowance.
-            reply: What it said.
-            per_second: Units a second, for all gateways together.
+            key: Identity of the quota.
+            reply: Reply of the owner.
+            per_second: Permits per second, for all gateways together.
             now: Monotonic time.
         """
         known = self._delays.get(key)
@@ -44,42 +44,42 @@
         )
 
     def is_delayed(self, key: int, now: float) -> bool:
-        """Whether asking would be in vain."""
-        pause = self._delays.get(key)
-        return pause is not None and now < pause.until
+        """Whether a request for a permit would be denied."""
+        delay = self._delays.get(key)
+        return delay is not None and now < delay.until
 
     def delayed(self, now: float) -> Collection[int]:
-        """Allowances for which asking would be in vain; mostly none, which costs nothing."""
+        """Quotas whose permits can't be requested yet; usually none, which costs nothing."""
         if not self._delays:
             return ()
         return {key for key in self._delays if self.is_delayed(key, now)}
 
     def clear(self, key: int) -> None:
-        """The allowance has changed, or is none any more."""
+        """Drop the delay of a quota that has changed or ended."""
         self._delays.pop(key, None)
 
     def expire(self, now: float) -> None:
-        """Forget pauses that are over, and what was promised in them."""
-        over = [
-            key for key, pause in self._delays.items() if now >= max(pause.until, pause.retry_at)
+        """Drop delays that are over, once the retry times given during them have passed too."""
+        expired = [
+            key for key, delay in self._delays.items() if now >= max(delay.until, delay.retry_at)
         ]
-        for key in over:
+        for key in expired:
             del self._delays[key]
 
     def retry_after_seconds(self, keys: Iterable[int], now: float) -> float | None:
-        """Seconds after which a refused caller may be served; None when none of them is paused.
+        """Seconds after which a refused caller may be served; None when no quota is delayed.
 
-        Callers that are refused one after the other are told to come back one after the other, as
-        this gateway's part of the units comes in.
+        Callers that are refused in sequence get retry times in the same sequence, at the rate at
+        which this gateway gets its share of the permits.
 
         Args:
-            keys: Allowances from which a unit would have served the caller.
+            keys: Quotas of which a permit would have served the caller.
             now: Monotonic time.
         """
-        paused = [self._delays[key] for key in keys if self.is_delayed(key, now)]
-        if not paused:
+        delayed = [self._delays[key] for key in keys if self.is_delayed(key, now)]
+        if not delayed:
             return None
-        first = min(paused, key=lambda pause: pause.retry_at)
+        first = min(delayed, key=lambda delay: delay.retry_at)
         retry_at = max(first.retry_at, first.permit_at, now)
         seconds = min(retry_at - now, MAX_RETRY_AFTER_SECONDS)
         first.retry_at = min(retry_at + first.interval_seconds, now + MAX_RETRY_AFTER_SECONDS)
--- a/src/milletcourse/exchange/limits/quota_owner.py
+++ b/src/milletcourse/exchange/limits/quota_owner.py
@@ -1,10 +1,10 @@
-"""Lends units of an allowance that all gateways spend together; no input/output.
+"""Grants permits out of a server quota that all gateways share; no input/output.
 
-Each allowance has one lender among the gateways, its home, which alone keeps its bucket and lends
-one unit for one request when it is asked. What is spent then doesn't depend on how many gateways
-there are, how unevenly they need it, or how late they hear of each other. When the home is silent a
-deputy lends half as much, so that gateways which can't all reach the same lender stay within one
-and a half times the allowance.
+Each server quota has one owner among the gateways, its home, which alone keeps the token bucket and
+grants one permit for one request on demand. Total use is therefore independent of the number of
+gateways, of how unevenly demand is spread over them, and of the delay of messages between them.
+While the home is silent a deputy grants half as much, so that gateways which can't all reach the
+same owner stay within one and a half times the quota.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 import msgspec
 
 BURST_PERMITS = 4.0
-"""Units that are saved up: with fewer, units are lost while no request needs one."""
+"""Capacity of the bucket: with less, permits are lost while no request needs one."""
 DEPUTY_BURST_PERMITS = 1.0
 DEPUTY_FRACTION = 0.5
 ACTIVE_REQUESTER_SECONDS = 2.0
-"""A gateway that asked so long ago still counts as one that needs units."""
+"""A gateway counts as a requester for this long after its latest request for a permit."""
 REQUESTS_PER_PERMIT = 3.0
-"""Denied gateways spread their next asks so that so many come for each unit: enough that a unit
-finds somebody, few enough that a lender before hundreds of gateways answers little."""
+"""Denied gateways spread their next requests so that this many arrive for each permit: enough that
+a permit doesn't stay unused, few enough that the owner for hundreds of gateways has little load."""
 MAX_SPREAD_SECONDS = 2.0
 URGENT_SECONDS = 1.0
-"""A more urgent ask that was denied has first call on the next units for this long."""
+"""A denied request of a more urgent rank has priority for the next permits for this long."""
 RESERVED_PERMITS = 1.0
-"""Units that are kept for it."""
+"""Permits that are reserved for it."""
 MAX_URGENT_IN_A_ROW = 4
-"""After so many units for the more urgent, a less urgent ask is treated alike: it is served less,
-not never."""
+"""After this many permits in a row for the more urgent rank, a less urgent request is treated
+alike, so that it is served less often but not starved."""
 IDLE_SECONDS = 60.0
-"""An account that nobody asks is dropped."""
+"""An account without requests for this long is dropped."""
 MAX_ACCOUNTS = 4096
 
 
 class OwnerRole(Enum):
-    """As what a gateway lends: units that are saved up, and its part of the allowance."""
+    """Role in which a gateway grants permits; it sets the burst and the share of the quota."""
 
     HOME = "home"
     DEPUTY = "deputy"
     LOCAL_SHARE = "alone"
-    """No lender answers this gateway: it spends its own part of the allowance."""
+    """No owner replies to this gateway: it uses its own share of the quota."""
 
 
 class PermitReply(msgspec.Struct, frozen=True):
-    """Reply to an ask.
+    """Reply to a request for a permit.
 
     Attributes:
-        granted: The unit may be spent now.
-        unit_seconds: Time until there may be one for the asker.
-        pause_seconds: Time after which it may ask again.
-        askers: Gateways that asked lately.
+        granted: The permit may be used now.
+        permit_seconds: Time until there may be a permit for the requester.
+        retry_seconds: Time after which it may request one again.
+        requesters: Number of gateways that requested permits lately.
     """
 
     granted: bool
@@ -65,7 +65,7 @@
 
 
 class _Account:
-    """Bucket of one allowance; it starts empty, so that restarts save nothing up."""
+    """Token bucket of one quota; it starts empty, so that a restart doesn't allow a burst."""
 
     def __init__(self, now: float) -> None:
         self.level = 0.0
@@ -88,8 +88,8 @@
         while now - next(iter(self.requesters.values())) > ACTIVE_REQUESTER_SECONDS:
             del self.requesters[next(iter(self.requesters))]
 
-    def needed(self, rank: int, now: float) -> float:
-        """Level at which a request of this rank gets a unit."""
+    def required_level(self, rank: int, now: float) -> float:
+        """Bucket level from which a request of this rank gets a permit."""
         if now >= self.urgent_until or rank <= self.urgent_rank:
             return 1.0
         return 1.0 if self.urgent_in_a_row >= MAX_URGENT_IN_A_ROW else 1.0 + RESERVED_PERMITS
@@ -105,13 +105,13 @@
 
 
 class QuotaOwner:
-    """The allowances that one gateway lends."""
+    """The server quotas that one gateway owns."""
 
     def __init__(self, random_source: random.Random) -> None:
-        """No account yet.
+        """Start without any account.
 
         Args:
-            random_source: Spreads the next asks of those that were denied.
+            random_source: Spreads the next requests of gateways that were denied a permit.
         """
         self._random = random_source
         self._accounts: dict[tuple[int, OwnerRole], _Account] = {}
@@ -126,14 +126,14 @@
         rank: int,
         now: float,
     ) -> PermitReply:
-        """Lend a unit, or say when to ask again.
+        """Grant a permit, or reply when to request one again.
 
         Args:
-            key: Identity of the allowance.
-            per_second: Units a second, for all gateways together; above 0.
-            standing: As what this gateway lends.
-            members: How many gateways there are.
-            asker: Name of the gateway that asks.
+            key: Identity of the quota.
+            per_second: Permits per second, for all gateways together; above 0.
+            role: Role in which this gateway grants permits.
+            members: Number of gateways.
+            requester: Name of the gateway that requests the permit.
             rank: Rank of its request, 0 for the most urgent.
             now: Monotonic time.
         """
@@ -141,12 +141,12 @@
         income = per_second * _share(role, members)
         account.fill(income, _burst(role), now)
         account.note_requester(requester, now)
-        needed = account.needed(rank, now)
-        if account.level >= needed:
+        required_level = account.required_level(rank, now)
+        if account.level >= required_level:
             account.spend(rank)
             return GRANTED
         account.note_denied(rank, now)
-        permit_seconds = (needed - account.level) / income
+        permit_seconds = (required_level - account.level) / income
         requesters = len(account.requesters)
         spread = min(requesters / (REQUESTS_PER_PERMIT * income), MAX_SPREAD_SECONDS)
         retry_seconds = permit_seconds + self._random.random() * spread
@@ -161,10 +161,10 @@
         return account
 
     def drop_idle(self, now: float) -> None:
-        """Forget accounts that nobody asks any more; the longest unused ones if there are many."""
+        """Drop accounts without recent requests; the longest unused ones if there are many."""
         kept = {
-            place: account
-            for place, account in self._accounts.items()
+            account_key: account
+            for account_key, account in self._accounts.items()
             if now - account.requested_at < IDLE_SECONDS
         }
         if len(kept) >= MAX_ACCOUNTS:
--- a/src/milletcourse/exchange/limits/quota_owner_selector.py
+++ b/src/milletcourse/exchange/limits/quota_owner_selector.py
@@ -1,6 +1,7 @@
-"""Which gateway lends an allowance: its home, or a deputy while that is silent; no input/output.
+"""Which gateway owns a server quota: its home, or a deputy while that is silent; no input/output.
 
-Homes are found by rendezvous hashing over the list of gateways, so that all agree without talking.
+Owners are found by rendezvous hashing over the list of gateways, so that all gateways agree without
+exchanging messages.
 """
 
 from __future__ import annotations
@@ -13,19 +14,19 @@
 from milletcourse.exchange.limits.quota_owner import OwnerRole
 
 OWNERS_PER_QUOTA = 2
-"""The home and its deputy."""
+"""The home gateway of a quota and its deputy."""
 FIRST_SKIP_SECONDS = 1.0
-"""A lender that didn't reply is passed over this long."""
+"""An owner that didn't reply is skipped for this long."""
 MAX_SKIP_SECONDS = 8.0
-"""And longer each time, since the request that tries it again waits for nothing."""
+"""The skip time doubles up to this, since a request that tries a silent owner waits in vain."""
 
 
 class SelectedOwner(msgspec.Struct, frozen=True):
-    """Who is asked for a unit.
+    """The gateway that is asked for a permit.
 
     Attributes:
         name: Name of the gateway, which may be this one.
-        standing: As what it lends.
+        role: Role in which it grants permits.
     """
 
     name: str
@@ -38,10 +39,10 @@
 
 
 class QuotaOwnerSelector:
-    """Lenders of all allowances, as one gateway sees them."""
+    """Owners of all server quotas, as seen by one gateway."""
 
     def __init__(self, own_name: str) -> None:
-        """Alone as long as no other gateway is known.
+        """Select this gateway's local share as long as no other gateway is known.
 
         Args:
             own_name: Name of this gateway.
@@ -52,16 +53,16 @@
         self._skipped: dict[str, _Skip] = {}
 
     def set_peers(self, others: list[str]) -> None:
-        """Take the list of the other gateways."""
+        """Replace the list of the other gateways."""
         self._members = [self._own_name, *others]
         self._owners.clear()
         self._skipped = {name: kept for name, kept in self._skipped.items() if name in others}
 
     def select(self, key: int, now: float) -> SelectedOwner:
-        """Who is to be asked.
+        """The gateway to ask for a permit.
 
         Args:
-            key: Identity of the allowance.
+            key: Identity of the quota.
             now: Monotonic time.
         """
         for number, name in enumerate(self._owners_of(key)):
@@ -71,17 +72,17 @@
         return SelectedOwner(self._own_name, OwnerRole.LOCAL_SHARE)
 
     def own_role(self, key: int) -> OwnerRole:
-        """As what this gateway lends to others that ask it."""
-        homes = self._owners_of(key)
-        is_owner = bool(homes) and homes[0] == self._own_name
-        return OwnerRole.HOME if is_owner else OwnerRole.DEPUTY
+        """Role in which this gateway grants permits that others request from it."""
+        owners = self._owners_of(key)
+        is_home = bool(owners) and owners[0] == self._own_name
+        return OwnerRole.HOME if is_home else OwnerRole.DEPUTY
 
     def on_reply(self, name: str) -> None:
-        """A lender replied."""
+        """Stop skipping an owner that replied."""
         self._skipped.pop(name, None)
 
     def on_no_reply(self, name: str, now: float) -> None:
-        """A lender didn't reply in time."""
+        """Skip an owner that didn't reply in time."""
         known = self._skipped.get(name)
         seconds = FIRST_SKIP_SECONDS
         if known is not None:
@@ -89,12 +90,12 @@
         self._skipped[name] = _Skip(now + seconds, seconds)
 
     def _owners_of(self, key: int) -> list[str]:
-        homes = self._owners.get(key)
-        if homes is None:
-            homes = self._owners[key] = nlargest(
+        owners = self._owners.get(key)
+        if owners is None:
+            owners = self._owners[key] = nlargest(
                 OWNERS_PER_QUOTA, self._members, lambda name: _weight(key, name)
             )
-        return homes
+        return owners
 
 
 def _weight(key: int, name: str) -> tuple[int, str]:
--- a/src/milletcourse/exchange/limits/tenant_limits.py
+++ b/src/milletcourse/exchange/limits/tenant_limits.py
@@ -1,6 +1,6 @@
-"""Keeps tenants within their limits, over all gateways together; no input/output.
+"""Enforces tenant limits over all gateways together; no input/output.
 
-What is beyond a limit is refused at once. A tenant without a limit has no account here, and costs
+Requests beyond a limit are refused at once. A tenant without a limit has no account here, and costs
 neither memory nor messages.
 """
 
@@ -23,25 +23,25 @@
 )
 
 MAX_WAIT_SECONDS = 5.0
-"""Longest time after which a refused client is told to come back: few wait longer for an answer."""
+"""Longest retry time that a refused client is given: few wait longer for an answer."""
 OVERAGE_FRACTION = 0.6
 SLACK_FRACTION = 0.8
-"""Parts of the tolerance that are granted, since a refusal within it is lost to the caller. What is
-left is for what gateways spend before the others hear of it."""
+"""Fractions of the tolerance that are granted, since a refusal within the tolerance is needless.
+The remainder covers use that is not yet reported to the other gateways."""
 REPORT_INTERVAL_SECONDS = 1.0
-"""The refusals of a tenant are told to operators once in this time."""
+"""Refusals of a tenant are reported to operators at most once in this time."""
 
 
 class LimitState(msgspec.Struct, frozen=True):
-    """What a gateway knows of a tenant at its limit, for operators.
+    """State of a tenant's limit at one gateway, for operators.
 
     Attributes:
-        tenant: Its name.
-        per_second: Its limit in units a second.
-        used_per_second: What all gateways spend, as far as it is known here.
-        own_per_second: This gateway's part of it.
-        known_part: Part of all gateways whose spending is known here.
-        refused: Requests refused here since the state before.
+        tenant: Name of the tenant.
+        per_second: Its limit in units per second.
+        used_per_second: Use by all gateways, as far as it is known here.
+        own_per_second: Use by this gateway, part of the above.
+        known_part: Fraction of all gateways whose use is known here.
+        refused: Requests refused here since the previous report.
     """
 
     tenant: str
@@ -67,19 +67,19 @@
 class TenantLimits:
     """Accounts of all tenants with a limit, at one gateway."""
 
-    def __init__(self, knowledge: UsageSource, tolerance: LimitTolerance) -> None:
-        """No account yet.
+    def __init__(self, usage_source: UsageSource, tolerance: LimitTolerance) -> None:
+        """Start without any account.
 
         Args:
-            knowledge: What is known of the others' use.
+            usage_source: Source of the other gateways' use.
             tolerance: How far all gateways together may go beyond a limit.
         """
-        self._knowledge = knowledge
+        self._usage_source = usage_source
         self._tolerance = tolerance
         self._accounts: dict[str, TenantAccount] = {}
 
     def configure(self, tenants: Iterable[TenantRecord], now: float) -> None:
-        """Take the limits of a configuration into force; what is spent stays spent."""
+        """Apply the limits of a configuration; use so far still counts."""
         kept = self._accounts
         self._accounts = {}
         for tenant in tenants:
@@ -94,7 +94,7 @@
             self._accounts[tenant.name] = account
 
     def set_tolerance(self, tolerance: LimitTolerance) -> None:
-        """Change how far limits may be exceeded, from the next configuration on."""
+        """Set how far limits may be exceeded, from the next configuration on."""
         self._tolerance = tolerance
 
     def names(self) -> list[str]:
@@ -102,58 +102,58 @@
         return list(self._accounts)
 
     def try_spend(self, tenant: TenantRecord, request: ExchangeRequest, now: float) -> float | None:
-        """Take what a request uses out of its tenant's bucket.
+        """Spend the units of a request out of its tenant's bucket.
 
-        The last request may use more than is left, so that large ones are not refused for ever.
+        A request may use more units than are left, so that large ones are not refused for ever.
 
         Args:
-            tenant: Who asks.
+            tenant: Tenant of the request.
             request: The request.
             now: Monotonic time.
 
         Returns:
-            None when it is within the limit, else the seconds after which to come back.
+            None when the request is within the limit, else the seconds after which to retry.
         """
         account = self._accounts.get(tenant.name)
         if account is None or tenant.limit is None:
             return None
         units = request_units(tenant.limit, request)
-        known = self._known_use(account, now)
-        level = account.bucket.level(now, known.others_per_second, known.part)
+        usage = self._peer_usage(account, now)
+        level = account.bucket.level(now, usage.others_per_second, usage.limit_share)
         if level >= 0.0:
             account.bucket.spend(units)
             account.use.add(units, now)
             return None
         account.refused += 1
-        return self._retry_after(account, units, -level, known, now)
+        return self._retry_after(account, units, -level, usage, now)
 
-    def _known_use(self, account: TenantAccount, now: float) -> PeerUsage:
-        return self._knowledge.peer_usage(account.key, account.use.per_second(now), now)
+    def _peer_usage(self, account: TenantAccount, now: float) -> PeerUsage:
+        return self._usage_source.peer_usage(account.key, account.use.per_second(now), now)
 
     def _retry_after(
         self,
         account: TenantAccount,
         units: float,
         debt: float,
-        known: PeerUsage,
+        usage: PeerUsage,
         now: float,
     ) -> float:
-        """When there will be room for a refused request, behind those refused before it here."""
-        income = account.bucket.per_second * known.part
+        """Seconds until a refused request fits, after those that were refused here before it."""
+        income = account.bucket.per_second * usage.limit_share
         own = account.use.per_second(now)
-        all_spend = own + max(known.others_per_second, 0.0)
-        own_income = income * own / all_spend if own > 0.0 else income
+        total_use = own + max(usage.others_per_second, 0.0)
+        own_income = income * own / total_use if own > 0.0 else income
         first = max(now + debt / income, account.retry_at)
         account.retry_at = min(first + units / own_income, now + MAX_WAIT_SECONDS)
         return min(first - now, MAX_WAIT_SECONDS)
 
     def settle(self, tenant: TenantRecord, request: ExchangeRequest, runs: int, now: float) -> None:
-        """A request that was taken has ended.
+        """Correct the spent units of an admitted request that has ended.
 
         Args:
-            tenant: Who asked.
+            tenant: Tenant of the request.
             request: The request.
-            runs: Servers that ran it, or may have; what none has run is given back.
+            runs: Number of servers that ran it or may have; without any, its units are refunded.
             now: Monotonic time.
         """
         account = self._accounts.get(tenant.name)
@@ -164,25 +164,26 @@
         account.use.add(units, now)
 
     def tick(self, now: float) -> list[TenantUse]:
-        """What this gateway spends, for tenants that spend anything.
+        """Use of this gateway, for tenants with any use.
 
-        To be called at each telling: the others' use is counted as it was told meanwhile.
+        It must be called for each report to the other gateways, since it also counts the use that
+        they have reported since the previous call.
         """
         uses = []
         for account in self._accounts.values():
-            known = self._known_use(account, now)
-            account.bucket.level(now, known.others_per_second, known.part)
+            usage = self._peer_usage(account, now)
+            account.bucket.level(now, usage.others_per_second, usage.limit_share)
             rate = max(round(account.use.per_second(now)), 0)
             if rate:
                 uses.append(TenantUse(account.key, rate))
         return uses
 
     def states(self, now: float) -> list[LimitState]:
-        """What is known of all tenants with a limit."""
+        """States of all tenants with a limit."""
         return [self._state(name, account, now) for name, account in self._accounts.items()]
 
     def due_reports(self, now: float) -> list[LimitState]:
-        """States of tenants that were refused, once in a while each."""
+        """States of tenants with refusals, at most one per tenant and `REPORT_INTERVAL_SECONDS`."""
         due = []
         for name, account in self._accounts.items():
             if not account.refused or now - account.reported_at < REPORT_INTERVAL_SECONDS:
@@ -194,29 +195,27 @@
 
     def _state(self, name: str, account: TenantAccount, now: float) -> LimitState:
         own = account.use.per_second(now)
-        known = self._known_use(account, now)
+        usage = self._peer_usage(account, now)
         return LimitState(
             tenant=name,
             per_second=account.bucket.per_second,
-            used_per_second=own + known.others_per_second,
+            used_per_second=own + usage.others_per_second,
             own_per_second=own,
-            known_part=known.part,
+            known_part=usage.limit_share,
             refused=account.refused,
         )
 
 
 def granted_overage_per_second(limit: TenantLimit, tolerance: LimitTolerance) -> float:
-    """The rate that is granted beside the limit's: a part of the tolerance over its window."""
+    """Rate granted in addition to the limit: a fraction of the tolerance over its window."""
     window = tolerance.window_seconds
-    of_window = limit.per_second * window + limit.burst
-    overage_per_second = (
-        OVERAGE_FRACTION * tolerance.overage * of_window + SLACK_FRACTION * tolerance.slack
-    )
-    return overage_per_second / window
+    window_units = limit.per_second * window + limit.burst
+    overage = OVERAGE_FRACTION * tolerance.overage * window_units + SLACK_FRACTION * tolerance.slack
+    return overage / window
 
 
 def request_units(limit: TenantLimit, request: ExchangeRequest) -> float:
-    """What a request uses of a limit, in the limit's unit."""
+    """Units that a request uses of a limit."""
     if limit.unit is LimitUnit.REQUESTS:
         return 1.0
     declared = request.prompt_tokens + request.output_tokens
--- a/src/milletcourse/exchange/mechanisms.py
+++ b/src/milletcourse/exchange/mechanisms.py
@@ -1,6 +1,6 @@
-"""Mechanisms that can be switched off one by one, so that each can be shown to be worth its code.
+"""Mechanisms that can be switched off one by one, to measure the benefit of each.
 
-A gateway without one of them keeps every promise; it only serves worse, or costs more.
+A gateway without one of them keeps every guarantee; it only serves less well or costs more.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Mechanism(Enum):
-    """A mechanism with its name on the command line, and what it does."""
+    """A mechanism with its name on the command line and its description."""
 
     TERMINATED_INCARNATIONS = (
         "ended-incarnations",
@@ -55,7 +55,7 @@
 
 
 class UnknownMechanismError(ValueError):
-    """A name that is no mechanism's."""
+    """Raised for a name that isn't the name of a mechanism."""
 
     def __init__(self, name: str) -> None:
         known = ", ".join(mechanism.label for mechanism in Mechanism)
@@ -63,18 +63,21 @@
 
 
 def mechanisms_without(names: Iterable[str]) -> frozenset[Mechanism]:
-    """All mechanisms but some.
+    """All mechanisms except the named ones.
+
+    Args:
+        names: Names of mechanisms to switch off.
 
     Raises:
-        UnknownMechanismError: For a name that is none.
+        UnknownMechanismError: For a name that isn't the name of a mechanism.
     """
     known = {mechanism.label: mechanism for mechanism in Mechanism}
-    off = set()
+    disabled = set()
     for name in names:
         if name not in known:
             raise UnknownMechanismError(name)
-        off.add(known[name])
-    return frozenset(Mechanism) - off
+        disabled.add(known[name])
+    return frozenset(Mechanism) - disabled
 
 
 ALL_MECHANISMS = frozenset(Mechanism)
--- a/src/milletcourse/exchange/servers/__init__.py
+++ b/src/milletcourse/exchange/servers/__init__.py
@@ -1,4 +1,5 @@
 """What is known of each server: its incarnations, weight versions, load and health.
 
-Entries, answers and notices come in; instances go out. It may import messages and counting.
+Inputs are discovery entries, answers and notices; outputs are instances. The package may import
+messages and counting.
 """
--- a/src/milletcourse/exchange/servers/instance_table.py
+++ b/src/milletcourse/exchange/servers/instance_table.py
@@ -1,7 +1,7 @@
 """What a gateway knows of the servers: incarnations, weight versions, load and health.
 
-Entries that vanish while the discovery's store was unstable are doubtful, not gone: they are kept
-for a while, since servers that still work show themselves again within a few heartbeats.
+Entries that disappear while the discovery's store is unstable are unverified, not removed: they are
+kept for a while, since servers that still run register again within a few heartbeats.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 from milletcourse.exchange.servers.server_tombstones import ServerTombstones
 
 REREGISTRATION_SECONDS = 2.3
-"""An entry that lapsed while the store was away is kept this long after its return: servers that
-live and reach the store are back in it within two seconds, and a watch tells of it soon after. What
-is still missing then is gone."""
+"""An entry that lapsed while the store was unavailable is kept this long after the store's return:
+live servers that reach the store are registered again within two seconds, and a watch reports it
+soon after. Entries that are still missing then are removed."""
 UNKNOWN_VERSION_SECONDS = 0.3
-"""A server whose weight version isn't known gets no new work this long when others are free."""
+"""A server whose weight version is unknown is avoided this long while others are free."""
 LATENCY_GAIN = 0.2
 """Weight of the newest sample in a server's mean latency."""
 INITIAL_LATENCY_SECONDS = 0.05
 
 
 class Instance:
-    """One incarnation of a server with what was learned about it.
+    """One incarnation of a server with its observed state.
 
     Attributes:
         record: Latest record of the discovery.
         key: Short identity in messages between gateways.
         health: Outlier ejection.
-        in_flight: Requests of this node that it works on.
-        in_flight_tokens: Prompt tokens of this node's requests that have no first event yet.
-        memory_tokens: Memory that this node's requests take there, in tokens.
-        latency_seconds: Mean time of whole answers.
-        vanished_at: When its entry went in doubt, None while it is listed.
-        ended: Another incarnation answers at its address, whatever its entry says.
+        in_flight: Requests of this gateway that the server works on.
+        in_flight_tokens: Prompt tokens of this gateway's requests that have no first event yet.
+        memory_tokens: Memory that this gateway's requests use at the server, in tokens.
+        latency_seconds: Mean time of complete answers.
+        missing_since: Monotonic time at which its entry became unverified; None while it is listed.
+        terminated: Another incarnation answers at its address, whatever its entry states.
     """
 
     def __init__(self, record: InstanceRecord) -> None:
@@ -60,7 +60,7 @@
         return self.record.name
 
     def version(self, model: str) -> int | None:
-        """Version of a model's weights that it is believed to have."""
+        """Version of a model's weights that it is assumed to have."""
         known = self._versions.get(model)
         assumed = self._assumed.get(model)
         if known is None or assumed is None:
@@ -68,16 +68,23 @@
         return max(known, assumed)
 
     def on_version_refused(self, model: str, refused: int, newest: int | None, now: float) -> None:
-        """It refused a request for a version: it must have moved on, as far as is known."""
+        """Record that it refused a version: it has probably loaded a newer one.
+
+        Args:
+            model: The model.
+            refused: Version that the request required.
+            newest: Newest version that is known of the model; None for none.
+            now: Monotonic time.
+        """
         was_assumed = self._assumed.pop(model, None) == refused
         if not was_assumed and newest is not None and newest > refused:
             self._assumed[model] = newest
             return
-        # Nothing better is known: wait until the discovery or a peer tells.
+        # The version is unknown: avoid the server until the discovery or a peer reports it.
         self.health.on_order(now + UNKNOWN_VERSION_SECONDS)
 
     def note_version(self, model: str, version: int) -> None:
-        """An answer or report showed a version; versions only rise within an incarnation."""
+        """Record a version from an answer or report; within an incarnation versions only rise."""
         known = self._versions.get(model)
         if known is not None and known >= version:
             return
@@ -87,7 +94,7 @@
         self.health.on_ready()
 
     def update(self, record: InstanceRecord) -> None:
-        """The discovery shows a newer record."""
+        """Apply a newer record of the discovery."""
         self.record = record
         self.key = incarnation_key(record.name, record.started_ms)
         self.missing_since = None
@@ -95,32 +102,33 @@
             self.note_version(model, version)
 
     def on_answer_time(self, seconds: float) -> None:
-        """A whole answer took this long."""
+        """Record the time of a complete answer."""
         self.latency_seconds += LATENCY_GAIN * (seconds - self.latency_seconds)
 
 
 class InstanceTable:
-    """All known incarnations by service."""
+    """All known incarnations, by service."""
 
     def __init__(self) -> None:
         self._instances: dict[str, Instance] = {}
         self._services: dict[str, dict[str, Instance]] = {}
         self._services_by_address: dict[str, str] = {}
         self._unverified_until = float("-inf")
-        self._gone = ServerTombstones()
+        self._tombstones = ServerTombstones()
         self.generation = 0
         self.is_listed = False
-        """A whole list has arrived."""
+        """Whether a complete list has arrived."""
         self.on_forgotten: Callable[[str], None] | None = None
+        """Called with the name of an incarnation that is dropped."""
         self.on_restarted: Callable[[Instance], None] | None = None
-        """Told of the incarnation before."""
+        """Called with the previous incarnation."""
         self.on_draining: Callable[[Instance], None] | None = None
-        """Told of an incarnation whose entry says that it leaves."""
+        """Called with an incarnation whose entry reports that it is draining."""
         self.on_renamed: Callable[[int, int], None] | None = None
-        """Told of the key before and the one now when an incarnation's start becomes known."""
+        """Called with the previous and the new key when an incarnation's start becomes known."""
 
     def __iter__(self) -> Iterator[Instance]:
-        """All incarnations that aren't known to have ended."""
+        """All incarnations that aren't known to be terminated."""
         return iter([item for item in self._instances.values() if not item.terminated])
 
     def get(self, name: str) -> Instance | None:
@@ -132,48 +140,48 @@
         return self._services.get(service, {})
 
     def service_at(self, address: str) -> str:
-        """Service of the server at an address; empty when none is known there."""
+        """Service of the server at an address; empty when no server is known there."""
         return self._services_by_address.get(address, "")
 
     def on_store_failed(self) -> None:
-        """The discovery's store failed a call: entries that vanish from now on are doubtful."""
+        """Treat entries that disappear as unverified from now on: a call to the store failed."""
         self._unverified_until = float("inf")
 
     def on_store_reached(self, now: float) -> None:
-        """The discovery's store answers; after a failure, entries stay doubtful for a while."""
+        """Record that the store answers; after a failure, entries stay unverified for a while."""
         if self._unverified_until == float("inf"):
             self._unverified_until = now + REREGISTRATION_SECONDS
 
     def on_store_restored(self, now: float) -> None:
-        """The discovery's store has come back from an older copy.
+        """Handle a restore of the discovery's store from an older snapshot.
 
-        What is missing there may have been written since, and is doubtful; what had gone since is
-        there again, and is no less gone.
+        Entries that are missing now may have been written after the snapshot and are unverified.
+        Entries that were deleted after the snapshot are listed again, but remain deleted here.
         """
         self._unverified_until = now + REREGISTRATION_SECONDS
-        self._gone.on_store_restored(now)
+        self._tombstones.on_store_restored(now)
 
     def replace_all(self, records: Iterable[InstanceRecord], now: float) -> None:
-        """A whole list arrived."""
+        """Replace all entries by a complete list."""
         self.is_listed = True
         listed = {record.name: record for record in records}
-        self._gone.on_list()
+        self._tombstones.on_list()
         for record in listed.values():
             self.on_entry(record, now)
         for name in [name for name in self._instances if name not in listed]:
             self.remove(name, now)
 
     def on_entry(self, record: InstanceRecord, now: float) -> None:
-        """The discovery shows an entry; one that came back with an older copy is doubtful."""
-        if record.name in self._instances or not self._gone.holds_back(record, now):
+        """Apply an entry of the discovery; one that a restored snapshot contains is held back."""
+        if record.name in self._instances or not self._tombstones.holds_back(record, now):
             self.upsert(record)
 
     def upsert(self, record: InstanceRecord) -> None:
-        """An entry appeared or changed.
+        """Add or update an entry.
 
-        One that was written anew since its incarnation was found ended brings it back: should that
-        be wrong, the next answer at its address says so again. One of an earlier start than is
-        known lags behind what told that.
+        An entry that was written again after its incarnation was found terminated reinstates it: if
+        that is wrong, the next answer at its address shows it again. An entry with an earlier start
+        than the known one is outdated and ignored.
         """
         known = self._instances.get(record.name)
         if known is not None and not record.started_ms:
@@ -204,20 +212,23 @@
     def on_start_seen(
         self, name: str, started_ms: int, weight_versions: dict[str, int] | None = None
     ) -> bool:
-        """A server itself, or another gateway, told when it started; True when that is a restart.
+        """Record a start time reported by the server itself or by another gateway.
 
-        Its entry may lag by some heartbeats, or as long as the store is away.
+        The server's entry may lag by some heartbeats, or as long as the store is unavailable.
 
         Args:
-            name: The server.
-            started_ms: Its start; 0 when it isn't told.
-            weight_versions: The weights that it told with it.
+            name: Name of the server.
+            started_ms: Its start; 0 when it isn't reported.
+            weight_versions: Weight versions reported with it.
+
+        Returns:
+            Whether the server has restarted.
         """
         known = self._instances.get(name)
         if known is None or started_ms <= known.record.started_ms:
             return False
         if not known.record.started_ms:
-            # Its start wasn't known; nothing tells that there was another one before.
+            # The start was unknown, so there is no evidence of an earlier incarnation.
             self._update(known, msgspec.structs.replace(known.record, started_ms=started_ms))
             return False
         self.upsert(
@@ -234,10 +245,13 @@
             self.on_renamed(before, known.key)
 
     def terminate(self, name: str) -> bool:
-        """Another incarnation answers at its address: it gets no work and no orders any more.
+        """Mark a server terminated because another incarnation answers at its address.
+
+        It gets no requests and no orders any more. Its entry may exist for several heartbeats, or
+        as long as the store is unavailable.
 
-        Its entry may stand for several heartbeats, or as long as the store is away. True when this
-        wasn't known.
+        Returns:
+            Whether this wasn't known yet.
         """
         instance = self._instances.get(name)
         if instance is None or instance.terminated:
@@ -247,8 +261,8 @@
         return True
 
     def remove(self, name: str, now: float) -> None:
-        """An entry went: gone, or doubtful while the store is unstable."""
-        self._gone.on_removed(name)
+        """Remove an entry; while the store is unstable it becomes unverified instead."""
+        self._tombstones.on_removed(name)
         instance = self._instances.get(name)
         if instance is None:
             return
@@ -260,8 +274,8 @@
         self._forget_departed(instance, now)
 
     def expire_unverified(self, now: float) -> None:
-        """Drop doubtful entries that did not come back, and believe those that stayed."""
-        for record in self._gone.take_verified(now):
+        """Drop unverified entries that didn't return, and apply held-back ones that still exist."""
+        for record in self._tombstones.take_verified(now):
             self.upsert(record)
         if now < self._unverified_until:
             return
@@ -270,11 +284,11 @@
                 self._forget_departed(instance, now)
 
     def _forget_departed(self, instance: Instance, now: float) -> None:
-        self._gone.add(instance.record, now)
+        self._tombstones.add(instance.record, now)
         self.forget(instance.name)
 
     def forget(self, name: str) -> None:
-        """Drop a server at once, with all that is known of it."""
+        """Drop a server at once, with all its state."""
         instance = self._instances.pop(name, None)
         if instance is None:
             return
@@ -287,7 +301,7 @@
         self.generation += 1
 
     def _drop_from_service(self, instance: Instance) -> None:
-        """Take it out of what may be chosen, with all that is believed to be kept there."""
+        """Remove an incarnation from the candidates, with its assumed prompt cache."""
         self.generation += 1
         if self.on_forgotten is not None:
             self.on_forgotten(instance.name)
@@ -298,7 +312,7 @@
 
 
 def _is_same(known: InstanceRecord, record: InstanceRecord) -> bool:
-    """Whether both are of one incarnation, as far as they tell."""
+    """Whether both records may be of the same incarnation."""
     if known.service != record.service:
         return False
     return not known.started_ms or known.started_ms == record.started_ms
--- a/src/milletcourse/exchange/servers/server_health.py
+++ b/src/milletcourse/exchange/servers/server_health.py
@@ -1,4 +1,4 @@
-"""Outlier ejection of one server from what requests show; no input/output."""
+"""Outlier ejection of one server by the results of its requests; no input/output."""
 
 from __future__ import annotations
 
@@ -8,37 +8,37 @@
 from milletcourse.exchange.messages.messages import AttemptResult
 
 HALF_LIFE_SECONDS = 3.0
-"""Failures count half after this time."""
+"""Half-life of failures in the penalty."""
 EJECTION_PENALTY = 2.0
-"""Penalty from which a server gets no new work."""
+"""Penalty from which a server is ejected and gets no new requests."""
 FIRST_EJECTION_SECONDS = 0.8
 MAX_EJECTION_SECONDS = 4.0
 ANSWER_PENALTY_FACTOR = 0.7
-"""Part of the penalty that is left after an answer."""
+"""Factor on the penalty after an answer."""
 BUSY_PAUSE_SECONDS = 0.15
-"""A server that turned a request away is passed over this long when others are free."""
+"""A server that rejected a request is avoided this long while others are free."""
 TALLY_HALF_LIFE_SECONDS = 1.5
-"""What is told to other gateways counts half after this time."""
+"""Half-life of the counts that are reported to other gateways."""
 MAX_REPORTED_FAILURES = 2
-"""One gateway's failures count this much at most: its own link may be what is sick."""
+"""Upper bound of the failures that one gateway reports: its own link may be the cause."""
 SUSPICION_FAILURES = 3
-"""Failures of all gateways from which a server is suspected: more than one gateway can tell."""
+"""Failures at all gateways from which a server is suspected: more than one gateway can report."""
 SUSPICION_FAILURE_RATIO = 0.5
-"""And it is so only when failures are more than this part of the answers."""
+"""A server is suspected only when failures exceed this fraction of the answers."""
 _WEIGHTS = {
     AttemptResult.NOT_SENT: 2.0,
     AttemptResult.LOST: 1.0,
     AttemptResult.CUT: 1.0,
-    # Applications answer some requests with failures in good health.
+    # Healthy applications answer some requests with failures.
     AttemptResult.FAILED: 0.3,
 }
 
 
 class ServerTally(msgspec.Struct, frozen=True):
-    """How attempts at a server went lately.
+    """Recent results of attempts at a server.
 
     Attributes:
-        bad: Failures, weighed by what they say of the server.
+        bad: Failures, weighted by how strongly they indicate a fault of the server.
         good: Answers.
     """
 
@@ -47,7 +47,7 @@
 
 
 class ServerHealth:
-    """Penalty by recent failures, and ejection with growing pauses."""
+    """Penalty by recent failures, and ejection for exponentially growing times."""
 
     def __init__(self) -> None:
         self._penalty = DecayingCount(HALF_LIFE_SECONDS)
@@ -60,7 +60,7 @@
         self._good = DecayingCount(TALLY_HALF_LIFE_SECONDS)
 
     def on_result(self, result: AttemptResult, now: float) -> None:
-        """An attempt at the server ended."""
+        """Record the result of an attempt at the server."""
         self._probe_running = False
         if result is AttemptResult.ANSWERED:
             self._good.add(1.0, now)
@@ -81,12 +81,12 @@
             self._pause_seconds = min(self._pause_seconds * 2, MAX_EJECTION_SECONDS)
 
     def tally(self, now: float) -> ServerTally:
-        """Failures and answers of late, as they are told to other gateways."""
+        """Recent failures and answers, as reported to other gateways."""
         bad = min(round(self._bad.value(now)), MAX_REPORTED_FAILURES)
         return ServerTally(bad, round(self._good.value(now)))
 
     def is_suspected(self, others: ServerTally, now: float) -> bool:
-        """Whether what all gateways saw of late says that it is sick."""
+        """Whether the recent results of all gateways indicate a fault of the server."""
         if others.bad == 0:
             return False
         own = self.tally(now)
@@ -96,30 +96,31 @@
         )
 
     def on_aborted(self) -> None:
-        """An attempt was given up for reasons that say nothing about the server."""
+        """Record that an attempt was aborted for reasons unrelated to the server's health."""
         self._probe_running = False
 
     def on_order(self, until: float) -> None:
-        """The server is taking new weights until about this time."""
+        """Record that the server loads new weights until about this time."""
         self._order_until = max(self._order_until, until)
 
     def on_ready(self) -> None:
-        """The server has finished an order."""
+        """Record that the server has finished an order."""
         self._order_until = float("-inf")
 
     def on_dispatch(self, now: float) -> None:
-        """A request goes there; after an ejection it is the trial."""
+        """Record that a request is sent; the first one after an ejection is the probe."""
         if self._needs_probe(now):
             self._probe_running = True
 
     def is_ejected(self, now: float) -> bool:
-        """Whether it gets no new work; one trial at a time is let through after the pause."""
+        """Whether it gets no new requests; after the ejection time one probe at a time is
+        allowed."""
         if now < self._ejected_until:
             return True
         return self._needs_probe(now) and self._probe_running
 
     def is_busy(self, now: float) -> bool:
-        """Whether it lately turned a request away or is under an order."""
+        """Whether it recently rejected a request or is carrying out an order."""
         return now < max(self._refused_until, self._order_until)
 
     def _needs_probe(self, now: float) -> bool:
--- a/src/milletcourse/exchange/servers/server_tombstones.py
+++ b/src/milletcourse/exchange/servers/server_tombstones.py
@@ -1,8 +1,8 @@
-"""Servers that have left the discovery, and what an older copy of it says of them; no I/O.
+"""Tombstones of servers that were removed from the discovery; no I/O.
 
-Where the discovery's store comes back from an older copy, entries of servers that had left are in
-it again, until their servers, or the store in their stead, take them out once more. Such a server
-may serve on for a while; it is about to end all the same.
+When the discovery's store is restored from an older snapshot, it contains entries of departed
+servers again, until those servers delete them or they lapse. Such a server may still answer for a
+while, but it is about to exit.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from milletcourse.exchange.messages.records import InstanceRecord
 
 TOMBSTONE_SECONDS = 600.0
-"""No copy that the store comes back from is assumed to be older."""
+"""No snapshot from which the store is restored is assumed to be older than this."""
 MAX_TOMBSTONES = 4096
 VERIFICATION_SECONDS = 5.0
-"""An entry that came back with a copy is believed when it still stands after this time: servers
-that live write again within two seconds, and entries without a heartbeat lapse within four."""
+"""A restored entry counts as verified when it still exists after this time: live servers renew
+their entries within two seconds, and entries without a heartbeat lapse within four."""
 
 
 class _Tombstone(msgspec.Struct, frozen=True):
-    """A server whose entry went.
+    """A server whose entry was removed.
 
     Attributes:
-        started_ms: Its start, as far as its entry or its answers told; 0 when they didn't.
-        at: Monotonic time.
+        started_ms: Its start as reported by its entry or its answers; 0 when unknown.
+        at: Monotonic time of the removal.
     """
 
     started_ms: int
@@ -34,44 +34,48 @@
 
 
 class ServerTombstones:
-    """Incarnations whose entries went, and those of them that a copy brought back."""
+    """Incarnations whose entries were removed, and entries of them that a snapshot restored."""
 
     def __init__(self) -> None:
-        self._gone: OrderedDict[str, _Tombstone] = OrderedDict()
+        self._tombstones: OrderedDict[str, _Tombstone] = OrderedDict()
         self._held_back: dict[str, InstanceRecord] = {}
         self._verified_from = float("-inf")
 
     def add(self, record: InstanceRecord, now: float) -> None:
-        """A server's entry went for good."""
-        self._gone[record.name] = _Tombstone(record.started_ms, now)
-        self._gone.move_to_end(record.name)
-        while len(self._gone) > MAX_TOMBSTONES:
-            self._gone.popitem(last=False)
+        """Record that a server's entry was removed for good."""
+        self._tombstones[record.name] = _Tombstone(record.started_ms, now)
+        self._tombstones.move_to_end(record.name)
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            self._tombstones.popitem(last=False)
 
     def on_store_restored(self, now: float) -> None:
-        """The store has come back from an older copy."""
+        """Start verifying entries after the store was restored from an older snapshot."""
         self._verified_from = now + VERIFICATION_SECONDS
 
     def holds_back(self, record: InstanceRecord, now: float) -> bool:
-        """Whether an entry isn't to be believed yet; it is kept then."""
-        gone = self._gone.get(record.name)
-        if now >= self._verified_from or gone is None or now - gone.at > TOMBSTONE_SECONDS:
+        """Whether an entry is not verified yet; it is then held back until `take_verified`."""
+        tombstone = self._tombstones.get(record.name)
+        if (
+            now >= self._verified_from
+            or tombstone is None
+            or now - tombstone.at > TOMBSTONE_SECONDS
+        ):
             return False
-        if gone.started_ms and record.started_ms > gone.started_ms:
+        if tombstone.started_ms and record.started_ms > tombstone.started_ms:
             return False
         self._held_back[record.name] = record
         return True
 
     def on_list(self) -> None:
-        """A whole list follows, entry by entry."""
+        """Drop held-back entries before the entries of a complete list follow."""
         self._held_back.clear()
 
     def on_removed(self, name: str) -> None:
-        """An entry went, whether it was believed or not."""
+        """Drop a held-back entry that was removed."""
         self._held_back.pop(name, None)
 
     def take_verified(self, now: float) -> list[InstanceRecord]:
-        """Entries that have stood long enough."""
+        """Held-back entries that have existed long enough to count as verified."""
         if not self._held_back or now < self._verified_from:
             return []
         verified, self._held_back = list(self._held_back.values()), {}
