--- a/src/milletcourse/exchange/placement/__init__.py
+++ b/src/milletcourse/exchange/placement/__init__.py
@@ -1,4 +1,5 @@
-"""Where a request goes: routes, candidates, homes of prompts, costs, and the store of kept state.
+"""Where a request goes: routes, candidates, homes of prompts, costs, and the KV-cache stores.
 
-A request comes in; a server goes out. It may import all rooms but attempts and reading.
+The input is a request; the output is a server. The package may import all packages of `exchange`
+except attempts and replication.
 """
--- a/src/milletcourse/exchange/placement/cache_store_plan.py
+++ b/src/milletcourse/exchange/placement/cache_store_plan.py
@@ -1,10 +1,10 @@
-"""What servers send to the stores of kept prompt state; no input/output.
+"""What servers export to the KV-cache stores; no input/output.
 
-A server that is told to send sends all that it read of a prompt: the shared parts, which others may
-take from the store, and the prompt's own last part, which nobody asks for again. What comes in
-makes older parts give way. So a part that the store should have already isn't sent again; and when
-parts give way before they are asked for again, prompts that save little for what is sent with them
-aren't sent at all.
+A server that is told to export a prompt sends its whole KV cache: that of the shared parts, which
+other servers may import, and that of the prompt's own last part, which no other request uses. Each
+export evicts older parts. A part that the store should still hold is therefore not sent again; and
+when parts are evicted before their expected reuse, prompts whose shared parts are small against
+what is sent with them aren't exported at all.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from milletcourse.exchange.placement.prompt_chain import PromptChain
 
 MIN_SHARED_FRACTION = 0.5
-"""A prompt whose shared parts are less than this much of it saves little."""
+"""A prompt whose shared parts are less than this fraction of its tokens saves little."""
 RATE_HALF_LIFE_SECONDS = 4.0
-"""How fast the estimate of what comes in follows the traffic."""
+"""Half-life of the estimated rate of exports."""
 MAX_PARTS = 4096
-"""Further parts are forgotten, oldest first; some 100 bytes each."""
+"""Beyond this number the oldest parts are dropped; a part takes some 100 bytes."""
 
 
 class _Store:
-    """What this gateway had sent, and what it would have, to one store."""
+    """Exports that this gateway requested, and those that it considered, to one store."""
 
     def __init__(self) -> None:
         self.sent_tokens = 0
@@ -35,7 +35,7 @@
 
 
 class CacheStorePlan:
-    """One gateway's part of what is sent; the others are taken to send as much each."""
+    """Exports that one gateway requests; each other gateway is assumed to request as many."""
 
     def __init__(self) -> None:
         self._stores: dict[str, _Store] = {}
@@ -48,13 +48,13 @@
         reuse_seconds: float,
         now: float,
     ) -> bool:
-        """Whether a server sends what it reads of a prompt to a store.
+        """Whether a server exports the KV cache of a prompt to a store.
 
         Args:
             store: The store.
             chain: The prompt's parts under the server's salt, at least one of them shared.
-            members: Gateways that send to the store.
-            reuse_seconds: Time within which a part is expected to be asked for again.
+            members: Number of gateways whose servers export to the store.
+            reuse_seconds: Time within which a part is expected to be reused.
             now: Monotonic time.
         """
         known = self._stores.setdefault(store.store_address, _Store())
@@ -65,7 +65,8 @@
         return not (saves_little and _is_overcommitted(store, known, members, reuse_seconds, now))
 
     def on_sent(self, address: str, chain: PromptChain) -> None:
-        """A server that was told to send has answered, so it has read the whole prompt."""
+        """Record an export: a server that was told to export has answered, so it read the
+        prompt."""
         known = self._stores.setdefault(address, _Store())
         known.sent_tokens += chain.total_tokens
         part = chain.keys[chain.shared - 1]
@@ -75,12 +76,12 @@
             known.sent_at.popitem(last=False)
 
     def on_lost(self, address: str) -> None:
-        """A store can't be reached: what it kept may be gone."""
+        """Forget the exports to an unreachable store: it may have lost its contents."""
         self._stores.pop(address, None)
 
 
 def _holds(store: ServiceRecord, known: _Store, chain: PromptChain, members: int) -> bool:
-    """Whether a part was sent and can't have given way to what all gateways sent since."""
+    """Whether a part was exported and can't have been evicted by later exports of all gateways."""
     sent_at = known.sent_at.get(chain.keys[chain.shared - 1])
     if sent_at is None:
         return False
@@ -90,7 +91,7 @@
 def _is_overcommitted(
     store: ServiceRecord, known: _Store, members: int, reuse_seconds: float, now: float
 ) -> bool:
-    """Whether parts give way before they are expected to be asked for again."""
+    """Whether parts are evicted before their expected reuse."""
     if not store.capacity_tokens:
         return False
     own_rate = known.offered.value(now) * math.log(2.0) / RATE_HALF_LIFE_SECONDS
--- a/src/milletcourse/exchange/placement/instance_selector.py
+++ b/src/milletcourse/exchange/placement/instance_selector.py
@@ -1,8 +1,9 @@
 """Selects the server of an attempt among those that may run it; no input/output.
 
-Servers of models are chosen by estimated time to the first event: prompt work waiting there, plus
-what of this prompt is not kept there. Prompts with shared parts have home servers by consistent
-hashing, so that gateways agree without talking. Plain applications are chosen by load and latency.
+Model servers are selected by estimated time to the first event: prompt tokens waiting there, plus
+the part of this prompt that isn't cached there. Prompts with shared parts have home servers by
+consistent hashing, so that gateways agree without exchanging messages. Servers of plain
+applications are selected by load and latency.
 """
 
 from __future__ import annotations
@@ -33,33 +34,35 @@
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
 
 STORE_READ_COST_FRACTION = 0.7
-"""Time to take kept state from a store, as a share of reading it again."""
+"""Time to import KV cache from a store, as a fraction of the time to prefill it again."""
 HOME_HIT_PROBABILITY = 0.8
-"""Chance that the home of a shared part has it by requests of other gateways."""
+"""Probability that the home of a shared part has it cached by requests of other gateways."""
 MIN_SHARED_TOKENS = 512
-"""Shorter shared parts aren't worth a home."""
+"""Prompts with shorter shared parts have no home."""
 CROSS_ZONE_SECONDS = 0.008
-"""Cost of crossing a zone: both ways of the network, and the price of the bytes."""
+"""Cost of crossing zones: the network round trip and the price of the transferred bytes."""
 ENGINE_JITTER_SECONDS = 0.002
-"""Random part of a model server's cost, which decides between equal ones."""
+"""Random part of a model server's cost, which decides between servers of equal cost."""
 LOCAL_SAMPLE_SIZE = 6
-"""Servers of the own zone that are compared for one request, beside its home and its holders.
-Gateways that compare all of them by the same sums would all choose the same one."""
+"""Servers of the own zone that are compared for one request, in addition to its home and its
+holders. Gateways that compared all servers by the same load figures would all select the same
+one."""
 REMOTE_SAMPLE_SIZE = 2
 """Servers of other zones that are compared."""
 CACHE_LIFETIME_SECONDS = 4.0
-"""What a gateway sent to a server longer ago may have given way to what others sent."""
+"""A prompt that was sent to a server longer ago may have been evicted by prompts of other
+gateways."""
 MAX_HOLDERS = 4
-"""Servers believed to hold a prompt that are compared."""
+"""Servers assumed to have a prompt cached that are compared."""
 INTERFERENCE_SECONDS = 0.15
-"""Cost of running a long prompt beside streams, or a stream beside long prompts: as much as a few
-pieces of a prompt that is read take."""
+"""Cost of running a long prompt alongside streams, or a stream alongside long prompts: the time of
+a few prefill chunks."""
 SUPERSEDED_SECONDS = 0.08
-"""Cost of a server whose weights are superseded for longer than the grace time, while others have
-newer ones: an answer by them is worth less, and what still runs when the server takes new weights
-less again."""
+"""Cost of a server whose weights have been superseded for longer than the grace time while others
+have newer ones: its answers are worth less, and requests that still run when the server loads new
+weights are worth less again."""
 JITTER_FRACTION = 0.25
-"""Random part of an application server's cost, so that gateways don't choose alike."""
+"""Random part of an application server's cost, so that gateways select different servers."""
 
 
 class Choice(msgspec.Struct, frozen=True):
@@ -67,7 +70,7 @@
 
     Attributes:
         instance: The server.
-        wait_seconds: Expected time until it begins with the request; 0 for applications.
+        wait_seconds: Expected time until it starts the request; 0 for applications.
     """
 
     instance: Instance
@@ -75,7 +78,7 @@
 
 
 class InstanceSelector:
-    """Chooses servers, and remembers which prompts they were sent."""
+    """Selects servers, and keeps track of the prompts that were sent to them."""
 
     def __init__(
         self,
@@ -85,7 +88,7 @@
         zone: str,
         random_source: random.Random,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
-        pauses: PermitRetryDelays | None = None,
+        retry_delays: PermitRetryDelays | None = None,
     ) -> None:
         self._table = table
         self._gate = gate
@@ -95,7 +98,11 @@
         self._mechanisms = mechanisms
         self._homes = PromptHomes(table, Mechanism.LONG_PROMPT_SERVERS in mechanisms)
         self.candidates = ServerCandidates(
-            table, gate, loads, mechanisms, pauses if pauses is not None else PermitRetryDelays()
+            table,
+            gate,
+            loads,
+            mechanisms,
+            retry_delays if retry_delays is not None else PermitRetryDelays(),
         )
         self.holders = RecentCacheHolders(CACHE_LIFETIME_SECONDS)
         table.on_forgotten = self.holders.forget
@@ -114,10 +121,10 @@
         Args:
             service: Service that the request goes to.
             request: The request.
-            scope: Reuse scope of its prompt state without the weight version.
-            tried: Incarnations that already had it.
+            scope: Reuse scope of its KV cache without the weight version.
+            tried: Incarnations that already got the request.
             now: Monotonic time.
-            pause_seconds: Longest pause between events that streams bear; 0 when none is set.
+            max_gap_seconds: Longest allowed gap between events of streams; 0 when none is set.
         """
         candidates = self.candidates.of_service(service, request.model, tried, now)
         if not candidates:
@@ -171,12 +178,12 @@
         chains: Iterable[PromptChain],
         now: float,
     ) -> Sequence[Instance]:
-        """Servers whose costs are worked out: the home, holders, and a few at random.
+        """Servers whose costs are compared: the home, holders, and a few at random.
 
         Args:
             candidates: Servers that may run the prompt.
             avoided: Names of those that run it only when all others are worse.
-            home: Name of the one that is its home; empty for none.
+            home: Name of the prompt's home; empty for none.
             chains: The prompt under each weight version that candidates have.
             now: Monotonic time.
         """
@@ -215,15 +222,15 @@
     def home_zone(self, service: ServiceRecord, request: ExchangeRequest, scope: str) -> str:
         """Zone of the first home of a prompt's shared parts, whether it may run the prompt or not.
 
-        All gateways agree on it, so that what one server sends to the store of this zone is found
-        by the next one, wherever it is. Empty when there is no server.
+        All gateways agree on it, so that the KV cache that one server exports to the store of this
+        zone is found by the next server, wherever it is. Empty when there is no server.
         """
         name = next(self._homes.ranked_homes(service.name, request, scope), "")
         instance = self._table.get(name)
         return instance.record.zone if instance is not None else ""
 
     def _avoided(self, service: ServiceRecord, request: ExchangeRequest) -> Collection[str]:
-        """Names of the servers where a request would disturb others, or be disturbed by them."""
+        """Names of the servers where a request would interfere with others, or others with it."""
         for_long = self._homes.for_long_prompts(service.name)
         if not for_long:
             return ()
@@ -249,7 +256,7 @@
         is_home: bool,
         now: float,
     ) -> float:
-        """Time to read what a server lacks of a prompt, and to reach it."""
+        """Time to reach a server and to prefill the part of a prompt that isn't cached there."""
         held = float(self._held_tokens(instance, chain, now))
         if is_home:
             held = max(held, HOME_HIT_PROBABILITY * chain.shared_tokens)
@@ -261,7 +268,7 @@
         return reading + self._cross_zone_seconds(instance) + jitter
 
     def _held_tokens(self, instance: Instance, chain: PromptChain, now: float) -> int:
-        """Tokens of a prompt that a server is believed to keep."""
+        """Tokens of a prompt that are assumed to be cached at a server."""
         depth = self.holders.cached_parts(instance.name, chain.keys, now)
         return chain.tokens[depth - 1] if depth else 0
 
@@ -275,14 +282,14 @@
     def work_tokens(
         self, instance: Instance, request: ExchangeRequest, scope: str, now: float
     ) -> int:
-        """Prompt tokens that the server will have to read for a request."""
+        """Prompt tokens that the server has to prefill for a request."""
         chain = self._chain_at(instance, request, scope)
         return max(request.prompt_tokens - self._held_tokens(instance, chain, now), 0)
 
     def note_sent(
         self, instance: Instance, request: ExchangeRequest, scope: str, now: float
     ) -> None:
-        """The server reads this prompt now, and keeps it for a while."""
+        """Record that the server gets this prompt, and caches it for a while."""
         chain = self._chain_at(instance, request, scope)
         self.holders.note_sent(instance.name, chain.keys, now)
 
--- a/src/milletcourse/exchange/placement/long_prompt_servers.py
+++ b/src/milletcourse/exchange/placement/long_prompt_servers.py
@@ -1,10 +1,10 @@
-"""Servers that take the longest prompts, so that streams run elsewhere; no input/output.
+"""Servers for the longest prompts, so that streams run elsewhere; no input/output.
 
-A server reads prompts in pieces between the tokens of the requests that it runs. While it reads a
-very long one, each token of its streams waits for a piece, and their pauses grow past what their
+A server prefills prompts in chunks between the decode steps of the requests that it runs. During a
+very long prompt each token of its streams waits for a chunk, and their gaps grow beyond what their
 routes allow. A few servers of each zone, the same ones at all gateways, therefore take the long
-prompts. They are no home of any prompt, and requests that mostly generate go elsewhere as long as
-there is room.
+prompts. They are no home of any prompt, and requests that mostly generate run elsewhere as long as
+other servers have capacity.
 """
 
 from __future__ import annotations
@@ -18,16 +18,17 @@
 from milletcourse.exchange.servers.instance_table import Instance
 
 ZONE_FRACTION = 1 / 6
-"""Share of a zone's servers. Where own parts of prompts are spread widely, a tenth of the prompts
-makes up a third of what is read; with what they take from their homes that is work for so many."""
+"""Fraction of a zone's servers. Where the lengths of own parts vary widely, a tenth of the prompts
+makes up a third of the prefilled tokens; together with their shared parts, which these servers
+don't have cached, that is the load of this fraction."""
 MIN_ZONE_SERVERS = 6
-"""Zones with fewer servers have none to spare: all are wanted as homes."""
+"""In zones with fewer servers all of them are needed as homes."""
 LONG_SECONDS = 0.15
-"""A prompt is long when reading its own part takes more: with its shared part, some pieces in a
-row; streams bear a few pieces between two events, not a queue of them."""
+"""A prompt is long when prefill of its own part takes longer: together with its shared part that is
+a sequence of chunks; streams tolerate a few chunks between two events, not a queue of them."""
 GENERATED_TOKEN_SECONDS = 0.005
-"""Time to generate a token, in the order of what engines take; against the time to read a prompt it
-tells which of the two a request mostly does."""
+"""Time to generate a token, in the order of today's engines. Compared with the prefill time it
+shows whether a request mostly generates."""
 
 
 def long_prompt_servers(instances: Iterable[Instance]) -> frozenset[str]:
@@ -35,8 +36,8 @@
 
     Args:
         instances: All servers of one service. The choice depends on their addresses and zones only,
-            so that gateways agree on it; a restart changes nothing, and a server that comes or
-            goes a place or two.
+            so that gateways agree on it; a restart changes nothing, and a server that is added or
+            removed changes one or two of the chosen ones.
     """
     by_zone: defaultdict[str, dict[str, str]] = defaultdict(dict)
     for instance in instances:
@@ -53,22 +54,22 @@
 
 
 def is_long(request: ExchangeRequest, tokens_per_second: float) -> bool:
-    """Whether reading a prompt's own part, which no server keeps, takes long.
+    """Whether prefill of a prompt's own part, which no server has cached, takes long.
 
     Args:
         request: The request.
-        tokens_per_second: Speed at which servers read prompts.
+        tokens_per_second: Prefill speed of servers.
     """
     own_tokens = request.prompt_tokens - request.shared_tokens
     return own_tokens > LONG_SECONDS * tokens_per_second
 
 
 def mostly_generates(request: ExchangeRequest, tokens_per_second: float) -> bool:
-    """Whether a request generates for longer than its prompt is read.
+    """Whether a request's generation takes longer than the prefill of its prompt.
 
     Args:
         request: The request.
-        tokens_per_second: Speed at which servers read prompts.
+        tokens_per_second: Prefill speed of servers.
     """
     reading = request.prompt_tokens / tokens_per_second
     return request.output_tokens * GENERATED_TOKEN_SECONDS > reading
--- a/src/milletcourse/exchange/placement/prompt_chain.py
+++ b/src/milletcourse/exchange/placement/prompt_chain.py
@@ -1,4 +1,4 @@
-"""The declared parts of a prompt as a chain of keys: equal keys mean equal beginnings."""
+"""The declared parts of a prompt as a chain of keys: equal keys mean equal prefixes."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class PromptChain(msgspec.Struct):
-    """Cumulative keys of a prompt's declared parts with the tokens up to each.
+    """Cumulative keys of a prompt's declared parts with the number of tokens up to each.
 
     Attributes:
-        keys: One for each part; a key covers the salt and every part before.
-        tokens: Tokens up to and with each part.
+        keys: One key per part; it covers the salt, all parts before and the part itself.
+        tokens: Cumulative number of tokens up to and including each part.
         shared: Number of parts that other requests may share.
     """
 
--- a/src/milletcourse/exchange/placement/prompt_homes.py
+++ b/src/milletcourse/exchange/placement/prompt_homes.py
@@ -1,7 +1,7 @@
 """Home servers of prompts with shared parts, the same ones at all gateways; no input/output.
 
-A prompt's home is found by consistent hashing, so that gateways which never talk send prompts that
-share parts to the same server.
+A prompt's home is found by consistent hashing, so that gateways send prompts with the same shared
+parts to the same server without exchanging messages.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class _ServerRoles(msgspec.Struct, frozen=True):
-    """Who does what among the servers of one service.
+    """Roles of the servers of one service.
 
     Attributes:
-        generation: Of the instance table that it was made from.
-        for_long_prompts: Names of the servers that take long prompts, and are no homes.
-        ring: Addresses of the homes.
-        names: Address -> the incarnation that is there.
+        generation: Generation of the instance table from which the roles were computed.
+        for_long_prompts: Names of the servers that take long prompts and are no homes.
+        ring: Hash ring of the homes' addresses.
+        names: Address -> name of the incarnation at it.
     """
 
     generation: int
@@ -37,13 +37,13 @@
 class PromptHomes:
     """Homes of the prompts of each service.
 
-    Servers have their places by address, so that one that restarts keeps its place. By the names
-    of incarnations each restart would move the prompts of two places: those of the former one,
-    and others, which their homes still keep, to the new one.
+    Servers are placed on the ring by address, so that a restarted server keeps its position. By
+    names of incarnations each restart would move two sets of prompts: those of the previous
+    incarnation, and those that the new incarnation takes from homes that still have them cached.
     """
 
     def __init__(self, table: InstanceTable, separates_long_prompts: bool) -> None:
-        """Homes among a table's servers.
+        """Create the homes among the servers of a table.
 
         Args:
             table: The servers.
@@ -54,17 +54,17 @@
         self._roles: dict[str, _ServerRoles] = {}
 
     def ranked_homes(self, service: str, request: ExchangeRequest, scope: str) -> Iterator[str]:
-        """All homes by name, in the order in which they are homes of a prompt's shared parts.
+        """Names of all homes, in the order of preference for a prompt's shared parts.
 
         Args:
             service: Service that the request goes to.
             request: The request.
-            scope: Reuse scope of its prompt state without the weight version.
+            scope: Reuse scope of its KV cache without the weight version.
         """
         chain = prompt_chain(request, scope)
         if not chain.shared:
             return iter(())
-        # A single tenant's prompts are few: together at one server they share their first part.
+        # A single tenant has few prompts: at one server they all share their first part.
         depth = 1 if is_of_one_tenant(scope) else chain.shared
         roles = self._roles_of(service)
         return (roles.names[address] for address in roles.ring.walk(chain.keys[depth - 1]))
--- a/src/milletcourse/exchange/placement/route_table.py
+++ b/src/milletcourse/exchange/placement/route_table.py
@@ -1,4 +1,4 @@
-"""Compiled look-ups over one configuration: route by host and path, tenant by key."""
+"""Compiled lookups over one configuration: route by host and path, tenant by key."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class _HostRoutes:
-    """Routes of one host by their prefixes, which end with a slash."""
+    """Routes of one host, by path prefix; prefixes end with a slash."""
 
     def __init__(self) -> None:
         self._by_prefix: dict[str, RouteRecord] = {}
         self._most_slashes = 0
 
     def add(self, route: RouteRecord) -> None:
-        """Add a route; the first one of a prefix holds."""
+        """Add a route; the first route of a prefix wins."""
         prefix = route.path_prefix
         self._by_prefix.setdefault(prefix, route)
         self._most_slashes = max(self._most_slashes, prefix.count("/"))
 
     def find(self, path: str) -> RouteRecord | None:
-        """The route with the longest prefix that begins the path."""
+        """The route with the longest prefix of the path."""
         found = self._by_prefix.get("")
         end = 0
         for _ in range(self._most_slashes):
@@ -38,7 +38,7 @@
 
 
 class RouteTable:
-    """One configuration, ready for look-ups; swapped as a whole."""
+    """Lookup tables of one configuration; replaced as a whole."""
 
     def __init__(self, configuration: ExchangeConfiguration) -> None:
         self.configuration = configuration
@@ -58,7 +58,7 @@
         )
 
     def find_route(self, host: str, path: str) -> RouteRecord | None:
-        """The route with the longest prefix that begins the path.
+        """The route with the longest prefix of the path.
 
         Args:
             host: Value of the Host header.
@@ -76,13 +76,13 @@
         return self._services.get(name)
 
     def cache_store(self, zone: str, key: bytes) -> ServiceRecord | None:
-        """The store that keeps a prompt's state, the same one at all gateways.
+        """The KV-cache store of a prompt, the same one at all gateways.
 
-        One of the given zone where there is one. Zones without a store share all of them by the
-        prompt's key: were each to take the first, that one's link would carry nearly everything.
+        It is a store of the given zone if there is one. Zones without a store are spread over all
+        stores by the prompt's key: with a fixed store, its link would carry nearly all traffic.
 
         Args:
-            zone: Zone in which the prompt's home is.
+            zone: Zone of the prompt's home.
             key: Key of the prompt's last shared part.
         """
         near = [store for store in self.cache_stores if store.zone == zone]
@@ -93,5 +93,5 @@
 
 
 def _seed(store: ServiceRecord) -> int:
-    """What sets a store apart when stores are ranked for a prompt."""
+    """Hash seed of a store for rendezvous hashing."""
     return xxhash.xxh32_intdigest(store.name.encode())
--- a/src/milletcourse/exchange/placement/server_candidates.py
+++ b/src/milletcourse/exchange/placement/server_candidates.py
@@ -1,4 +1,7 @@
-"""Which servers of a service may get a request now, before any is compared; no input/output."""
+"""Which servers of a service may get a request now; no input/output.
+
+They are filtered here before the selector compares their costs.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 
 
 class ServerCandidates:
-    """Servers by what is permitted, then by health."""
+    """Filters servers by permission, then by health."""
 
     def __init__(
         self,
@@ -22,9 +25,9 @@
         gate: VersionGate,
         loads: LoadExchange,
         mechanisms: frozenset[Mechanism],
-        pauses: PermitRetryDelays,
+        retry_delays: PermitRetryDelays,
     ) -> None:
-        self._pauses = pauses
+        self._retry_delays = retry_delays
         self._table = table
         self._gate = gate
         self._loads = loads
@@ -33,15 +36,15 @@
     def of_service(
         self, service: ServiceRecord, model: str, tried: Collection[str], now: float
     ) -> list[Instance]:
-        """Servers that take requests; the sick and the busy ones only while there are no others.
+        """Servers that may get a request; unhealthy and busy ones only while there are no others.
 
-        One that wants none by its own word is never among them, whoever else is there: it leaves,
-        rests, or limits its requests and has what it takes.
+        A server that reported that it accepts no requests is never included, even when there is no
+        other one: it is draining, has requested a back-off, or has used up its quota.
 
         Args:
             service: Service that the request goes to.
             model: Model that must run it; empty for none.
-            tried: Incarnations that already had it.
+            tried: Incarnations that already got the request.
             now: Monotonic time.
         """
         accepting = self._accepting(service, model, tried, now)
@@ -56,7 +59,7 @@
         return free or healthy or accepting
 
     def is_suspected(self, instance: Instance, now: float) -> bool:
-        """Whether several gateways saw a server fail lately."""
+        """Whether several gateways observed recent failures of a server."""
         if not self._shares_suspicion:
             return False
         others = self._loads.others_load(instance.key, now)
@@ -65,13 +68,13 @@
     def allowed(
         self, service: ServiceRecord, model: str, tried: Collection[str], now: float
     ) -> list[Instance]:
-        """Servers that may run it, whatever they say of themselves; arguments as above."""
+        """Servers that may run it, whatever they report about themselves; arguments as above."""
         members = self._table.of_service(service.name).values()
         instances = [instance for instance in members if instance.name not in tried]
         if not service.models or not model:
             return instances
         versions = {instance.name: instance.version(model) for instance in instances}
-        # Servers have few versions, and whether one is permitted doesn't depend on its server.
+        # Servers have few distinct versions, and permission depends on the version alone.
         permitted = {
             version
             for version in set(versions.values())
@@ -82,12 +85,12 @@
     def _accepting(
         self, service: ServiceRecord, model: str, tried: Collection[str], now: float
     ) -> list[Instance]:
-        """Those that may run it and want requests, by what they say of themselves."""
+        """Servers that may run it and accept requests according to their own reports."""
         allowed = self.allowed(service, model, tried, now)
-        paused = self._pauses.delayed(now)
+        delayed = self._retry_delays.delayed(now)
         signals = self._loads.signals.in_force((instance.key for instance in allowed), now)
         return [
             instance
             for instance in allowed
-            if instance.key not in paused and instance.key not in signals
+            if instance.key not in delayed and instance.key not in signals
         ]
