--- a/src/milletcourse/exchange/attempts/silence_timeouts.py
+++ b/src/milletcourse/exchange/attempts/silence_timeouts.py
@@ -35,7 +35,7 @@
     Args:
         usual_seconds: Silence after which a server usually times out.
         silent_seconds: How long it has been silent.
-        answers_others: Whether it lately answered other requests.
+        answers_others: Whether it recently answered other requests.
     """
     if not answers_others or usual_seconds == float("inf"):
         return 0.0
--- a/src/milletcourse/exchange/limits/permit_retry_delays.py
+++ b/src/milletcourse/exchange/limits/permit_retry_delays.py
@@ -20,7 +20,7 @@
 
 
 class PermitRetryDelays:
-    """Server quotas of which this gateway was denied a permit lately."""
+    """Server quotas of which this gateway was denied a permit recently."""
 
     def __init__(self) -> None:
         self._delays: dict[int, _Delay] = {}
--- a/src/milletcourse/exchange/limits/quota_owner.py
+++ b/src/milletcourse/exchange/limits/quota_owner.py
@@ -52,7 +52,7 @@
         granted: The permit may be used now.
         permit_seconds: Time until there may be a permit for the requester.
         retry_seconds: Time after which it may request one again.
-        requesters: Number of gateways that requested permits lately.
+        requesters: Number of gateways that requested permits recently.
     """
 
     granted: bool
--- a/src/milletcourse/exchange/placement/cache_store_plan.py
+++ b/src/milletcourse/exchange/placement/cache_store_plan.py
@@ -1,9 +1,9 @@
 """What servers export to the KV-cache stores; no input/output.
 
 A server that is told to export a prompt sends its whole KV cache: that of the shared parts, which
-other servers may import, and that of the prompt's own last part, which no other request uses. Each
-export evicts older parts. A part that the store should still hold is therefore not sent again; and
-when parts are evicted before their expected reuse, prompts whose shared parts are small against
+other servers may import, and that of the prompt's unshared last part, which no other request uses.
+Each export evicts older parts. A part that the store should still hold is therefore not sent again;
+and when parts are evicted before their expected reuse, prompts whose shared parts are small against
 what is sent with them aren't exported at all.
 """
 
@@ -65,8 +65,7 @@
         return not (saves_little and _is_overcommitted(store, known, members, reuse_seconds, now))
 
     def on_sent(self, address: str, chain: PromptChain) -> None:
-        """Record an export: a server that was told to export has answered, so it read the
-        prompt."""
+        """Record an export: a server that was told to export has answered."""
         known = self._stores.setdefault(address, _Store())
         known.sent_tokens += chain.total_tokens
         part = chain.keys[chain.shared - 1]
--- a/src/milletcourse/exchange/placement/engine_load.py
+++ b/src/milletcourse/exchange/placement/engine_load.py
@@ -37,8 +37,8 @@
 middle ranks of most requests the bound is about the target. Without a bound an overload sustains
 itself: with a quarter of 45 servers unavailable from 2.5 s to 16.5 s, two in five requests are late
 until 24 s, against 14 s with a bound of 0.4 s. A small fleet needs a higher bound: five servers
-under high load meet 0.926 of their targets with 0.8, 0.940 with 1.0 and 0.950 with 1.25 (simulated
-for 34 s)."""
+under high load serve 0.926 of what they must with 0.8, 0.940 with 1.0 and 0.950 with 1.25
+(simulated for 34 s)."""
 RANK_FACTOR = 0.9
 """Factor on the bound for each lower rank, so that less urgent requests are refused first."""
 
@@ -89,12 +89,16 @@
 
     Args:
         load: Load of the server.
-        request: The request; its own part is prefilled wherever it runs.
+        request: The request; its unshared part is prefilled wherever it runs.
         max_gap_seconds: Longest allowed gap between events of streams; 0 when none is set.
     """
-    own_tokens = request.prompt_tokens - request.shared_tokens
-    reading = (load.waiting_tokens + own_tokens) / PREFILL_TOKENS_PER_SECOND
-    if not load.waiting_tokens or not max_gap_seconds or reading <= GAP_FRACTION * max_gap_seconds:
+    unshared_tokens = request.prompt_tokens - request.shared_tokens
+    prefill_seconds = (load.waiting_tokens + unshared_tokens) / PREFILL_TOKENS_PER_SECOND
+    if (
+        not load.waiting_tokens
+        or not max_gap_seconds
+        or prefill_seconds <= GAP_FRACTION * max_gap_seconds
+    ):
         return 0.0
     return load.requests * LATE_STREAM_SECONDS
 
--- a/src/milletcourse/exchange/placement/instance_selector.py
+++ b/src/milletcourse/exchange/placement/instance_selector.py
@@ -257,17 +257,19 @@
         now: float,
     ) -> float:
         """Time to reach a server and to prefill the part of a prompt that isn't cached there."""
-        held = float(self._held_tokens(instance, chain, now))
+        cached = float(self._cached_tokens(instance, chain, now))
         if is_home:
-            held = max(held, HOME_HIT_PROBABILITY * chain.shared_tokens)
-        missing_shared = max(chain.shared_tokens - held, 0.0)
+            cached = max(cached, HOME_HIT_PROBABILITY * chain.shared_tokens)
+        missing_shared = max(chain.shared_tokens - cached, 0.0)
         total = max(chain.total_tokens, request.prompt_tokens)
-        own = max(total - max(chain.shared_tokens, held), 0.0)
-        reading = (missing_shared * STORE_READ_COST_FRACTION + own) / PREFILL_TOKENS_PER_SECOND
+        unshared = max(total - max(chain.shared_tokens, cached), 0.0)
+        prefill_seconds = (
+            missing_shared * STORE_READ_COST_FRACTION + unshared
+        ) / PREFILL_TOKENS_PER_SECOND
         jitter = self._random.random() * ENGINE_JITTER_SECONDS
-        return reading + self._cross_zone_seconds(instance) + jitter
+        return prefill_seconds + self._cross_zone_seconds(instance) + jitter
 
-    def _held_tokens(self, instance: Instance, chain: PromptChain, now: float) -> int:
+    def _cached_tokens(self, instance: Instance, chain: PromptChain, now: float) -> int:
         """Tokens of a prompt that are assumed to be cached at a server."""
         depth = self.holders.cached_parts(instance.name, chain.keys, now)
         return chain.tokens[depth - 1] if depth else 0
@@ -284,7 +286,7 @@
     ) -> int:
         """Prompt tokens that the server has to prefill for a request."""
         chain = self._chain_at(instance, request, scope)
-        return max(request.prompt_tokens - self._held_tokens(instance, chain, now), 0)
+        return max(request.prompt_tokens - self._cached_tokens(instance, chain, now), 0)
 
     def note_sent(
         self, instance: Instance, request: ExchangeRequest, scope: str, now: float
--- a/src/milletcourse/exchange/placement/long_prompt_servers.py
+++ b/src/milletcourse/exchange/placement/long_prompt_servers.py
@@ -18,14 +18,15 @@
 from milletcourse.exchange.servers.instance_table import Instance
 
 ZONE_FRACTION = 1 / 6
-"""Fraction of a zone's servers. Where the lengths of own parts vary widely, a tenth of the prompts
-makes up a third of the prefilled tokens; together with their shared parts, which these servers
-don't have cached, that is the load of this fraction."""
+"""Fraction of a zone's servers. Where the lengths of unshared parts vary widely, a tenth of the
+prompts makes up a third of the prefilled tokens; together with their shared parts, which these
+servers don't have cached, that is the load of this fraction."""
 MIN_ZONE_SERVERS = 6
 """In zones with fewer servers all of them are needed as homes."""
 LONG_SECONDS = 0.15
-"""A prompt is long when prefill of its own part takes longer: together with its shared part that is
-a sequence of chunks; streams tolerate a few chunks between two events, not a queue of them."""
+"""A prompt is long when prefill of its unshared part takes longer: together with its shared part
+that is a sequence of chunks; streams tolerate a few chunks between two events, not a queue of
+them."""
 GENERATED_TOKEN_SECONDS = 0.005
 """Time to generate a token, in the order of today's engines. Compared with the prefill time it
 shows whether a request mostly generates."""
@@ -54,14 +55,14 @@
 
 
 def is_long(request: ExchangeRequest, tokens_per_second: float) -> bool:
-    """Whether prefill of a prompt's own part, which no server has cached, takes long.
+    """Whether prefill of a prompt's unshared part, which no server has cached, takes long.
 
     Args:
         request: The request.
         tokens_per_second: Prefill speed of servers.
     """
-    own_tokens = request.prompt_tokens - request.shared_tokens
-    return own_tokens > LONG_SECONDS * tokens_per_second
+    unshared_tokens = request.prompt_tokens - request.shared_tokens
+    return unshared_tokens > LONG_SECONDS * tokens_per_second
 
 
 def mostly_generates(request: ExchangeRequest, tokens_per_second: float) -> bool:
@@ -71,5 +72,5 @@
         request: The request.
         tokens_per_second: Prefill speed of servers.
     """
-    reading = request.prompt_tokens / tokens_per_second
-    return request.output_tokens * GENERATED_TOKEN_SECONDS > reading
+    prefill_seconds = request.prompt_tokens / tokens_per_second
+    return request.output_tokens * GENERATED_TOKEN_SECONDS > prefill_seconds
--- a/src/milletcourse/exchange/servers/server_health.py
+++ b/src/milletcourse/exchange/servers/server_health.py
@@ -113,8 +113,7 @@
             self._probe_running = True
 
     def is_ejected(self, now: float) -> bool:
-        """Whether it gets no new requests; after the ejection time one probe at a time is
-        allowed."""
+        """Whether it gets no new requests, apart from one probe at a time after the ejection."""
         if now < self._ejected_until:
             return True
         return self._needs_probe(now) and self._probe_running
