--- a/tests/exchange/limits/test_server_quotas.py
+++ b/tests/exchange/limits/test_server_quotas.py
@@ -117,7 +117,7 @@
         self.now = 100.0
         self.limits = ServerSignals()
         self.newest: tuple[float, float | None] | None = None
-        self.words: list[tuple[float, float | None]] = []
+        self.reports: list[tuple[float, float | None]] = []
 
     @rule(seconds=st.floats(0.01, 3.0))
     def wait(self, seconds: float) -> None:
@@ -221,18 +221,18 @@
 # -- granting permits -----------------------------------------------------------------------------
 
 
-class AskingGateways:
+class RequestingGateways:
     """Gateways that request permits from one quota owner whenever they may."""
 
     def __init__(self, per_second: float, gateways: int, demand: float, seed: int) -> None:
         self.random = random.Random(seed)
         self.per_second = per_second
-        self.lender = QuotaOwner(self.random)
+        self.owner = QuotaOwner(self.random)
         self.names = [f"g{number}" for number in range(gateways)]
         self.pauses = {name: PermitRetryDelays() for name in self.names}
         self.demand = demand
         self.granted: list[float] = []
-        self.asks = 0
+        self.permit_requests = 0
 
     def run(self, seconds: float) -> None:
         """Requests arrive at random times and unevenly at the gateways."""
@@ -247,8 +247,8 @@
         """A request at a gateway needs a permit."""
         if self.pauses[name].is_delayed(KEY, now):
             return
-        self.asks += 1
-        reply = self.lender.request_permit(
+        self.permit_requests += 1
+        reply = self.owner.request_permit(
             KEY, self.per_second, OwnerRole.HOME, len(self.names), name, 0, now
         )
         if reply.granted:
@@ -263,36 +263,34 @@
     """This holds for any share of one gateway and any excess of demand."""
     for factor in (1.5, 5.0, 100.0):
         seconds = 60.0 + 30.0 / per_second
-        asking = AskingGateways(per_second, gateways, factor * per_second, seed=gateways)
-        asking.run(seconds)
-        most = most_in_window(asking.granted, WINDOW_SECONDS)
+        fleet = RequestingGateways(per_second, gateways, factor * per_second, seed=gateways)
+        fleet.run(seconds)
+        most = most_in_window(fleet.granted, WINDOW_SECONDS)
         assert most <= per_second * WINDOW_SECONDS + BURST_PERMITS + 1
-        assert len(asking.granted) >= 0.85 * per_second * seconds, factor
+        assert len(fleet.granted) >= 0.85 * per_second * seconds, factor
 
 
 def test_the_owner_for_many_gateways_gets_few_requests() -> None:
     """Gateways that were denied a permit spread their next requests."""
-    asking = AskingGateways(1.0, 420, 400.0, seed=1)
-    asking.run(30.0)
-    assert asking.asks / 30.0 < 450
+    fleet = RequestingGateways(1.0, 420, 400.0, seed=1)
+    fleet.run(30.0)
+    assert fleet.permit_requests / 30.0 < 450
 
 
 def test_a_quota_starts_empty_and_accumulates_little() -> None:
     """Neither a restart nor an idle time allows a burst to a loaded server."""
-    lender = QuotaOwner(random.Random(1))
-    assert not lender.request_permit(KEY, 2.0, OwnerRole.HOME, 3, "g1", 0, 10.0).granted
-    replies = [
-        lender.request_permit(KEY, 2.0, OwnerRole.HOME, 3, "g1", 0, 1000.0) for _ in range(9)
-    ]
+    owner = QuotaOwner(random.Random(1))
+    assert not owner.request_permit(KEY, 2.0, OwnerRole.HOME, 3, "g1", 0, 10.0).granted
+    replies = [owner.request_permit(KEY, 2.0, OwnerRole.HOME, 3, "g1", 0, 1000.0) for _ in range(9)]
     assert sum(reply.granted for reply in replies) == BURST_PERMITS
 
 
 def test_a_deputy_grants_half_and_an_isolated_gateway_its_share() -> None:
     """Gateways that can't reach the same owner must not each use the whole quota."""
-    for standing, part in ((OwnerRole.DEPUTY, 0.5), (OwnerRole.LOCAL_SHARE, 1 / 10)):
-        lender = QuotaOwner(random.Random(1))
+    for role, part in ((OwnerRole.DEPUTY, 0.5), (OwnerRole.LOCAL_SHARE, 1 / 10)):
+        owner = QuotaOwner(random.Random(1))
         granted = [
-            lender.request_permit(KEY, 5.0, standing, 10, "g1", 0, step / 100).granted
+            owner.request_permit(KEY, 5.0, role, 10, "g1", 0, step / 100).granted
             for step in range(4000)
         ]
         assert sum(granted) <= 40 * 5.0 * part + DEPUTY_BURST_PERMITS
@@ -300,24 +298,24 @@
 
 def test_more_urgent_requests_have_priority_and_others_are_not_starved() -> None:
     """The demand of each rank exceeds the quota."""
-    lender = QuotaOwner(random.Random(1))
+    owner = QuotaOwner(random.Random(1))
     counts = {0: 0, 2: 0}
     source = random.Random(2)
     now = 0.0
     while now < 100.0:
         now += source.expovariate(20.0)
         rank = source.choice([0, 2])
-        counts[rank] += lender.request_permit(KEY, 2.0, OwnerRole.HOME, 5, "g1", rank, now).granted
+        counts[rank] += owner.request_permit(KEY, 2.0, OwnerRole.HOME, 5, "g1", rank, now).granted
     assert counts[0] > 2 * counts[2]
     assert counts[2] > 0.1 * counts[0]
 
 
 def test_lowering_a_limit_drops_accumulated_permits() -> None:
     """No debt is carried over either."""
-    lender = QuotaOwner(random.Random(1))
-    lender.request_permit(KEY, 10.0, OwnerRole.HOME, 3, "g1", 0, 0.0)
+    owner = QuotaOwner(random.Random(1))
+    owner.request_permit(KEY, 10.0, OwnerRole.HOME, 3, "g1", 0, 0.0)
     granted = [
-        lender.request_permit(KEY, 0.5, OwnerRole.HOME, 3, "g1", 0, 10.0 + step / 10).granted
+        owner.request_permit(KEY, 0.5, OwnerRole.HOME, 3, "g1", 0, 10.0 + step / 10).granted
         for step in range(40)
     ]
     assert sum(granted) <= BURST_PERMITS + 0.5 * 4
@@ -325,52 +323,52 @@
 
 def test_accounts_are_bounded() -> None:
     """This holds for any number of keys."""
-    lender = QuotaOwner(random.Random(1))
+    owner = QuotaOwner(random.Random(1))
     for key in range(2 * MAX_ACCOUNTS):
-        lender.request_permit(key, 1.0, OwnerRole.HOME, 3, "g1", 0, 1.0)
-    assert len(lender._accounts) <= MAX_ACCOUNTS
+        owner.request_permit(key, 1.0, OwnerRole.HOME, 3, "g1", 0, 1.0)
+    assert len(owner._accounts) <= MAX_ACCOUNTS
 
 
 # -- selection of owners --------------------------------------------------------------------------
 
 
-def _homes(size: int) -> dict[str, QuotaOwnerSelector]:
+def _selectors(size: int) -> dict[str, QuotaOwnerSelector]:
     names = [f"g{number}" for number in range(size)]
-    all_homes = {name: QuotaOwnerSelector(name) for name in names}
-    for name, homes in all_homes.items():
-        homes.set_peers([other for other in names if other != name])
-    return all_homes
+    selectors = {name: QuotaOwnerSelector(name) for name in names}
+    for name, selector in selectors.items():
+        selector.set_peers([other for other in names if other != name])
+    return selectors
 
 
 def test_all_gateways_select_the_same_owner() -> None:
     """The owner knows that it is the home, and quotas are spread over the gateways."""
-    all_homes = _homes(23)
-    lenders = []
+    selectors = _selectors(23)
+    owners = []
     for key in range(200):
-        chosen = {homes.select(key, 0.0).name for homes in all_homes.values()}
+        chosen = {selector.select(key, 0.0).name for selector in selectors.values()}
         assert len(chosen) == 1
         name = chosen.pop()
-        assert all_homes[name].own_role(key) is OwnerRole.HOME
-        lenders.append(name)
-    assert len(set(lenders)) == 23
+        assert selectors[name].own_role(key) is OwnerRole.HOME
+        owners.append(name)
+    assert len(set(owners)) == 23
 
 
 def test_a_silent_home_is_replaced_by_its_deputy_and_tried_again() -> None:
     """When both are silent, the gateway uses its own share."""
-    homes = _homes(5)["g0"]
-    key = next(key for key in range(100) if "g0" not in homes._owners_of(key))
-    home = homes.select(key, 0.0).name
-    homes.on_no_reply(home, 0.0)
-    deputy = homes.select(key, 0.1)
+    selector = _selectors(5)["g0"]
+    key = next(key for key in range(100) if "g0" not in selector._owners_of(key))
+    home = selector.select(key, 0.0).name
+    selector.on_no_reply(home, 0.0)
+    deputy = selector.select(key, 0.1)
     assert deputy.role is OwnerRole.DEPUTY
-    homes.on_no_reply(deputy.name, 0.1)
-    assert homes.select(key, 0.2).role is OwnerRole.LOCAL_SHARE
-    assert homes.select(key, FIRST_SKIP_SECONDS + 0.05).name == home
+    selector.on_no_reply(deputy.name, 0.1)
+    assert selector.select(key, 0.2).role is OwnerRole.LOCAL_SHARE
+    assert selector.select(key, FIRST_SKIP_SECONDS + 0.05).name == home
     for _ in range(9):
-        homes.on_no_reply(home, 2.0)
-    assert homes.select(key, 2.0 + MAX_SKIP_SECONDS + 0.1).name == home
-    homes.on_reply(home)
-    assert homes.select(key, 2.1).name == home
+        selector.on_no_reply(home, 2.0)
+    assert selector.select(key, 2.0 + MAX_SKIP_SECONDS + 0.1).name == home
+    selector.on_reply(home)
+    assert selector.select(key, 2.1).name == home
 
 
 def test_without_peers_a_gateway_uses_its_local_share() -> None:
--- a/tests/exchange/limits/test_tenant_limits.py
+++ b/tests/exchange/limits/test_tenant_limits.py
@@ -219,7 +219,7 @@
 GATEWAYS = 6
 MAX_REQUEST = 30
 """In thousandths of the rate: the ratio of the users' longest prompts to a large tenant's limit."""
-MOST_DEMAND = 3.0
+MAX_DEMAND = 3.0
 """As a multiple of the limit. Requests within the delay of reports may exceed the bound, so demand
 must be bounded."""
 
@@ -243,7 +243,7 @@
         self.now = 100.0
         self.random = random.Random(7)
         self.names = [f"g{number}" for number in range(GATEWAYS)]
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self.tenant = _tenant()
         self.rates: deque[tuple[float, float]] = deque([(float("-inf"), RATE)])
         self.admitted: deque[tuple[float, float]] = deque()
@@ -270,11 +270,11 @@
     def _run(self, seconds: float, demand: float) -> None:
         for _ in range(round(seconds / TICK_SECONDS)):
             self.now += TICK_SECONDS
-            self._ask(demand * RATE * TICK_SECONDS)
+            self._send_requests(demand * RATE * TICK_SECONDS)
             for name in self.names:
-                self._tell(name)
+                self._report(name)
 
-    def _ask(self, tokens: float) -> None:
+    def _send_requests(self, tokens: float) -> None:
         while tokens > 0.0:
             size = self.random.randint(1, MAX_REQUEST)
             tokens -= size
@@ -283,16 +283,16 @@
             if spent is None:
                 self.admitted.append((self.now, size))
 
-    def _tell(self, name: str) -> None:
+    def _report(self, name: str) -> None:
         clock = self._clock(name)
         reader = "" if name == self.names[0] else self.names[0]
         uses = self.limits[name].tick(clock)
         for outgoing in self.loads[name].tick(clock, [], reader, uses):
             for receiver in outgoing.receivers:
-                if not {name, receiver} & self.cut:
+                if not {name, receiver} & self.partitioned:
                     self.loads[receiver].on_message(outgoing.message, self._clock(receiver))
 
-    @rule(seconds=st.floats(0.5, 3.0), demand=st.floats(0.0, MOST_DEMAND))
+    @rule(seconds=st.floats(0.5, 3.0), demand=st.floats(0.0, MAX_DEMAND))
     def go_on(self, seconds: float, demand: float) -> None:
         """Time passes under some demand."""
         self._run(seconds, demand)
@@ -300,7 +300,7 @@
     @rule(number=st.integers(0, GATEWAYS - 1))
     def cut_or_heal(self, number: int) -> None:
         """A gateway is partitioned from the others, or reaches them again."""
-        self.cut ^= {self.names[number]}
+        self.partitioned ^= {self.names[number]}
 
     @rule(number=st.integers(0, GATEWAYS - 1))
     def restart(self, number: int) -> None:
--- a/tests/exchange/placement/test_placement.py
+++ b/tests/exchange/placement/test_placement.py
@@ -320,10 +320,10 @@
 # -- weight versions ---------------------------------------------------------------------------
 
 
-def _gate_with_newer(named_at: float) -> VersionGate:
+def _gate_with_newer(set_at: float) -> VersionGate:
     gate = VersionGate(8.0)
-    gate.on_target(ModelTarget("m", 1), named_at - 20.0)
-    gate.on_target(ModelTarget("m", 2), named_at)
+    gate.on_target(ModelTarget("m", 1), set_at - 20.0)
+    gate.on_target(ModelTarget("m", 2), set_at)
     return gate
 
 
--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -375,11 +375,11 @@
         self.loading: dict[str, tuple[float, int]] = {}
         self.late: list[tuple[float, WeightOrder]] = []
         self.loads = 0
-        self.most_at_once = 0
-        self.lose = 0.0
-        self.unslowed = size
+        self.max_parallel = 0
+        self.loss_rate = 0.0
+        self.unslowed_loads = size
 
-    def name(self, version: int, now: float) -> None:
+    def set_version(self, version: int, now: float) -> None:
         """The operator sets a version."""
         self.gate.on_target(ModelTarget(MODEL, version), now)
 
@@ -392,11 +392,11 @@
             return OrderReply.HOLDS
         self.sequences[name] += 1
         self.loads += 1
-        slowed = max((len(self.loading) + 1) / self.unslowed - 1.0, 0.0) * self.LOAD_SECONDS
+        slowed = max((len(self.loading) + 1) / self.unslowed_loads - 1.0, 0.0) * self.LOAD_SECONDS
         for other, (ends_at, version) in self.loading.items():
             self.loading[other] = (ends_at + slowed, version)
         self.loading[name] = (now + self.LOAD_SECONDS + slowed, order.version)
-        self.most_at_once = max(self.most_at_once, len(self.loading))
+        self.max_parallel = max(self.max_parallel, len(self.loading))
         return OrderReply.TAKEN
 
     def tick(self, now: float) -> None:
@@ -411,7 +411,7 @@
                 self.take(order, now)
         by_name = {instance.name: instance for instance in self.instances}
         for order in self.plan.next_orders(self.instances, now, "holder", 1):
-            if self.random.random() < self.lose:
+            if self.random.random() < self.loss_rate:
                 self.late.append((now + self.random.uniform(0.5, 6.0), order))
                 reply = OrderReply.UNANSWERED
             else:
@@ -431,17 +431,17 @@
 ) -> None:
     """It is late enough for one load to include a second version, with few servers at a time."""
     fleet = Fleet(size, 1)
-    fleet.unslowed = parallel
-    fleet.name(1, 0.0)
-    fleet.name(2, 1.0)
+    fleet.unslowed_loads = parallel
+    fleet.set_version(1, 0.0)
+    fleet.set_version(2, 1.0)
     for step in range(10, 100):
         now = step / 10
         if step == 25:
-            fleet.name(3, now)
+            fleet.set_version(3, now)
         fleet.tick(now)
         if now >= 1.0 + BOUND - 0.5:
             assert min(fleet.versions.values()) > 1
-    assert fleet.most_at_once <= parallel
+    assert fleet.max_parallel <= parallel
     assert fleet.loads < 2 * size
 
 
@@ -449,12 +449,12 @@
     """It needs fewer rounds when loads don't slow each other, and never loads most servers."""
     fleet = Fleet(45, 1)
     fleet.rate = 6.0
-    fleet.name(1, 0.0)
-    fleet.name(2, 1.0)
+    fleet.set_version(1, 0.0)
+    fleet.set_version(2, 1.0)
     for step in range(10, 60):
         fleet.tick(step / 10)
     assert set(fleet.versions.values()) == {2}
-    assert 7 < fleet.most_at_once <= 15
+    assert 7 < fleet.max_parallel <= 15
 
 
 @given(st.lists(st.floats(0.01, 10.0), max_size=80), st.integers(1, 200))
@@ -472,13 +472,13 @@
 def test_lost_and_late_orders_never_downgrade_a_server(seed: int) -> None:
     """Each server ends on the newest version, and versions only rise."""
     fleet = Fleet(6, seed)
-    fleet.lose = 0.4
-    fleet.name(1, 0.0)
+    fleet.loss_rate = 0.4
+    fleet.set_version(1, 0.0)
     before = dict(fleet.versions)
     for step in range(10, 300):
         now = step / 10
         if step in (10, 42, 74):
-            fleet.name(2 + (step - 10) // 32, now)
+            fleet.set_version(2 + (step - 10) // 32, now)
         fleet.tick(now)
         assert all(fleet.versions[name] >= version for name, version in before.items())
         before = dict(fleet.versions)
@@ -527,8 +527,8 @@
         latest = {name: item for name, item in latest.items() if now - item[1] < 1.0}
         known = latest.get(sender)
         newer = known is None or sequence > known[0]
-        told_loads = [InstanceLoad(*load) for load in loads]
-        assert peers.on_told(sender, sequence, told_loads, now) == newer
+        reported_loads = [InstanceLoad(*load) for load in loads]
+        assert peers.on_told(sender, sequence, reported_loads, now) == newer
         if newer:
             latest[sender] = (sequence, now, loads)
         for key in (1, 2, 3):
