--- a/src/milletcourse/exchange/mechanisms.py
+++ b/src/milletcourse/exchange/mechanisms.py
@@ -12,7 +12,7 @@
 class Mechanism(Enum):
     """A mechanism with its name on the command line and its description."""
 
-    TERMINATED_INCARNATIONS = (
+    INCARNATION_CHECK = (
         "ended-incarnations",
         "an answer of another incarnation at its address takes one out of use, at all gateways",
     )
--- a/src/milletcourse/exchange/placement/engine_load.py
+++ b/src/milletcourse/exchange/placement/engine_load.py
@@ -19,7 +19,8 @@
 """Estimated delay that each running request adds to a new request."""
 SLOT_WAIT_SECONDS = 0.15
 """Wait for a slot per request that is ahead in the queue. Streams of some 300 tokens take 1.5 s at
-an idle server and 2.5 s between prefill chunks, so each of 16 slots becomes free at this rate."""
+an idle server and 2.5 s between prefill chunks, so one of 16 slots becomes free in about this
+time."""
 MEMORY_FULL_SECONDS = 0.4
 """Cost of a prompt that doesn't fit into a server's memory. A running request is preempted and its
 prompt prefilled again: some 9,000 tokens, during which all streams of the server wait."""
--- a/src/milletcourse/exchange/placement/instance_selector.py
+++ b/src/milletcourse/exchange/placement/instance_selector.py
@@ -38,7 +38,7 @@
 HOME_HIT_PROBABILITY = 0.8
 """Probability that the home of a shared part has it cached by requests of other gateways."""
 MIN_SHARED_TOKENS = 512
-"""Prompts with shorter shared parts have no home."""
+"""Prompts with shorter shared parts have no home: too little prefill is saved there."""
 CROSS_ZONE_SECONDS = 0.008
 """Cost of crossing zones: the network round trip and the price of the transferred bytes."""
 ENGINE_JITTER_SECONDS = 0.002
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -364,9 +364,7 @@
         if known is not None and started_ms and started_ms < known.record.started_ms:
             # It has started again since.
             return False
-        if Mechanism.TERMINATED_INCARNATIONS not in self.mechanisms or not self.instances.terminate(
-            name
-        ):
+        if Mechanism.INCARNATION_CHECK not in self.mechanisms or not self.instances.terminate(name):
             return False
         self.record.instance_ended(name, successor)
         self.crash_watch.on_instance_ended(name)
--- a/tests/exchange/limits/test_connection_share.py
+++ b/tests/exchange/limits/test_connection_share.py
@@ -17,7 +17,9 @@
 
 
 @pytest.mark.parametrize(("takes", "members"), SIZES)
-def test_all_gateways_together_keep_no_more_than_a_server_takes(takes: int, members: int) -> None:
+def test_all_gateways_together_keep_no_more_connections_than_a_server_accepts(
+    takes: int, members: int
+) -> None:
     """This also holds with fewer connections than gateways."""
     parts = [connection_share(takes, members, f"front-{n}", ADDRESS) for n in range(members)]
     assert 0.8 * RANDOM_KEEP_FACTOR * KEPT_FRACTION * takes <= sum(parts) <= takes
--- a/tests/exchange/placement/test_cache_store_plan.py
+++ b/tests/exchange/placement/test_cache_store_plan.py
@@ -93,7 +93,7 @@
     ),
     st.integers(1, 400),
 )
-def test_what_saves_much_is_never_kept_from_a_store_that_lacks_it(
+def test_prompts_that_save_much_are_always_sent_to_a_store_that_lacks_them(
     sent: list[tuple[int, int, int, float]], members: int
 ) -> None:
     """This holds after any sequence of exports."""
--- a/tests/exchange/placement/test_placement.py
+++ b/tests/exchange/placement/test_placement.py
@@ -207,7 +207,7 @@
         max_size=60,
     )
 )
-def test_nothing_is_believed_that_was_not_sent_lately(
+def test_only_recently_sent_parts_are_assumed_cached(
     steps: list[tuple[str, int, int, float]],
 ) -> None:
     """Compared with a plain record of what was sent."""
--- a/tests/gateway/requests/test_refusals_hold.py
+++ b/tests/gateway/requests/test_refusals_hold.py
@@ -25,7 +25,7 @@
 """After the clients' deadline."""
 SETTLE_SECONDS = 0.5
 """What servers may still do after the last answer is done by then."""
-NEVER_RUN_STATUSES = (408, 421, 429, 503)
+PROMISES = (408, 421, 429, 503)
 """Statuses that say: it has not run and never will."""
 FATES = (
     "serve",
@@ -109,7 +109,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
         for name, got in answers.items():
             assert got is not None, "a request that was read whole gets an answer"
-            if got.status in NEVER_RUN_STATUSES:
+            if got.status in PROMISES:
                 assert servers.runs[name] == 0
                 assert float(got.headers["retry-after"]) > 0.0
             if got.status == 200:
