--- a/src/milletcourse/exchange/placement/engine_load.py
+++ b/src/milletcourse/exchange/placement/engine_load.py
@@ -32,7 +32,7 @@
 LATE_STREAM_SECONDS = 0.03
 """Cost per stream that a prompt makes late. Without this cost one stream in twenty is late for this
 reason even at normal load."""
-MAX_WAIT_FRACTION = 1.25
+MAX_WAIT_TARGET_FACTOR = 1.25
 """A request of the highest rank is refused when its expected wait at the best server exceeds this
 multiple of its route's target latency: its answer would be late, and make others late. For the
 middle ranks of most requests the bound is about the target. Without a bound an overload sustains
@@ -111,5 +111,5 @@
     """
     if not route.target_latency_seconds:
         return float("inf")
-    share = MAX_WAIT_FRACTION * RANK_FACTOR ** request_rank(route, tenant)
+    share = MAX_WAIT_TARGET_FACTOR * RANK_FACTOR ** request_rank(route, tenant)
     return share * route.target_latency_seconds
--- a/src/milletcourse/exchange/placement/long_prompt_servers.py
+++ b/src/milletcourse/exchange/placement/long_prompt_servers.py
@@ -19,8 +19,8 @@
 
 ZONE_FRACTION = 1 / 6
 """Fraction of a zone's servers. Where the lengths of unshared parts vary widely, a tenth of the
-prompts makes up a third of the prefilled tokens; together with their shared parts, which these
-servers don't have cached, that is the load of this fraction."""
+prompts makes up a third of the prefilled tokens; together with the prefill of shared parts that
+moves here from their homes, that is the load of this fraction."""
 MIN_ZONE_SERVERS = 6
 """In zones with fewer servers all of them are needed as homes."""
 LONG_SECONDS = 0.15
--- a/src/milletcourse/exchange/servers/instance_table.py
+++ b/src/milletcourse/exchange/servers/instance_table.py
@@ -172,7 +172,7 @@
             self.remove(name, now)
 
     def on_entry(self, record: InstanceRecord, now: float) -> None:
-        """Apply an entry of the discovery; one that a restored snapshot contains is held back."""
+        """Apply an entry of the discovery; a departed server's restored entry is held back."""
         if record.name in self._instances or not self._tombstones.holds_back(record, now):
             self.upsert(record)
 
--- a/tests/exchange/placement/test_engine_load.py
+++ b/tests/exchange/placement/test_engine_load.py
@@ -28,7 +28,7 @@
     WeightedService,
 )
 from milletcourse.exchange.placement.engine_load import (
-    MAX_WAIT_FRACTION,
+    MAX_WAIT_TARGET_FACTOR,
     SLOT_WAIT_SECONDS,
     ServerLoad,
     interference_seconds,
@@ -119,7 +119,7 @@
 def test_a_route_without_a_target_has_no_bound() -> None:
     """Without a target latency a request waits for its answer as long as it takes."""
     assert max_wait_seconds(_route(0.0), None) == float("inf")
-    assert max_wait_seconds(_route(0.8), None) == pytest.approx(0.8 * MAX_WAIT_FRACTION)
+    assert max_wait_seconds(_route(0.8), None) == pytest.approx(0.8 * MAX_WAIT_TARGET_FACTOR)
 
 
 def test_less_urgent_requests_are_refused_first() -> None:
