--- a/src/milletcourse/exchange/attempts/answer_rules.py
+++ b/src/milletcourse/exchange/attempts/answer_rules.py
@@ -1,21 +1,21 @@
-"""What a whole answer of a server means for its request; no input/output."""
+"""Classifies complete answers of servers; no input/output."""
 
 from __future__ import annotations
 
 from milletcourse.exchange.messages.messages import AnswerHead, AttemptResult
 
 MISDIRECTED = 421
-PROMISES = frozenset({408, 429, 503})
-"""Statuses that promise a client that its request has not run and never will."""
+NEVER_RUN_STATUSES = frozenset({408, 429, 503})
+"""Statuses by which a gateway guarantees a client that its request has not run and never will."""
 
 
-def judge_answer(head: AnswerHead, instance: str, expected_version: int | None) -> AttemptResult:
-    """The result of an attempt that ended with a whole answer.
+def classify_answer(head: AnswerHead, instance: str, expected_version: int | None) -> AttemptResult:
+    """The result of an attempt that ended with a complete answer.
 
     Args:
         head: Head of the answer.
         instance: Incarnation that the request was sent to.
-        expected_version: Weight version that the request demanded, None if none.
+        expected_version: Weight version that the request required, None if none.
     """
     if head.status == MISDIRECTED:
         if expected_version is None or head.instance not in ("", instance):
@@ -23,8 +23,9 @@
         return AttemptResult.WRONG_VERSION
     if head.not_executed:
         return AttemptResult.TURNED_AWAY
-    if head.encoded or head.status in PROMISES:
-        # Only a server that says so has not run it: a bare promise can't be passed on.
+    if head.encoded or head.status in NEVER_RUN_STATUSES:
+        # Without the explicit not-executed marker the server may have run the request, so that the
+        # status can't be forwarded as a guarantee.
         return AttemptResult.LOST
     if not head.successful:
         return AttemptResult.FAILED
--- a/src/milletcourse/exchange/attempts/handover.py
+++ b/src/milletcourse/exchange/attempts/handover.py
@@ -1,9 +1,10 @@
-"""Which of two servers goes on with a stream that has begun; no input/output.
+"""Hands a started stream over from a silent server to another one; no input/output.
 
-A server that falls silent in the middle of a stream may be dead, or may have given its memory to
-more urgent work and finish later. So the stream is offered to another server while the first one
-still has it, and the first one is ended only when the other has begun to go on. What comes first
-decides: a piece from either ends the other. Without one the first server keeps the stream.
+A server that falls silent in the middle of a stream may have crashed, or may have given its memory
+to more urgent work and finish later. The stream is therefore offered to another server while the
+first one still has it, and the first attempt is cancelled only when the successor has started to
+continue the stream. The first chunk decides: a chunk from either server cancels the other attempt.
+Without any chunk the first server keeps the stream.
 """
 
 from __future__ import annotations
@@ -11,10 +12,11 @@
 from enum import Enum
 
 MAX_OVERLAP_SECONDS = 0.3
-"""Both may work on the stream for so long: 0.4 s are allowed, less the way of a close."""
+"""Time for which both servers may work on the stream: 0.4 s are allowed, minus the time that a
+cancellation takes to reach a server."""
 
 
-class Runner(Enum):
+class HandoverSide(Enum):
     """One of the two servers of a stream."""
 
     FIRST = "first"
@@ -22,79 +24,79 @@
 
 
 class HandoverState(Enum):
-    """Who has the stream."""
+    """Which servers work on the stream."""
 
-    ALONE = "alone"
-    """One server."""
+    SINGLE = "alone"
+    """One server has the stream."""
     OFFERED = "offered"
-    """Another one has been asked to go on, and nothing is decided."""
+    """A successor was asked to continue, and nothing is decided yet."""
     HANDED_OVER = "handed-over"
-    """The other one goes on; the end of the first is about to be seen."""
-    OVER = "over"
-    """Nobody: the request has ended."""
+    """The successor continues; the first attempt is being cancelled."""
+    FINISHED = "over"
+    """No server: the request has ended."""
 
 
-class HandoverStep(Enum):
-    """What is to be done."""
+class HandoverAction(Enum):
+    """Action that the caller must take."""
 
     WAIT = "wait"
-    END_FIRST = "end-first"
-    END_SUCCESSOR = "end-successor"
+    CANCEL_FIRST = "end-first"
+    CANCEL_SUCCESSOR = "end-successor"
 
 
 class Handover:
-    """One running answer, and at most one offer to go on with it.
+    """One running answer, and at most one offer to continue it.
 
     Attributes:
-        state: Who has the stream.
+        state: Which servers work on the stream.
     """
 
     def __init__(self) -> None:
-        self.state = HandoverState.ALONE
+        self.state = HandoverState.SINGLE
 
     @property
     def may_offer(self) -> bool:
-        """Whether another server may be asked."""
-        return self.state is HandoverState.ALONE
+        """Whether a successor may be asked."""
+        return self.state is HandoverState.SINGLE
 
     def on_offer(self) -> None:
-        """Another server is asked."""
-        assert self.may_offer, "one successor at a time, and only while the request lasts"
+        """Record that a successor is asked."""
+        assert self.may_offer, "only one successor at a time, and only while the request runs"
         self.state = HandoverState.OFFERED
 
-    def on_piece(self, runner: Runner) -> HandoverStep:
-        """A whole piece of the stream has come."""
+    def on_chunk(self, runner: HandoverSide) -> HandoverAction:
+        """Record a complete chunk of the stream; the first one after an offer decides."""
         if self.state is not HandoverState.OFFERED:
-            return HandoverStep.WAIT
-        if runner is Runner.FIRST:
-            self.state = HandoverState.ALONE
-            return HandoverStep.END_SUCCESSOR
+            return HandoverAction.WAIT
+        if runner is HandoverSide.FIRST:
+            self.state = HandoverState.SINGLE
+            return HandoverAction.CANCEL_SUCCESSOR
         self.state = HandoverState.HANDED_OVER
-        return HandoverStep.END_FIRST
+        return HandoverAction.CANCEL_FIRST
 
-    def on_overlap_over(self) -> HandoverStep:
-        """Both have had the stream for as long as they may, and neither has said anything."""
+    def on_overlap_timeout(self) -> HandoverAction:
+        """Cancel the successor when the overlap time ends without a chunk from either server."""
         if self.state is not HandoverState.OFFERED:
-            return HandoverStep.WAIT
-        self.state = HandoverState.ALONE
-        return HandoverStep.END_SUCCESSOR
+            return HandoverAction.WAIT
+        self.state = HandoverState.SINGLE
+        return HandoverAction.CANCEL_SUCCESSOR
 
     def on_successor_end(self) -> bool:
-        """The other server's attempt ended.
+        """Record the end of the successor's attempt.
 
         Returns:
-            Whether nothing had been decided, so that the next server may be asked.
+            Whether nothing was decided yet, so that another successor may be asked.
         """
         if self.state is not HandoverState.OFFERED:
             return False
-        self.state = HandoverState.ALONE
+        self.state = HandoverState.SINGLE
         return True
 
     def on_first_end(self) -> None:
-        """The attempt at the first server ended: whoever was asked is the first one now."""
-        if self.state is not HandoverState.OVER:
-            self.state = HandoverState.ALONE
+        """Record the end of the first attempt: a successor that was asked is the first one now."""
+        if self.state is not HandoverState.FINISHED:
+            self.state = HandoverState.SINGLE
 
     def on_request_end(self) -> None:
-        """The request has its answer, or none."""
-        self.state = HandoverState.OVER
+        """Record the end of the request, with or without an answer."""
+        self.state = HandoverState.FINISHED
