--- a/src/milletcourse/cli/signals.py
+++ b/src/milletcourse/cli/signals.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from milletcourse.cli.operator_port import GatewayOption, call_gateway
-from milletcourse.exchange.load.known_server import ServerSignalState
+from milletcourse.exchange.load.signal_record import ServerSignalState
 from milletcourse.gateway.operator_api import SIGNALS_PATH
 
 
--- a/src/milletcourse/configuration/service.py
+++ b/src/milletcourse/configuration/service.py
@@ -18,7 +18,7 @@
 from milletcourse.configuration.store import ChangesPage, ChangesRequest, ConfigurationStore
 from milletcourse.control.lease import NOT_THERE, LeaseSpec, LeaseTracker
 from milletcourse.errors import FailureError, HistoryExpired, VersionConflict
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.logs import get_logger
 from milletcourse.membership.messages import PlatformStamp
 from milletcourse.peers import PeerClient
--- a/src/milletcourse/control/lease.py
+++ b/src/milletcourse/control/lease.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 
 DEFAULT_DURATION_SECONDS = 6.0
 """Short enough to replace a dead holder within seconds, long enough for few renewals."""
--- a/src/milletcourse/exchange/load/server_signals.py
+++ b/src/milletcourse/exchange/load/server_signals.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 
-from milletcourse.exchange.load.known_server import (
+from milletcourse.exchange.load.signal_record import (
     ANSWER,
     ENTRY,
     PEER,
--- a/src/milletcourse/exchange/messages/dialect.py
+++ b/src/milletcourse/exchange/messages/dialect.py
@@ -19,7 +19,7 @@
     HeaderField,
     PromptPart,
 )
-from milletcourse.exchange.messages.server_signals import (
+from milletcourse.exchange.messages.signal_headers import (
     NO_REST,
     RestReading,
     read_leaving,
--- a/src/milletcourse/exchange/messages/feed_messages.py
+++ b/src/milletcourse/exchange/messages/feed_messages.py
@@ -16,7 +16,7 @@
 from milletcourse.exchange.messages.compression import deflate, inflate
 from milletcourse.exchange.messages.configuration_effect import ConfigurationEffect
 from milletcourse.exchange.messages.content_patch import ContentPatch
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 
 COMPRESSED_FROM_BYTES = 4096
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
--- a/src/milletcourse/exchange/messages/messages.py
+++ b/src/milletcourse/exchange/messages/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.server_signals import (
+from milletcourse.exchange.messages.signal_headers import (
     NO_LIMIT,
     NO_REST,
     NOT_LEAVING,
--- a/src/milletcourse/exchange/messages/peer_messages.py
+++ b/src/milletcourse/exchange/messages/peer_messages.py
@@ -13,7 +13,7 @@
 import msgspec
 import xxhash
 
-from milletcourse.exchange.messages.server_signals import MAX_LIMIT_PER_SECOND
+from milletcourse.exchange.messages.signal_headers import MAX_LIMIT_PER_SECOND
 
 NOTICE_REPEATS = 3
 """Times that a notice is sent, against loss."""
--- a/src/milletcourse/exchange/messages/allowance_messages.py
+++ b/src/milletcourse/exchange/messages/quota_messages.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.peer_messages import Age
-from milletcourse.exchange.messages.server_signals import MAX_LIMIT_PER_SECOND
+from milletcourse.exchange.messages.signal_headers import MAX_LIMIT_PER_SECOND
 
 _MARK = b"\xc1"
 """First byte of these datagrams: one with which no message about load begins (msgpack)."""
--- a/src/milletcourse/exchange/reading/confirmed_era.py
+++ b/src/milletcourse/exchange/reading/confirmed_era.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 
 FIRST_ERA = 0
 """A store in this era, or one that tells none, has never come back."""
--- a/src/milletcourse/exchange/reading/pending_contents.py
+++ b/src/milletcourse/exchange/reading/pending_contents.py
@@ -12,7 +12,7 @@
 
 from milletcourse.exchange.messages.content_patch import ContentPatch
 from milletcourse.exchange.messages.feed_messages import ContentQuestion, FedKind, FedObject
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 
 MAX_WAITING = 8
 """Answers of one kind; when more wait, the reader is asked again for all behind the first one, and
--- a/src/milletcourse/exchange/rollout/version_gate.py
+++ b/src/milletcourse/exchange/rollout/version_gate.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.records import ModelTarget
-from milletcourse.exchange.rollout.roll_out_timing import GRACE_SECONDS, NamingRhythm
+from milletcourse.exchange.rollout.rollout_timing import GRACE_SECONDS, NamingRhythm
 
 USE_MARGIN_SECONDS = 1.0
 """An older version gets no new work this long before its bound."""
--- a/src/milletcourse/exchange/rollout/roll_out.py
+++ b/src/milletcourse/exchange/rollout/weight_rollout.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from milletcourse.exchange.counting.load_window import LoadWindow
-from milletcourse.exchange.rollout.roll_out_timing import is_worth_loading
+from milletcourse.exchange.rollout.rollout_timing import is_worth_loading
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import Instance
 
--- a/src/milletcourse/experiments/return_model.py
+++ b/src/milletcourse/experiments/return_model.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
 from milletcourse.gateway.store.kind_watch import (
     FIRST_PAUSE_SECONDS,
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -6,12 +6,6 @@
 from typing import cast
 
 from milletcourse.exchange.load.load_exchange import TICK_SECONDS, Outgoing
-from milletcourse.exchange.messages.allowance_messages import (
-    UnitMessage,
-    decode_unit_message,
-    encode_unit_message,
-    is_unit_message,
-)
 from milletcourse.exchange.messages.peer_messages import (
     LoadScope,
     ServerNotice,
@@ -19,8 +13,14 @@
     decode_message,
     encode_message,
 )
+from milletcourse.exchange.messages.quota_messages import (
+    UnitMessage,
+    decode_unit_message,
+    encode_unit_message,
+    is_unit_message,
+)
 from milletcourse.exchange.reading.store_reading import GatewayRecord
-from milletcourse.exchange.rollout.roll_out import INITIAL_LOAD_SECONDS
+from milletcourse.exchange.rollout.weight_rollout import INITIAL_LOAD_SECONDS
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.state.context import GatewayContext
 
--- a/src/milletcourse/gateway/fleet/roll_out_service.py
+++ b/src/milletcourse/gateway/fleet/roll_out_service.py
@@ -10,8 +10,13 @@
 
 from milletcourse.control.lease import NOT_THERE, LeaseClaim, LeaseSpec, LeaseTracker
 from milletcourse.exchange.messages.peer_messages import ServerNotice, ServerState
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
-from milletcourse.exchange.rollout.roll_out import OrderReply, RollOut, ServerReport, WeightOrder
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.rollout.weight_rollout import (
+    OrderReply,
+    RollOut,
+    ServerReport,
+    WeightOrder,
+)
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.fleet.peers import PeerExchange
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from milletcourse.exchange.evidence.crash_evidence import MAX_TOLD
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.reading.store_reading import GatewayRecord, ReadingPlan
 from milletcourse.gateway.adapter import PlatformAdapter
 from milletcourse.gateway.clients.client_connection import Handler
--- a/src/milletcourse/gateway/operator_api.py
+++ b/src/milletcourse/gateway/operator_api.py
@@ -13,7 +13,7 @@
 from milletcourse.errors import NotFound
 from milletcourse.exchange.evidence.request_identity import identity_text
 from milletcourse.exchange.limits.tenant_limits import LimitState
-from milletcourse.exchange.load.known_server import ServerLimitState, ServerSignalState
+from milletcourse.exchange.load.signal_record import ServerLimitState, ServerSignalState
 from milletcourse.exchange.messages.messages import HeaderField
 from milletcourse.gateway.clients.client_connection import ClientConnection
 from milletcourse.gateway.clients.refusals import refuse
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -14,7 +14,7 @@
     ServersResting,
 )
 from milletcourse.exchange.limits.rest_returns import return_seconds
-from milletcourse.exchange.load.known_server import Signal
+from milletcourse.exchange.load.signal_record import Signal
 from milletcourse.exchange.placement.instance_selector import Choice
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.requests.exchange_job import ExchangeJob
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -19,11 +19,11 @@
     UnitReply,
 )
 from milletcourse.exchange.limits.ask_pauses import AskPauses
-from milletcourse.exchange.load.known_server import ServerLimitState, Signal
 from milletcourse.exchange.load.server_signals import ServerSignals
-from milletcourse.exchange.messages.allowance_messages import UnitMessage, UnitStep, told_ms
+from milletcourse.exchange.load.signal_record import ServerLimitState, Signal
 from milletcourse.exchange.messages.messages import LeaveCause
 from milletcourse.exchange.messages.peer_messages import MAX_AGE_MS, SignalReport
+from milletcourse.exchange.messages.quota_messages import UnitMessage, UnitStep, told_ms
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.telling.figures import Figures
 from milletcourse.runtime.attended_clock import AttendedClock
--- a/src/milletcourse/gateway/servers/signal_watch.py
+++ b/src/milletcourse/gateway/servers/signal_watch.py
@@ -6,8 +6,8 @@
 
 from milletcourse.exchange.attempts.answer_rules import MISDIRECTED
 from milletcourse.exchange.limits.ask_pauses import AskPauses
-from milletcourse.exchange.load.known_server import ANSWER, ENTRY, PEER, LimitChange, Signal
 from milletcourse.exchange.load.server_signals import ServerSignals
+from milletcourse.exchange.load.signal_record import ANSWER, ENTRY, PEER, LimitChange, Signal
 from milletcourse.exchange.messages.messages import AnswerHead
 from milletcourse.exchange.messages.peer_messages import SignalReport
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
--- a/src/milletcourse/gateway/store/change_log.py
+++ b/src/milletcourse/gateway/store/change_log.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.content_patch import ContentPatch, make_patch, whole_patch
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.gateway.store.object_store import ObjectChange
 
 MAX_GAPS = 32
--- a/src/milletcourse/gateway/store/directory.py
+++ b/src/milletcourse/gateway/store/directory.py
@@ -9,7 +9,7 @@
 
 from milletcourse.exchange.evidence.request_identity import identity_text
 from milletcourse.exchange.messages.peer_messages import CrashEnd, CrashReport
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.reading.store_reading import GatewayRecord
 from milletcourse.gateway.store.kind_mirror import IgnoringSink
 from milletcourse.gateway.store.object_store import UNREADABLE, ObjectChange, StoredObject
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -18,7 +18,7 @@
     encode_content_question,
     encode_question,
 )
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.exchange.reading.pending_contents import FedUpdate, PendingContents
 from milletcourse.exchange.reading.store_reading import GatewayRecord, ReadingPlan
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -17,7 +17,7 @@
     whole_patch,
 )
 from milletcourse.exchange.messages.feed_messages import FedKind, FedObject
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.exchange.reading.pending_contents import FedUpdate
 from milletcourse.gateway.store.change_log import PATCHED_BYTES, ChangeLog, LoggedChange
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
--- a/src/milletcourse/gateway/store/kind_watch.py
+++ b/src/milletcourse/gateway/store/kind_watch.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Callable
 
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.gateway.store.kind_mirror import KindMirror
 from milletcourse.gateway.store.object_store import (
     ObjectChanges,
--- a/src/milletcourse/gateway/store/object_store.py
+++ b/src/milletcourse/gateway/store/object_store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.content_patch import ContentPatch
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.runtime.clock import elapsed_seconds
 
--- a/src/milletcourse/gateway/store/registration.py
+++ b/src/milletcourse/gateway/store/registration.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.gateway.store.directory import (
     ContainedRequest,
     GatewayDirectory,
--- a/src/milletcourse/gateway/store/sinks.py
+++ b/src/milletcourse/gateway/store/sinks.py
@@ -10,7 +10,7 @@
     InstanceRecord,
     ModelTarget,
 )
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.exchange.placement.route_table import RouteTable
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.store.kind_mirror import IgnoringSink
--- a/src/milletcourse/gateway/telling/recorder.py
+++ b/src/milletcourse/gateway/telling/recorder.py
@@ -15,7 +15,7 @@
 from milletcourse.exchange.limits.tenant_limits import LimitState
 from milletcourse.exchange.messages.messages import AttemptResult, ExchangeRequest
 from milletcourse.exchange.messages.records import RouteRecord
-from milletcourse.exchange.rollout.roll_out import OrderReply, WeightOrder
+from milletcourse.exchange.rollout.weight_rollout import OrderReply, WeightOrder
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
 from milletcourse.gateway.telling.signal_recorder import SignalRecorder
--- a/src/milletcourse/gateway/telling/signal_recorder.py
+++ b/src/milletcourse/gateway/telling/signal_recorder.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from milletcourse.exchange.load.known_server import LimitChange, ServerLimitState, Signal
+from milletcourse.exchange.load.signal_record import LimitChange, ServerLimitState, Signal
 from milletcourse.exchange.messages.messages import ExchangeRequest
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
--- a/src/milletcourse/gateway/telling/store_recorder.py
+++ b/src/milletcourse/gateway/telling/store_recorder.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.exchange.reading.confirmed_era import EraEvidence
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
--- a/src/milletcourse/platform/object_store.py
+++ b/src/milletcourse/platform/object_store.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.gateway.servers.call_client import Call, Reply
 from milletcourse.gateway.store.object_store import (
     UNREADABLE,
--- a/src/milletcourse/platform/orders.py
+++ b/src/milletcourse/platform/orders.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.messages import HeaderField
-from milletcourse.exchange.rollout.roll_out import (
+from milletcourse.exchange.rollout.weight_rollout import (
     OrderReply,
     RunningWork,
     ServerReport,
--- a/tests/exchange/limits/test_allowances.py
+++ b/tests/exchange/limits/test_allowances.py
@@ -23,7 +23,6 @@
     UnitReply,
 )
 from milletcourse.exchange.limits.ask_pauses import MAX_PROMISE_SECONDS, AskPauses
-from milletcourse.exchange.load.known_server import ENDED_SECONDS, LimitChange
 from milletcourse.exchange.load.server_signals import (
     MAX_KNOWN,
     MAX_TOLD,
@@ -31,20 +30,21 @@
     TOLD_TIMES,
     ServerSignals,
 )
-from milletcourse.exchange.messages.allowance_messages import (
-    UnitMessage,
-    UnitStep,
-    decode_unit_message,
-    encode_unit_message,
-    is_unit_message,
-)
+from milletcourse.exchange.load.signal_record import ENDED_SECONDS, LimitChange
 from milletcourse.exchange.messages.peer_messages import (
     PeerMessage,
     SignalReport,
     decode_message,
     encode_message,
 )
-from milletcourse.exchange.messages.server_signals import (
+from milletcourse.exchange.messages.quota_messages import (
+    UnitMessage,
+    UnitStep,
+    decode_unit_message,
+    encode_unit_message,
+    is_unit_message,
+)
+from milletcourse.exchange.messages.signal_headers import (
     MAX_LIMIT_PER_SECOND,
     MAX_SHOWN_BYTES,
     NO_LIMIT,
--- a/tests/exchange/load/test_server_signals.py
+++ b/tests/exchange/load/test_server_signals.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from milletcourse.exchange.load.known_server import ENDED_SECONDS, LEAVING_TOLD_SECONDS, Signal
 from milletcourse.exchange.load.server_signals import LEAVING_REMEMBERED_SECONDS, ServerSignals
+from milletcourse.exchange.load.signal_record import ENDED_SECONDS, LEAVING_TOLD_SECONDS, Signal
 from milletcourse.exchange.messages.dialect import HeaderDialect, HeaderNames
 from milletcourse.exchange.messages.messages import HeaderField
 from milletcourse.exchange.messages.peer_messages import (
@@ -16,7 +16,7 @@
     encode_message,
 )
 from milletcourse.exchange.messages.records import InstanceRecord
-from milletcourse.exchange.messages.server_signals import (
+from milletcourse.exchange.messages.signal_headers import (
     MAX_REST_SECONDS,
     MAX_SHOWN_BYTES,
     NO_REST,
--- a/tests/exchange/placement/test_placement.py
+++ b/tests/exchange/placement/test_placement.py
@@ -34,7 +34,7 @@
 from milletcourse.exchange.placement.recent_holders import MAX_PARTS, RecentHolders
 from milletcourse.exchange.placement.reuse_scope import reuse_scope
 from milletcourse.exchange.placement.route_table import RouteTable
-from milletcourse.exchange.rollout.roll_out_timing import GRACE_SECONDS
+from milletcourse.exchange.rollout.rollout_timing import GRACE_SECONDS
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
 
--- a/tests/exchange/reading/test_confirmed_era.py
+++ b/tests/exchange/reading/test_confirmed_era.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.reading.confirmed_era import (
     FIRST_ERA,
     WRITTEN_AGAIN_SECONDS,
--- a/tests/exchange/reading/test_content_patches.py
+++ b/tests/exchange/reading/test_content_patches.py
@@ -34,7 +34,7 @@
     encode_patch,
     encode_question,
 )
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.exchange.reading.pending_contents import FedUpdate, PendingContents
 
 ENTRIES = st.lists(st.sampled_from([b'{"a":1},', b'{"b":[2,{"c":3},4]},', b"},", b"x", b""]))
--- a/tests/exchange/rollout/test_lease_machine.py
+++ b/tests/exchange/rollout/test_lease_machine.py
@@ -16,7 +16,7 @@
 )
 
 from milletcourse.control.lease import NOT_THERE, LeaseClaim, LeaseSpec, LeaseTracker
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 
 LEASE_SECONDS = 3.3
 MARGIN_SECONDS = 1.0
--- a/tests/exchange/rollout/test_roll_out_timing.py
+++ b/tests/exchange/rollout/test_rollout_timing.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from milletcourse.exchange.messages.records import ModelTarget
-from milletcourse.exchange.rollout.roll_out_timing import (
+from milletcourse.exchange.rollout.rollout_timing import (
     GRACE_SECONDS,
     NamingRhythm,
     is_worth_loading,
--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -39,16 +39,16 @@
     RouteRecord,
     WeightedService,
 )
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.placement.route_table import RouteTable
 from milletcourse.exchange.reading.freshness import ProofOfFreshness, reading_times
-from milletcourse.exchange.rollout.roll_out import (
+from milletcourse.exchange.rollout.version_gate import VersionGate
+from milletcourse.exchange.rollout.weight_rollout import (
     OrderReply,
     RollOut,
     ServerReport,
     WeightOrder,
 )
-from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import BACK_SECONDS, Instance, InstanceTable
 from milletcourse.exchange.servers.server_health import ServerHealth
 from milletcourse.gateway.state.settings import GatewayBounds
--- a/tests/gateway/fleet/test_words_in_replies.py
+++ b/tests/gateway/fleet/test_words_in_replies.py
@@ -9,7 +9,7 @@
 
 from gateway_harness import Harness, run_with_gateway
 from gateway_standin import ReceivedRequest, StandinServer, answer
-from milletcourse.exchange.load.known_server import Signal
+from milletcourse.exchange.load.signal_record import Signal
 from milletcourse.exchange.servers.instance_table import Instance
 
 BORN = 1_700_000_000_000
--- a/tests/gateway/servers/test_leaving_servers.py
+++ b/tests/gateway/servers/test_leaving_servers.py
@@ -9,7 +9,7 @@
 from gateway_fleet import GATEWAYS
 from gateway_harness import Harness, run_with_gateway
 from gateway_standin import Client
-from milletcourse.exchange.load.known_server import Signal
+from milletcourse.exchange.load.signal_record import Signal
 from signalling_fleet import Mood, SignallingFleet
 
 HEARD_SECONDS = 0.5
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -26,7 +26,7 @@
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS
 from milletcourse.exchange.messages.messages import AnswerHead, AttemptResult
 from milletcourse.exchange.messages.records import InstanceRecord, ServiceRecord
-from milletcourse.exchange.messages.server_signals import (
+from milletcourse.exchange.messages.signal_headers import (
     NO_REST,
     NOT_LEAVING,
     LeavingReading,
--- a/tests/gateway/store/test_registration.py
+++ b/tests/gateway/store/test_registration.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.gateway.store.directory import GatewayDirectory, GatewayEntry
 from milletcourse.gateway.store.object_store import (
     ObjectStoreClient,
--- a/tests/gateway/store/test_store_eras.py
+++ b/tests/gateway/store/test_store_eras.py
@@ -10,7 +10,7 @@
 from gateway_harness import Harness, run_with_gateway
 from milletcourse.exchange.messages.feed_messages import FedKind
 from milletcourse.exchange.messages.messages import AnswerHead, HeaderField
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.reading.pending_contents import FedUpdate
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.gateway.store.change_log import MAX_GAPS
--- a/tests/gateway/store/test_store_feed.py
+++ b/tests/gateway/store/test_store_feed.py
@@ -9,7 +9,7 @@
 
 from gateway_harness import Harness, run_with_gateway
 from gateway_standin import configuration, serve_whole
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.exchange.reading.pending_contents import FedUpdate
 from milletcourse.exchange.reading.store_reading import (
     MAX_STARTING_SECONDS,
--- a/tests/gateway/store/test_told_contents_machine.py
+++ b/tests/gateway/store/test_told_contents_machine.py
@@ -13,7 +13,7 @@
 
 from milletcourse.exchange.messages.content_patch import ContentPatch, PatchError
 from milletcourse.exchange.messages.feed_messages import FedKind
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.exchange.reading.pending_contents import FedUpdate, PendingContents
 from milletcourse.gateway.store import change_log, kind_mirror
 from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
--- a/tests/gateway/test_sleep_machines.py
+++ b/tests/gateway/test_sleep_machines.py
@@ -13,7 +13,7 @@
 
 from milletcourse.control.lease import LeaseSpec, LeaseTracker
 from milletcourse.exchange.limits.shared_bucket import MAX_STEP_SECONDS, SharedBucket
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.reading.freshness import ProofOfFreshness
 
 LEASE_SECONDS = 3.0
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -25,7 +25,7 @@
     serve_whole,
 )
 from milletcourse.control.lease import LeaseTracker
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.gateway.servers.call_client import Call, CallClient
 
 SOURCES = Path(__file__).parents[2] / "src" / "milletcourse"
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -19,7 +19,7 @@
 from milletcourse.exchange.messages.feed_messages import FedKind
 from milletcourse.exchange.messages.messages import LeaveCause
 from milletcourse.exchange.messages.records import ExchangeConfiguration
-from milletcourse.exchange.messages.store_place import StorePlace
+from milletcourse.exchange.messages.store_position import StorePlace
 from milletcourse.exchange.reading.configuration_lag import ConfigurationLag, LagVerdict
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.clients.client_connection import ClientConnection
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -15,7 +15,7 @@
 from milletcourse.configuration.store import ChangesPage, ChangesRequest, ConfigurationStore
 from milletcourse.control.lease import HOLDER_MARGIN_SECONDS, LeaseTracker
 from milletcourse.errors import FailureError, InvalidObject
-from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
 from milletcourse.membership.messages import PlatformStamp
 from milletcourse.settings import load_settings
 
