--- a/src/milletcourse/cli/store_state.py
+++ b/src/milletcourse/cli/store_state.py
@@ -13,7 +13,7 @@
 from milletcourse.gateway.store.store_comparison import StoreState
 
 LOOKS = 3
-LOOK_AGAIN_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.5
 """A change that is under way differs in one look, and not in the next."""
 
 
@@ -33,7 +33,7 @@
 async def _compare(gateway: str) -> StoreState:
     for look in range(LOOKS):
         if look:
-            await asyncio.sleep(LOOK_AGAIN_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         body = await call_gateway("GET", gateway, STORE_STATE_PATH, 200)
         state = msgspec.json.decode(body, type=StoreState)
         if all(kind.is_equal for kind in state.kinds):
--- a/src/milletcourse/configuration/service.py
+++ b/src/milletcourse/configuration/service.py
@@ -18,7 +18,7 @@
 from milletcourse.configuration.store import ChangesPage, ChangesRequest, ConfigurationStore
 from milletcourse.control.lease import NOT_THERE, LeaseSpec, LeaseTracker
 from milletcourse.errors import FailureError, HistoryExpired, VersionConflict
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.logs import get_logger
 from milletcourse.membership.messages import PlatformStamp
 from milletcourse.peers import PeerClient
@@ -93,9 +93,9 @@
         self.tracker.on_written(claim, _place(written.version), now)
 
 
-def _place(version: int) -> StorePlace:
+def _place(version: int) -> StorePosition:
     """The platform of the routers tells no era."""
-    return StorePlace(UNKNOWN_ERA, version)
+    return StorePosition(UNKNOWN_ERA, version)
 
 
 class ConfigurationService:
--- a/src/milletcourse/control/lease.py
+++ b/src/milletcourse/control/lease.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 
 DEFAULT_DURATION_SECONDS = 6.0
 """Short enough to replace a dead holder within seconds, long enough for few renewals."""
@@ -55,7 +55,7 @@
     """
 
     spec: LeaseSpec
-    expected: StorePlace
+    expected: StorePosition
 
     @property
     def creates(self) -> bool:
@@ -79,7 +79,7 @@
         self._era_known_at = float("-inf")
         self._returned_at = float("-inf")
         self._spec: LeaseSpec | None = None
-        self._place: StorePlace | None = StorePlace(UNKNOWN_ERA, NOT_THERE)
+        self._place: StorePosition | None = StorePosition(UNKNOWN_ERA, NOT_THERE)
         """Last change of the lease; None while it must be read before anything is claimed."""
         self._unchanged_since = 0.0
         self._held_until = float("-inf")
@@ -102,13 +102,13 @@
         self._spec = None
         if before is None:
             self._era_known_at = now
-            self._place = StorePlace(era, NOT_THERE)
+            self._place = StorePosition(era, NOT_THERE)
             return False
         self._returned_at = now
         self._place = None
         return True
 
-    def on_observed(self, spec: LeaseSpec | None, place: StorePlace, now: float) -> None:
+    def on_observed(self, spec: LeaseSpec | None, place: StorePosition, now: float) -> None:
         """The lease was read from the platform.
 
         Args:
@@ -134,7 +134,7 @@
         """A claim failed since the lease has changed; it must be read again."""
         self._place = None
 
-    def on_written(self, claim: LeaseClaim, place: StorePlace, sent_at: float) -> None:
+    def on_written(self, claim: LeaseClaim, place: StorePosition, sent_at: float) -> None:
         """The platform accepted the claim.
 
         One that was accepted in another era than it was meant for counts for nothing: what it
@@ -161,7 +161,7 @@
             return self._renewal(self._place)
         return self._new_term(self._place) if self._may_take(now) else None
 
-    def _renewal(self, place: StorePlace) -> LeaseClaim:
+    def _renewal(self, place: StorePosition) -> LeaseClaim:
         spec = self._spec
         if spec is None or spec.holder != self._owner or spec.fencing_token != self._token:
             # The store has lost this term, and nobody else takes the lease before it ends.
@@ -169,7 +169,7 @@
         renewed = LeaseSpec(self._owner, self._token, self._duration_seconds, spec.renewals + 1)
         return LeaseClaim(renewed, place)
 
-    def _new_term(self, place: StorePlace) -> LeaseClaim:
+    def _new_term(self, place: StorePosition) -> LeaseClaim:
         token = self._highest_token + 1
         if place.era != UNKNOWN_ERA:
             token = max(token, place.era * TOKENS_PER_ERA + place.revision)
--- a/src/milletcourse/exchange/attempts/answer_rules.py
+++ b/src/milletcourse/exchange/attempts/answer_rules.py
@@ -22,7 +22,7 @@
             return AttemptResult.WRONG_INSTANCE
         return AttemptResult.WRONG_VERSION
     if head.not_executed:
-        return AttemptResult.TURNED_AWAY
+        return AttemptResult.REJECTED
     if head.encoded or head.status in PROMISES:
         # Only a server that says so has not run it: a bare promise can't be passed on.
         return AttemptResult.LOST
--- a/src/milletcourse/exchange/attempts/attempt_plan.py
+++ b/src/milletcourse/exchange/attempts/attempt_plan.py
@@ -14,7 +14,7 @@
 """With less time than this left, another attempt could not answer in time."""
 MAX_SENDS = 4
 """Bound on servers tried for one request, those that turned it away included."""
-_POSSIBLE_RUNS = frozenset({AttemptResult.LOST, AttemptResult.FAILED, AttemptResult.CUT})
+_POSSIBLE_RUNS = frozenset({AttemptResult.LOST, AttemptResult.FAILED, AttemptResult.TRUNCATED})
 
 
 class NextStep(Enum):
--- a/src/milletcourse/exchange/counting/keyed_sums.py
+++ b/src/milletcourse/exchange/counting/keyed_sums.py
@@ -15,7 +15,7 @@
         ...
 
     @property
-    def is_nothing(self) -> bool:
+    def is_zero(self) -> bool:
         """Whether it may as well be left out."""
         ...
 
@@ -43,7 +43,7 @@
             known = self._sums.get(entry.key)
             self._sums[entry.key] = entry if known is None else known.plus(entry)
 
-    def take_back(self, entries: Iterable[EntryT]) -> None:
+    def subtract(self, entries: Iterable[EntryT]) -> None:
         """Count entries out that were counted in before."""
         for entry in entries:
             known = self._sums.get(entry.key)
@@ -51,7 +51,7 @@
                 # Entries of nothing were left of the sum, and it has been dropped.
                 continue
             left = known.minus(entry)
-            if left.is_nothing:
+            if left.is_zero:
                 del self._sums[entry.key]
             else:
                 self._sums[entry.key] = left
@@ -64,14 +64,14 @@
         """The sums of all subjects."""
         return list(self._sums.values())
 
-    def in_order(self) -> list[EntryT]:
+    def sorted_by_key(self) -> list[EntryT]:
         """The same in the order of their keys."""
         return [self._sums[key] for key in sorted(self._sums)]
 
 
-def added(*parts: Iterable[EntryT]) -> list[EntryT]:
+def sum_by_key(*parts: Iterable[EntryT]) -> list[EntryT]:
     """The sum of several lists, in the order of their keys."""
     sums: KeyedSums[EntryT] = KeyedSums()
     for part in parts:
         sums.add(part)
-    return sums.in_order()
+    return sums.sorted_by_key()
--- a/src/milletcourse/exchange/counting/load_window.py
+++ b/src/milletcourse/exchange/counting/load_window.py
@@ -6,16 +6,16 @@
 
 from __future__ import annotations
 
-MIN_PARALLEL = 2
-FIRST_SHARE = 6
+MIN_PARALLEL_LOADS = 2
+BASE_DIVISOR = 6
 """One server in six at first, two at least."""
-MOST_SHARE = 3
+MAX_DIVISOR = 3
 """Never more than one server in three: those that take weights take no requests."""
-GROWTH = 0.5
+GROWTH_PER_LOAD = 0.5
 """Added by each load that wasn't slowed down: half as many again in the next round."""
-SLOWED = 1.3
+SLOWDOWN_RATIO = 1.3
 """A load that takes this many times as long as the fastest was slowed down by others."""
-HELD_LOADS = 12
+COOLDOWN_LOADS = 12
 """Loads after one that was slowed down, before the number grows again."""
 
 
@@ -25,24 +25,24 @@
     def __init__(self) -> None:
         self._extra = 0.0
         self._fastest = float("inf")
-        self._held = 0
+        self._cooldown_loads = 0
 
-    def sure(self, servers: int) -> int:
+    def base_size(self, servers: int) -> int:
         """Loads that are taken not to slow each other: what a bound is planned by."""
-        return max(MIN_PARALLEL, servers // FIRST_SHARE)
+        return max(MIN_PARALLEL_LOADS, servers // BASE_DIVISOR)
 
     def size(self, servers: int) -> int:
         """Loads that may run at the same time."""
-        sure = self.sure(servers)
-        return min(sure + int(self._extra), max(sure, servers // MOST_SHARE))
+        base = self.base_size(servers)
+        return min(base + int(self._extra), max(base, servers // MAX_DIVISOR))
 
     def on_load(self, seconds: float) -> None:
         """A load took this long."""
         self._fastest = min(self._fastest, seconds)
-        if seconds > SLOWED * self._fastest:
+        if seconds > SLOWDOWN_RATIO * self._fastest:
             self._extra /= 2
-            self._held = HELD_LOADS
-        elif self._held:
-            self._held -= 1
+            self._cooldown_loads = COOLDOWN_LOADS
+        elif self._cooldown_loads:
+            self._cooldown_loads -= 1
         else:
-            self._extra += GROWTH
+            self._extra += GROWTH_PER_LOAD
--- a/src/milletcourse/exchange/counting/recent_use.py
+++ b/src/milletcourse/exchange/counting/recent_use.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-TOLD_SECONDS = 0.25
+RATE_WINDOW_SECONDS = 0.25
 """What was spent is told as a rate over this time: five messages of a gateway, two of a reader, so
 that what is told adds up to what was spent. A longer time makes all others hear of it later."""
 
@@ -22,9 +22,9 @@
         self._sum += units
 
     def per_second(self, now: float) -> float:
-        """Units a second; what was spent counts in full for `TOLD_SECONDS`, and then no more."""
-        while self._spent and now - self._spent[0][0] >= TOLD_SECONDS:
+        """Units a second; each unit counts fully for `RATE_WINDOW_SECONDS` and then not at all."""
+        while self._spent and now - self._spent[0][0] >= RATE_WINDOW_SECONDS:
             self._sum -= self._spent.popleft()[1]
         if not self._spent:
             self._sum = 0.0
-        return self._sum / TOLD_SECONDS
+        return self._sum / RATE_WINDOW_SECONDS
--- a/src/milletcourse/exchange/counting/service_tally.py
+++ b/src/milletcourse/exchange/counting/service_tally.py
@@ -12,7 +12,7 @@
 
 from milletcourse.exchange.messages.records import RouteRecord
 
-TALLY_SECONDS = 5.0
+TALLY_INTERVAL_SECONDS = 5.0
 """A tally is logged this often, so that its volume doesn't grow with the traffic."""
 
 
@@ -28,9 +28,9 @@
     """It may have run; its answer was lost or late."""
     SERVER_FAILURE = "server-failure"
     """The server's own failure was passed on."""
-    CUT = "cut"
+    TRUNCATED = "cut"
     """A stream broke off."""
-    CLIENT_LEFT = "client-left"
+    CLIENT_DISCONNECTED = "client-left"
 
 
 class TallyReport(msgspec.Struct, frozen=True):
@@ -85,7 +85,7 @@
         """A request was sent to a server whose weights are superseded."""
         self._superseded[route] += 1
 
-    def on_sent_again(self, route: str) -> None:
+    def on_retry(self, route: str) -> None:
         """A request was sent to another server."""
         self._sent_again[route] += 1
 
--- a/src/milletcourse/exchange/evidence/crash_evidence.py
+++ b/src/milletcourse/exchange/evidence/crash_evidence.py
@@ -21,7 +21,7 @@
     ended_in_turn,
 )
 from milletcourse.exchange.evidence.request_identity import identity_text
-from milletcourse.exchange.messages.peer_messages import CrashEnd, CrashReport
+from milletcourse.exchange.messages.peer_messages import CrashReport, ServerCrash
 
 MAX_ANSWERED = 1024
 """Requests whose latest answer is remembered although no server ended under them: an answer speaks
@@ -304,8 +304,8 @@
     is_news = False
     if report.cleared_ms is not None:
         is_news = record.clear(now - report.cleared_ms / 1000.0)
-    for end in report.ends:
-        known_end = ServerEnd(now - end.sent_ms / 1000.0, now - end.ended_ms / 1000.0)
+    for end in report.crashes:
+        known_end = ServerEnd(now - end.sent_ms / 1000.0, now - end.crashed_ms / 1000.0)
         is_news = record.add(end.server, known_end) or is_news
     return is_news
 
@@ -315,12 +315,12 @@
     if record.tells_left:
         return False
     cleared_ms = (now - record.cleared_at + AGE_SLACK_SECONDS) * 1000.0
-    return any(end.ended_ms > cleared_ms for end in report.ends)
+    return any(end.crashed_ms > cleared_ms for end in report.crashes)
 
 
 def _report(identity: int, record: CrashRecord, now: float) -> CrashReport:
     ends = [
-        CrashEnd(server, _age_ms(end.sent_at, now), _age_ms(end.ended_at, now))
+        ServerCrash(server, _age_ms(end.sent_at, now), _age_ms(end.ended_at, now))
         for server, end in record.ends.items()
     ]
     cleared_ms = _age_ms(record.cleared_at, now) if record.was_answered else None
--- a/src/milletcourse/exchange/evidence/crash_record.py
+++ b/src/milletcourse/exchange/evidence/crash_record.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.peer_messages import MAX_TOLD_ENDS
+from milletcourse.exchange.messages.peer_messages import MAX_REPORTED_CRASHES
 
 CONTAINING_ENDS = 3
 """Servers that must have ended under a request before it is contained. With two, work that is sent
@@ -129,7 +129,7 @@
             return False
         self.ends[server] = end
         self.is_proved = self.is_proved or self._rule(self.ends.values(), self.was_answered)
-        if len(self.ends) > MAX_TOLD_ENDS:
+        if len(self.ends) > MAX_REPORTED_CRASHES:
             # The first one and the latest ones prove that work was begun again after an end.
             in_order = sorted(self.ends, key=lambda key: self.ends[key].ended_at)
             del self.ends[in_order[1]]
--- a/src/milletcourse/exchange/limits/known_use.py
+++ b/src/milletcourse/exchange/limits/known_use.py
@@ -55,5 +55,5 @@
 
     def known_use(self, key: int, own_per_second: float, now: float) -> KnownUse:
         """See `UseKnowledge`."""
-        part = min(self._loads.heard_gateways(now) / self._gateways(), 1.0)
+        part = min(self._loads.known_gateways(now) / self._gateways(), 1.0)
         return KnownUse(self._loads.others_use(key, now), part)
--- a/src/milletcourse/exchange/load/fleet_load.py
+++ b/src/milletcourse/exchange/load/fleet_load.py
@@ -12,7 +12,7 @@
 
     Attributes:
         sequence: Number of the message.
-        heard_at: Monotonic time at which it came.
+        received_at: Monotonic time at which it came.
         loads: Key of a server -> its load.
         failing: Keys of the servers at which some gateway saw a failure lately.
         uses: Key of a tenant -> what is spent for it.
@@ -20,7 +20,7 @@
     """
 
     sequence: int = 0
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
     loads: dict[int, InstanceLoad] = {}
     failing: frozenset[int] = frozenset()
     uses: dict[int, TenantUse] = {}
@@ -31,9 +31,9 @@
     """The fleet as a message tells it."""
     return FleetLoad(
         sequence=message.sequence,
-        heard_at=now,
+        received_at=now,
         loads={load.key: load for load in message.loads},
-        failing=frozenset(load.key for load in message.loads if load.bad),
+        failing=frozenset(load.key for load in message.loads if load.failures),
         uses={use.key: use for use in message.uses},
         gateways=message.gateways,
     )
--- a/src/milletcourse/exchange/load/load_exchange.py
+++ b/src/milletcourse/exchange/load/load_exchange.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from milletcourse.exchange.counting.keyed_sums import added
+from milletcourse.exchange.counting.keyed_sums import sum_by_key
 from milletcourse.exchange.evidence.crash_evidence import CrashEvidence
 from milletcourse.exchange.load.fleet_load import FleetLoad, fleet_load
 from milletcourse.exchange.load.load_sums import LoadSums
@@ -33,12 +33,12 @@
 """A changed load is told this often."""
 DIGEST_SECONDS = 0.1
 """Sums are told this often."""
-ENTRY_SECONDS = 0.0003
+DIGEST_SECONDS_PER_SERVER = 0.0003
 """Sums of many servers are told less often, by this time for each server with load, so that what a
 reader sends doesn't grow with the square of the fleet."""
 MAX_DIGEST_SECONDS = 0.4
 """But at least this often, so that a lost message doesn't make what is known stale."""
-REPEAT_SECONDS = 0.4
+REFRESH_SECONDS = 0.4
 """What has not changed is told again, before it counts as stale."""
 STALE_SECONDS = 1.0
 """What isn't told again counts no longer than this."""
@@ -46,10 +46,10 @@
 """Without a reader, load is told to this many others a tick, in turn."""
 STALE_ROUNDS = 2.0
 """Load told so counts for this many of the rounds in which all others are told."""
-READER_RETELLS_SECONDS = 1.0
+READER_RESEND_SECONDS = 1.0
 """A reader tells requests that are suspected to end servers again after this time, so that a
 gateway that has just started or was cut off knows them about a second later."""
-FOLLOWER_RETELLS_SECONDS = 5.0
+FOLLOWER_RESEND_SECONDS = 5.0
 """A follower does so for a reader that has started since; less often, as readers have many
 followers."""
 
@@ -96,13 +96,13 @@
         self._zones = LoadSums(STALE_SECONDS)
         self._followers: dict[str, float] = {}
         self._fleet = FleetLoad()
-        self._told: list[InstanceLoad] = []
-        self._told_by_key: dict[int, InstanceLoad] = {}
-        self._told_uses: list[TenantUse] = []
-        self._told_uses_by_key: dict[int, TenantUse] = {}
-        self._told_at = float("-inf")
+        self._sent_loads: list[InstanceLoad] = []
+        self._sent_loads_by_key: dict[int, InstanceLoad] = {}
+        self._sent_uses: list[TenantUse] = []
+        self._sent_uses_by_key: dict[int, TenantUse] = {}
+        self._sent_at = float("-inf")
         self._digest_at = float("-inf")
-        self._untold: dict[str, None] = {}
+        self._gossip_pending: dict[str, None] = {}
         self._notices = ServerNotices()
         self._sequence = 0
 
@@ -120,7 +120,7 @@
         nothing = InstanceLoad(key, 0, 0)
         if self._knows_fleet(now):
             total = self._fleet.loads.get(key)
-            mine = self._told_by_key.get(key)
+            mine = self._sent_loads_by_key.get(key)
             if total is None or mine is None:
                 return total or nothing
             return total.minus(mine)
@@ -135,24 +135,24 @@
         if self._knows_fleet(now):
             return self._fleet.failing
         loads = (*self._gateways.loads(now), *self._zones.loads(now))
-        return {load.key for load in loads if load.bad}
+        return {load.key for load in loads if load.failures}
 
     def others_use(self, key: int, now: float) -> float:
         """What all other gateways spend for a tenant in a second."""
         if not self._knows_fleet(now):
             return self._gateways.use(key, now) + self._zones.use(key, now)
         total = self._fleet.uses.get(key, TenantUse(key, 0))
-        mine = self._told_uses_by_key.get(key, TenantUse(key, 0))
+        mine = self._sent_uses_by_key.get(key, TenantUse(key, 0))
         return total.minus(mine).per_second
 
-    def heard_gateways(self, now: float) -> int:
+    def known_gateways(self, now: float) -> int:
         """How many gateways' load and use is known here, this one included."""
         if self._knows_fleet(now):
             return self._fleet.gateways
         return 1 + self._gateways.gateways(now) + self._zones.gateways(now)
 
     def _knows_fleet(self, now: float) -> bool:
-        return bool(self._reader) and now - self._fleet.heard_at < STALE_SECONDS
+        return bool(self._reader) and now - self._fleet.received_at < STALE_SECONDS
 
     # -- hearing --------------------------------------------------------------------------------
 
@@ -166,11 +166,11 @@
             self._digest_at = float("-inf")
         if not self._take_loads(message, now):
             return False
-        if self._notices.pass_on(message, now):
+        if self._notices.forward(message, now):
             self._digest_at = float("-inf")
         return True
 
-    def on_news(self) -> None:
+    def on_update(self) -> None:
         """Servers ended under a request, or one said something new of itself: tell it soon."""
         self._digest_at = float("-inf")
 
@@ -182,16 +182,16 @@
             self._gateways.forget(sender)
             return self._add_to(self._zones, message, now)
         self._zones.forget(sender)
-        if message.follows:
+        if message.is_follower:
             if sender not in self._followers:
                 self.evidence.tell_again()
-                self.signals.tell_again()
+                self.signals.resend_all()
             self._followers[sender] = now
         return self._add_to(self._gateways, message, now)
 
     @staticmethod
     def _add_to(sums: LoadSums, message: PeerMessage, now: float) -> bool:
-        return sums.on_told(
+        return sums.on_report(
             message.sender, message.sequence, message.loads, now, message.uses, message.gateways
         )
 
@@ -229,34 +229,34 @@
         if reader != self._reader:
             self._reader = reader
             self._reader_since = now
-            self._told_at = float("-inf")
+            self._sent_at = float("-inf")
         if not reader:
             return self._digests(now, own, uses)
         outgoing = []
-        is_news = (own, uses) != (self._told, self._told_uses) or self._has_news()
-        due = is_news or now - self._told_at >= REPEAT_SECONDS
+        is_changed = (own, uses) != (self._sent_loads, self._sent_uses) or self._has_updates()
+        due = is_changed or now - self._sent_at >= REFRESH_SECONDS
         if due:
-            self._told, self._told_uses, self._told_at = own, uses, now
-            self._told_by_key = {load.key: load for load in own}
-            self._told_uses_by_key = {use.key: use for use in uses}
-            told = self._message(
+            self._sent_loads, self._sent_uses, self._sent_at = own, uses, now
+            self._sent_loads_by_key = {load.key: load for load in own}
+            self._sent_uses_by_key = {use.key: use for use in uses}
+            message = self._message(
                 now,
                 LoadScope.GATEWAY,
                 own,
                 uses,
                 follows=True,
-                crashes=self.evidence.to_tell(now, FOLLOWER_RETELLS_SECONDS),
-                signals=self.signals.to_tell(now, FOLLOWER_RETELLS_SECONDS),
+                crashes=self.evidence.to_tell(now, FOLLOWER_RESEND_SECONDS),
+                signals=self.signals.due_reports(now, FOLLOWER_RESEND_SECONDS),
             )
-            outgoing.append(Outgoing(told, [reader]))
-            self._notices.on_told()
+            outgoing.append(Outgoing(message, [reader]))
+            self._notices.on_sent()
         if not self._knows_fleet(now) and now - self._reader_since >= STALE_SECONDS:
             outgoing.extend(self._gossip(now, own, uses, due))
         return outgoing
 
-    def _has_news(self) -> bool:
+    def _has_updates(self) -> bool:
         """Whether something is to be told besides loads and use."""
-        return bool(self._notices) or self.evidence.has_news or self.signals.has_news
+        return bool(self._notices) or self.evidence.has_news or self.signals.has_updates
 
     def _digests(
         self, now: float, own: list[InstanceLoad], own_uses: list[TenantUse]
@@ -268,18 +268,21 @@
         self._followers = {
             name: heard for name, heard in self._followers.items() if now - heard < STALE_SECONDS
         }
-        zone = added(own, self._gateways.loads(now))
-        fleet = added(zone, self._zones.loads(now))
-        zone_uses = added(own_uses, self._gateways.uses(now))
-        fleet_uses = added(zone_uses, self._zones.uses(now))
+        zone = sum_by_key(own, self._gateways.loads(now))
+        fleet = sum_by_key(zone, self._zones.loads(now))
+        zone_uses = sum_by_key(own_uses, self._gateways.uses(now))
+        fleet_uses = sum_by_key(zone_uses, self._zones.uses(now))
         readers = list(dict.fromkeys([*self._readers, *self._zones.senders(now)]))
         outgoing = []
-        is_news = (fleet, fleet_uses) != (self._told, self._told_uses) or self._has_news()
-        if is_news or now - self._told_at >= REPEAT_SECONDS:
-            self._told, self._told_uses, self._told_at = fleet, fleet_uses, now
+        is_changed = (fleet, fleet_uses) != (
+            self._sent_loads,
+            self._sent_uses,
+        ) or self._has_updates()
+        if is_changed or now - self._sent_at >= REFRESH_SECONDS:
+            self._sent_loads, self._sent_uses, self._sent_at = fleet, fleet_uses, now
             zone_gateways = 1 + self._gateways.gateways(now)
-            crashes = self.evidence.to_tell(now, READER_RETELLS_SECONDS)
-            signals = self.signals.to_tell(now, READER_RETELLS_SECONDS)
+            crashes = self.evidence.to_tell(now, READER_RESEND_SECONDS)
+            signals = self.signals.due_reports(now, READER_RESEND_SECONDS)
             to_readers = self._message(
                 now,
                 LoadScope.ZONE,
@@ -294,18 +297,18 @@
                 LoadScope.FLEET,
                 fleet,
                 fleet_uses,
-                gateways=self.heard_gateways(now),
+                gateways=self.known_gateways(now),
                 crashes=crashes,
                 signals=signals,
             )
             outgoing.append(Outgoing(to_readers, readers))
             outgoing.append(Outgoing(to_followers, list(self._followers)))
-        self._notices.on_told()
+        self._notices.on_sent()
         return [item for item in outgoing if item.receivers]
 
     def _digest_seconds(self) -> float:
         """Time between two sums."""
-        by_size = len(self._told) * ENTRY_SECONDS
+        by_size = len(self._sent_loads) * DIGEST_SECONDS_PER_SERVER
         return min(max(DIGEST_SECONDS, by_size), MAX_DIGEST_SECONDS)
 
     def _gossip(
@@ -313,25 +316,25 @@
         now: float,
         own: list[InstanceLoad],
         own_uses: list[TenantUse],
-        begin_round: bool,
+        starts_round: bool,
     ) -> list[Outgoing]:
         """Tell the next few that haven't heard of the latest change."""
-        if begin_round:
-            self._untold = dict.fromkeys(self._others)
-        receivers = list(self._untold)[:GOSSIP_RECEIVERS]
+        if starts_round:
+            self._gossip_pending = dict.fromkeys(self._others)
+        receivers = list(self._gossip_pending)[:GOSSIP_RECEIVERS]
         for name in receivers:
-            del self._untold[name]
+            del self._gossip_pending[name]
         if not receivers:
             return []
-        told = self._message(
+        message = self._message(
             now,
             LoadScope.GATEWAY,
             own,
             own_uses,
             crashes=self.evidence.gravest(now),
-            signals=self.signals.newest(now),
+            signals=self.signals.latest_reports(now),
         )
-        return [Outgoing(told, receivers)]
+        return [Outgoing(message, receivers)]
 
     def _message(
         self,
@@ -346,7 +349,7 @@
     ) -> PeerMessage:
         # Above that of an earlier process on this machine, whose clock was the same.
         self._sequence = max(self._sequence + 1, int(now * 1000))
-        notices = self._notices.to_tell(scope)
+        notices = self._notices.due_notices(scope)
         return PeerMessage(
             self._own_name,
             self._sequence,
--- a/src/milletcourse/exchange/load/load_sums.py
+++ b/src/milletcourse/exchange/load/load_sums.py
@@ -11,9 +11,9 @@
 from milletcourse.exchange.messages.peer_messages import InstanceLoad, TenantUse
 
 
-class _Told(msgspec.Struct):
+class _SenderReport(msgspec.Struct):
     sequence: int
-    heard_at: float
+    received_at: float
     loads: Sequence[InstanceLoad]
     uses: Sequence[TenantUse]
     gateways: int
@@ -25,12 +25,12 @@
     def __init__(self, stale_seconds: float) -> None:
         self.stale_seconds = stale_seconds
         # In the order of their latest messages, so that stale ones stand in front.
-        self._senders: OrderedDict[str, _Told] = OrderedDict()
+        self._senders: OrderedDict[str, _SenderReport] = OrderedDict()
         self._loads: KeyedSums[InstanceLoad] = KeyedSums()
         self._uses: KeyedSums[TenantUse] = KeyedSums()
         self._gateways = 0
 
-    def on_told(
+    def on_report(
         self,
         sender: str,
         sequence: int,
@@ -54,7 +54,7 @@
         if known is not None and sequence <= known.sequence:
             return False
         self.forget(sender)
-        self._senders[sender] = _Told(sequence, now, loads, uses, gateways)
+        self._senders[sender] = _SenderReport(sequence, now, loads, uses, gateways)
         self._loads.add(loads)
         self._uses.add(uses)
         self._gateways += gateways
@@ -62,12 +62,12 @@
 
     def forget(self, sender: str) -> None:
         """Take back what a sender told."""
-        told = self._senders.pop(sender, None)
-        if told is None:
+        report = self._senders.pop(sender, None)
+        if report is None:
             return
-        self._loads.take_back(told.loads)
-        self._uses.take_back(told.uses)
-        self._gateways -= told.gateways
+        self._loads.subtract(report.loads)
+        self._uses.subtract(report.uses)
+        self._gateways -= report.gateways
 
     def senders(self, now: float) -> list[str]:
         """Those that were heard lately."""
@@ -103,6 +103,6 @@
     def _forget_stale(self, now: float) -> None:
         while self._senders:
             name, oldest = next(iter(self._senders.items()))
-            if now - oldest.heard_at < self.stale_seconds:
+            if now - oldest.received_at < self.stale_seconds:
                 return
             self.forget(name)
--- a/src/milletcourse/exchange/load/server_notices.py
+++ b/src/milletcourse/exchange/load/server_notices.py
@@ -16,13 +16,13 @@
     ServerNotice,
 )
 
-PASSED_ON_SECONDS = 2.0
+FORWARDED_TTL_SECONDS = 2.0
 """A notice that was passed on isn't passed on again this long: its repetitions are over by then."""
 
 
 class _Notice(msgspec.Struct):
     notice: ServerNotice
-    left: int
+    repeats_left: int
     to_readers: bool
 
 
@@ -30,38 +30,42 @@
     """Notices that one gateway still has to tell."""
 
     def __init__(self) -> None:
-        self._waiting: list[_Notice] = []
-        self._passed_on: dict[ServerNotice, float] = {}
+        self._pending: list[_Notice] = []
+        self._forwarded_at: dict[ServerNotice, float] = {}
 
     def __bool__(self) -> bool:
         """Whether there are some."""
-        return bool(self._waiting)
+        return bool(self._pending)
 
     def add(self, notice: ServerNotice, to_readers: bool = True) -> None:
         """Tell a notice; with `to_readers` false to followers only."""
-        self._waiting.append(_Notice(notice, NOTICE_REPEATS, to_readers))
+        self._pending.append(_Notice(notice, NOTICE_REPEATS, to_readers))
 
-    def pass_on(self, message: PeerMessage, now: float) -> bool:
+    def forward(self, message: PeerMessage, now: float) -> bool:
         """Tell others what a message says of servers; True when there is something new in it."""
         if message.scope is LoadScope.FLEET:
             return False
-        self._passed_on = {
-            notice: at for notice, at in self._passed_on.items() if now - at < PASSED_ON_SECONDS
+        self._forwarded_at = {
+            notice: forwarded_at
+            for notice, forwarded_at in self._forwarded_at.items()
+            if now - forwarded_at < FORWARDED_TTL_SECONDS
         }
-        new = [notice for notice in message.notices if notice not in self._passed_on]
+        new = [notice for notice in message.notices if notice not in self._forwarded_at]
         for notice in new:
-            self._passed_on[notice] = now
-            self.add(notice, to_readers=message.follows)
+            self._forwarded_at[notice] = now
+            self.add(notice, to_readers=message.is_follower)
         return bool(new)
 
-    def to_tell(self, scope: LoadScope) -> list[ServerNotice]:
+    def due_notices(self, scope: LoadScope) -> list[ServerNotice]:
         """What belongs in a message of a scope."""
         return [
-            kept.notice for kept in self._waiting if kept.to_readers or scope is LoadScope.FLEET
+            pending.notice
+            for pending in self._pending
+            if pending.to_readers or scope is LoadScope.FLEET
         ]
 
-    def on_told(self) -> None:
+    def on_sent(self) -> None:
         """They were told once more."""
-        for kept in self._waiting:
-            kept.left -= 1
-        self._waiting = [kept for kept in self._waiting if kept.left > 0]
+        for pending in self._pending:
+            pending.repeats_left -= 1
+        self._pending = [pending for pending in self._pending if pending.repeats_left > 0]
--- a/src/milletcourse/exchange/messages/content_patch.py
+++ b/src/milletcourse/exchange/messages/content_patch.py
@@ -16,9 +16,9 @@
 
 from milletcourse.exchange.messages.compression import deflate, inflate
 
-PIECE_END = b"},"
+CHUNK_END = b"},"
 MAX_CONTENT_BYTES = 16 * 1024 * 1024
-NO_CONTENT_SUM = 0
+NO_CONTENT_CHECKSUM = 0
 """Stands for no content before: the patch brings all of it."""
 
 
@@ -37,7 +37,7 @@
     """How to make a content from the one before.
 
     Attributes:
-        base: Sum of the content before, `NO_CONTENT_SUM` for none.
+        base: Sum of the content before, `NO_CONTENT_CHECKSUM` for none.
         result: Sum of the content.
         size: Bytes of the content.
         steps: Compressed steps; empty when they are to be asked for.
@@ -61,10 +61,10 @@
 class PatchProblem(Enum):
     """Why a patch gives no content."""
 
-    OTHER_BASE = "other-base"
+    BASE_MISMATCH = "other-base"
     """It is for another content than the one at hand."""
     MALFORMED = "malformed"
-    OTHER_RESULT = "other-result"
+    RESULT_MISMATCH = "other-result"
     """What comes out isn't what was announced."""
 
 
@@ -80,19 +80,21 @@
         self.problem = problem
 
 
-def content_sum(content: bytes) -> int:
-    """What tells a content; never `NO_CONTENT_SUM`."""
+def content_checksum(content: bytes) -> int:
+    """What tells a content; never `NO_CONTENT_CHECKSUM`."""
     return xxhash.xxh3_64_intdigest(content) or 1
 
 
-def whole_patch(content: bytes) -> ContentPatch:
+def full_patch(content: bytes) -> ContentPatch:
     """A patch that brings all of a content."""
-    return _patch(NO_CONTENT_SUM, content, [content])
+    return _patch(NO_CONTENT_CHECKSUM, content, [content])
 
 
 def make_patch(base: bytes, content: bytes) -> ContentPatch:
     """A patch from one content to the next."""
-    return _patch(content_sum(base), content, list(_steps(_pieces(base), _pieces(content))))
+    return _patch(
+        content_checksum(base), content, list(_steps(_split_chunks(base), _split_chunks(content)))
+    )
 
 
 def apply_patch(patch: ContentPatch, base: bytes | None) -> bytes:
@@ -105,39 +107,39 @@
     Raises:
         PatchError: It doesn't fit, can't be read, or something else comes out than was announced.
     """
-    if patch.base != NO_CONTENT_SUM and (base is None or content_sum(base) != patch.base):
-        raise PatchError(PatchProblem.OTHER_BASE)
-    pieces = _pieces(base) if base is not None and patch.base != NO_CONTENT_SUM else []
-    content = _joined(_read_steps(patch), pieces, patch.size)
-    if len(content) != patch.size or content_sum(content) != patch.result:
-        raise PatchError(PatchProblem.OTHER_RESULT)
+    if patch.base != NO_CONTENT_CHECKSUM and (base is None or content_checksum(base) != patch.base):
+        raise PatchError(PatchProblem.BASE_MISMATCH)
+    chunks = _split_chunks(base) if base is not None and patch.base != NO_CONTENT_CHECKSUM else []
+    content = _join_steps(_read_steps(patch), chunks, patch.size)
+    if len(content) != patch.size or content_checksum(content) != patch.result:
+        raise PatchError(PatchProblem.RESULT_MISMATCH)
     return content
 
 
-def _patch(base_sum: int, content: bytes, steps: list[_Step]) -> ContentPatch:
+def _patch(base_checksum: int, content: bytes, steps: list[_Step]) -> ContentPatch:
     packed = deflate(msgspec.msgpack.encode(steps))
-    return ContentPatch(base_sum, content_sum(content), len(content), packed)
+    return ContentPatch(base_checksum, content_checksum(content), len(content), packed)
 
 
-def _pieces(content: bytes) -> list[bytes]:
-    """The content in pieces; together they are the content and one more `PIECE_END`."""
-    return [piece + PIECE_END for piece in content.split(PIECE_END)]
+def _split_chunks(content: bytes) -> list[bytes]:
+    """The content in pieces; together they are the content and one more `CHUNK_END`."""
+    return [chunk + CHUNK_END for chunk in content.split(CHUNK_END)]
 
 
-def _steps(before: list[bytes], pieces: list[bytes]) -> Iterator[_Step]:
-    places = {piece: place for place, piece in enumerate(before)}
+def _steps(before: list[bytes], chunks: list[bytes]) -> Iterator[_Step]:
+    places = {chunk: place for place, chunk in enumerate(before)}
     first = count = 0
     new: list[bytes] = []
-    for piece in pieces:
-        if count and first + count < len(before) and before[first + count] == piece:
+    for chunk in chunks:
+        if count and first + count < len(before) and before[first + count] == chunk:
             count += 1
             continue
         if count:
             yield Run(first, count)
             count = 0
-        place = places.get(piece)
+        place = places.get(chunk)
         if place is None:
-            new.append(piece)
+            new.append(chunk)
             continue
         if new:
             yield b"".join(new)
@@ -160,20 +162,20 @@
         raise PatchError(PatchProblem.MALFORMED) from error
 
 
-def _joined(steps: list[_Step], pieces: list[bytes], size: int) -> bytes:
+def _join_steps(steps: list[_Step], chunks: list[bytes], size: int) -> bytes:
     """All steps in a row; raises once it becomes larger than announced."""
     found: list[bytes] = []
     length = 0
     for step in steps:
-        taken = [step] if isinstance(step, bytes) else _run_of(pieces, step)
+        taken = [step] if isinstance(step, bytes) else _run_chunks(chunks, step)
         length += sum(map(len, taken))
-        if length > size + len(PIECE_END):
-            raise PatchError(PatchProblem.OTHER_RESULT)
+        if length > size + len(CHUNK_END):
+            raise PatchError(PatchProblem.RESULT_MISMATCH)
         found.extend(taken)
-    return b"".join(found).removesuffix(PIECE_END) if pieces else b"".join(found)
+    return b"".join(found).removesuffix(CHUNK_END) if chunks else b"".join(found)
 
 
-def _run_of(pieces: list[bytes], run: Run) -> list[bytes]:
-    if run.first < 0 or run.count < 1 or run.first + run.count > len(pieces):
+def _run_chunks(chunks: list[bytes], run: Run) -> list[bytes]:
+    if run.first < 0 or run.count < 1 or run.first + run.count > len(chunks):
         raise PatchError(PatchProblem.MALFORMED)
-    return pieces[run.first : run.first + run.count]
+    return chunks[run.first : run.first + run.count]
--- a/src/milletcourse/exchange/messages/dialect.py
+++ b/src/milletcourse/exchange/messages/dialect.py
@@ -20,11 +20,11 @@
     PromptPart,
 )
 from milletcourse.exchange.messages.signal_headers import (
-    NO_REST,
-    RestReading,
+    NO_BACK_OFF,
+    BackOffHeader,
+    read_back_off,
     read_leaving,
     read_limit,
-    read_rest,
 )
 
 CONNECTION_FIELDS = frozenset(
@@ -44,7 +44,7 @@
 )
 """Fields that concern one connection only (RFC 9110, 7.6.1), and the body's framing."""
 RETRY_AFTER = b"retry-after"
-ASKS_FOR_REST = frozenset({429, 503})
+BACK_OFF_STATUSES = frozenset({429, 503})
 """Statuses with which a server that refuses may say for how long it wants nothing more."""
 MAX_PROMPT_PARTS = 256
 MAX_DEADLINE_SECONDS = 24 * 3600.0
@@ -253,7 +253,7 @@
             event_stream=values.get(b"content-type", b"").lower().startswith(b"text/event-stream"),
             limit=read_limit(_all_values(self._request_limit, values, fields)),
             leaving=read_leaving(_all_values(self._leaving, values, fields)),
-            rest=_read_rest(status, values, fields),
+            back_off=_read_back_off(status, values, fields),
         )
 
 
@@ -288,10 +288,12 @@
     return [field.value for field in fields if field.name.lower() == name]
 
 
-def _read_rest(status: int, values: dict[bytes, bytes], fields: list[HeaderField]) -> RestReading:
-    if status not in ASKS_FOR_REST:
-        return NO_REST
-    return read_rest(_all_values(RETRY_AFTER, values, fields))
+def _read_back_off(
+    status: int, values: dict[bytes, bytes], fields: list[HeaderField]
+) -> BackOffHeader:
+    if status not in BACK_OFF_STATUSES:
+        return NO_BACK_OFF
+    return read_back_off(_all_values(RETRY_AFTER, values, fields))
 
 
 def _is_hexadecimal(name: bytes) -> bool:
--- a/src/milletcourse/exchange/messages/event_stream.py
+++ b/src/milletcourse/exchange/messages/event_stream.py
@@ -25,22 +25,22 @@
             return b""
         whole = pending[:end]
         self._partial = pending[end:]
-        self._note_ids(whole)
+        self._record_ids(whole)
         return whole
 
-    def take_rest(self) -> bytes:
+    def take_remainder(self) -> bytes:
         """Bytes after the last blank line, once the stream has ended as complete."""
-        rest = self._partial
+        remainder = self._partial
         self._partial = b""
-        return rest
+        return remainder
 
     @staticmethod
     def _last_boundary(data: bytes) -> int:
-        plain = data.rfind(b"\n\n")
-        carriage = data.rfind(b"\r\n\r\n")
-        return max(plain + 2 if plain >= 0 else 0, carriage + 4 if carriage >= 0 else 0)
+        lf_end = data.rfind(b"\n\n")
+        crlf_end = data.rfind(b"\r\n\r\n")
+        return max(lf_end + 2 if lf_end >= 0 else 0, crlf_end + 4 if crlf_end >= 0 else 0)
 
-    def _note_ids(self, whole: bytes) -> None:
+    def _record_ids(self, whole: bytes) -> None:
         for line in whole.splitlines():
             if line.startswith(_ID_FIELD):
                 self.last_event_id = line[len(_ID_FIELD) :].strip().decode("latin-1")
--- a/src/milletcourse/exchange/messages/feed_messages.py
+++ b/src/milletcourse/exchange/messages/feed_messages.py
@@ -16,10 +16,10 @@
 from milletcourse.exchange.messages.compression import deflate, inflate
 from milletcourse.exchange.messages.configuration_effect import ConfigurationEffect
 from milletcourse.exchange.messages.content_patch import ContentPatch
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 
 COMPRESSED_FROM_BYTES = 4096
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 """Of an answer as it was before it was compressed."""
 _JSON_ARRAY = b"["
 
@@ -29,14 +29,14 @@
 
     Attributes:
         kind: Kind of the objects.
-        place: State of the store up to which it knows them, None when it knows nothing.
+        position: State of the store up to which it knows them, None when it knows nothing.
     """
 
     kind: str
-    place: StorePlace | None
+    position: StorePosition | None
 
 
-class FeedQuestion(msgspec.Struct, array_like=True, frozen=True):
+class FeedRequest(msgspec.Struct, array_like=True, frozen=True):
     """Asks for what came since some positions.
 
     Attributes:
@@ -49,27 +49,27 @@
 
     positions: list[FeedPosition]
     hold_seconds: float
-    takes_patches: bool = False
+    accepts_patches: bool = False
     configuration: int = 0
     confirmed_era: int = UNKNOWN_ERA
 
 
-class FedObject(msgspec.Struct, array_like=True, frozen=True):
+class FeedObject(msgspec.Struct, array_like=True, frozen=True):
     """An object that is there, or one that went, whose content isn't told.
 
     Attributes:
         name: Unique within its kind.
-        place: Its last change.
+        position: Its last change.
         spec: Its content as JSON; null for one that went, and beside a patch.
-        gone: It went.
+        deleted: It went.
         patch: Makes its content from the one before; an announcement when it is large, to be asked
-            for with a `ContentQuestion`.
+            for with a `ContentRequest`.
     """
 
     name: str
-    place: StorePlace
+    position: StorePosition
     spec: msgspec.Raw
-    gone: bool = False
+    deleted: bool = False
     patch: ContentPatch | None = None
 
     @property
@@ -78,20 +78,20 @@
         return self.patch is not None and self.patch.is_announcement
 
 
-class FedKind(msgspec.Struct, array_like=True, frozen=True):
+class FeedKind(msgspec.Struct, array_like=True, frozen=True):
     """What came of one kind.
 
     Attributes:
         kind: Kind of the objects.
-        place: State of the store up to which they are told.
-        whole: They are all objects of the kind, not just the changes.
+        position: State of the store up to which they are told.
+        is_snapshot: They are all objects of the kind, not just the changes.
         objects: Objects in the order of their changes.
     """
 
     kind: str
-    place: StorePlace
-    whole: bool
-    objects: list[FedObject]
+    position: StorePosition
+    is_snapshot: bool
+    objects: list[FeedObject]
 
     @property
     def is_announced(self) -> bool:
@@ -99,7 +99,7 @@
         return any(item.is_announced for item in self.objects)
 
 
-class FeedAnswer(msgspec.Struct, array_like=True, frozen=True):
+class FeedResponse(msgspec.Struct, array_like=True, frozen=True):
     """What came since the positions of a question.
 
     Attributes:
@@ -116,16 +116,16 @@
         confirmed_era: Latest era of the store that the reader knows to be confirmed.
     """
 
-    kinds: list[FedKind]
+    kinds: list[FeedKind]
     proof_offset: float
     is_receiving: bool = False
     effect: ConfigurationEffect | None = None
-    not_out_offset: float | None = None
+    unpublished_offset: float | None = None
     configuration: int = 0
     confirmed_era: int = UNKNOWN_ERA
 
 
-class ContentQuestion(msgspec.Struct, array_like=True, frozen=True):
+class ContentRequest(msgspec.Struct, array_like=True, frozen=True):
     """Asks for a content that was announced.
 
     Attributes:
@@ -141,17 +141,17 @@
     result: int
 
 
-def encode_question(question: FeedQuestion) -> bytes:
+def encode_feed_request(question: FeedRequest) -> bytes:
     """Bytes of a question."""
     return msgspec.json.encode(question)
 
 
-def decode_question(data: bytes) -> FeedQuestion | None:
+def decode_feed_request(data: bytes) -> FeedRequest | None:
     """Understand a question; None when it is none."""
-    return _decode(data, FeedQuestion)
+    return _decode(data, FeedRequest)
 
 
-def encode_answer(answer: FeedAnswer, may_compress: bool) -> bytes:
+def encode_feed_response(answer: FeedResponse, may_compress: bool) -> bytes:
     """Bytes of an answer."""
     data = msgspec.json.encode(answer)
     if not may_compress or len(data) < COMPRESSED_FROM_BYTES:
@@ -159,28 +159,28 @@
     return deflate(data)
 
 
-def decode_answer(data: bytes) -> FeedAnswer | None:
+def decode_feed_response(data: bytes) -> FeedResponse | None:
     """Understand an answer; None when it is none."""
     if data.startswith(_JSON_ARRAY):
-        return _decode(data, FeedAnswer)
+        return _decode(data, FeedResponse)
     try:
-        return _decode(inflate(data, MAX_ANSWER_BYTES), FeedAnswer)
+        return _decode(inflate(data, MAX_RESPONSE_BYTES), FeedResponse)
     except ValueError:
         return None
 
 
-def encode_content_question(question: ContentQuestion) -> bytes:
+def encode_content_request(question: ContentRequest) -> bytes:
     """Bytes of a question."""
     return msgspec.json.encode(question)
 
 
-def decode_content_question(data: bytes) -> ContentQuestion | None:
+def decode_content_request(data: bytes) -> ContentRequest | None:
     """Understand a question; None when it is none."""
-    return _decode(data, ContentQuestion)
+    return _decode(data, ContentRequest)
 
 
 def encode_patch(patch: ContentPatch) -> bytes:
-    """Bytes of the answer to a `ContentQuestion`."""
+    """Bytes of the answer to a `ContentRequest`."""
     return msgspec.msgpack.encode(patch)
 
 
--- a/src/milletcourse/exchange/messages/messages.py
+++ b/src/milletcourse/exchange/messages/messages.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from milletcourse.exchange.messages.signal_headers import (
+    NO_BACK_OFF,
     NO_LIMIT,
-    NO_REST,
     NOT_LEAVING,
-    LeavingReading,
-    LimitReading,
-    RestReading,
+    BackOffHeader,
+    LeavingHeader,
+    LimitHeader,
 )
 
 
@@ -132,7 +132,7 @@
         event_stream: The body is a series of events.
         limit: Requests a second that the server takes, as it says now.
         leaving: Whether the server leaves, as it says.
-        rest: Time for which a server that refuses wants no more.
+        back_off: Time for which a server that refuses wants no more.
     """
 
     status: int
@@ -149,9 +149,9 @@
     closing: bool
     encoded: bool
     event_stream: bool
-    limit: LimitReading = NO_LIMIT
-    leaving: LeavingReading = NOT_LEAVING
-    rest: RestReading = NO_REST
+    limit: LimitHeader = NO_LIMIT
+    leaving: LeavingHeader = NOT_LEAVING
+    back_off: BackOffHeader = NO_BACK_OFF
 
     @property
     def framed(self) -> bool:
@@ -164,26 +164,26 @@
         return 200 <= self.status < 300
 
 
-class LeaveCause(Enum):
+class AbortCause(Enum):
     """Why a gateway itself gave up an attempt."""
 
-    CLIENT_GONE = "client-gone"
-    TIME_UP = "time-up"
-    SILENT = "silent"
+    CLIENT_DISCONNECTED = "client-gone"
+    DEADLINE_EXCEEDED = "time-up"
+    SERVER_SILENT = "silent"
     """Nothing came from the server for too long."""
     HANDED_OVER = "handed-over"
     """Another server goes on with its stream."""
-    FIRST_WENT_ON = "first-went-on"
+    FIRST_CONTINUED = "first-went-on"
     """It was asked to go on with a stream, and the server that had it did."""
-    OVERLAP_OVER = "overlap-over"
+    OVERLAP_TIMEOUT = "overlap-over"
     """It was asked to go on with a stream, and didn't begin soon enough."""
     SERVER_LIMIT = "server-limit"
     """The server named a limit, or the permit became old, before the request went out."""
     SERVER_LEAVING = "server-leaving"
     """The server said that it leaves before the request went out."""
-    SERVER_RESTING = "server-resting"
+    SERVER_BACKING_OFF = "server-resting"
     """The server asked for rest before the request went out."""
-    OWN_MEANS = "own-means"
+    LOCAL_RESOURCES = "own-means"
     """This gateway has no descriptor for a connection."""
     VERSION_BOUND = "version-bound"
     """The server's weights are too old for work that begins now."""
@@ -194,7 +194,7 @@
 
     NOT_SENT = "not-sent"
     """No connection came up."""
-    TURNED_AWAY = "turned-away"
+    REJECTED = "turned-away"
     """The server said that it did not run."""
     WRONG_INSTANCE = "wrong-instance"
     """Another incarnation answered; it did not run."""
@@ -206,5 +206,5 @@
     """A whole answer with a failure."""
     ANSWERED = "answered"
     """A whole answer was passed on."""
-    CUT = "cut"
+    TRUNCATED = "cut"
     """A stream that was partly passed on broke off."""
--- a/src/milletcourse/exchange/messages/peer_messages.py
+++ b/src/milletcourse/exchange/messages/peer_messages.py
@@ -17,12 +17,12 @@
 
 NOTICE_REPEATS = 3
 """Times that a notice is sent, against loss."""
-MAX_TOLD_ENDS = 6
+MAX_REPORTED_CRASHES = 6
 """Ends of servers that are kept and told of one request; three are enough to contain it."""
 MAX_AGE_MS = 4 * 3600 * 1000
 """Nothing that is told is older: a greater age is an error of the sender."""
 
-Age = Annotated[int, msgspec.Meta(ge=0, le=MAX_AGE_MS)]
+AgeMs = Annotated[int, msgspec.Meta(ge=0, le=MAX_AGE_MS)]
 """Milliseconds before the message was sent: clocks of gateways differ, ages don't."""
 
 
@@ -33,11 +33,11 @@
     """It takes a weight version."""
     READY = 2
     """It has a weight version."""
-    ENDED = 3
+    TERMINATED = 3
     """Another incarnation answers at its address."""
-    STORE_LOST = 4
+    STORE_UNREACHABLE = 4
     """A store of kept prompt state doesn't answer."""
-    STORE_FOUND = 5
+    STORE_REACHABLE = 5
     """A store of kept prompt state answers again."""
 
 
@@ -59,16 +59,16 @@
         key: Hash of the server's name.
         waiting_tokens: Prompt tokens to be read for requests without a first event.
         running: Requests that the server works on.
-        bad: Attempts that failed there lately, weighed by what they say of the server.
-        good: Attempts that were answered there lately.
+        failures: Attempts that failed there lately, weighed by what they say of the server.
+        successes: Attempts that were answered there lately.
         memory_tokens: Memory that the requests there take, in tokens.
     """
 
     key: int
     waiting_tokens: int
     running: int
-    bad: int = 0
-    good: int = 0
+    failures: int = 0
+    successes: int = 0
     memory_tokens: int = 0
 
     def plus(self, other: InstanceLoad) -> InstanceLoad:
@@ -77,8 +77,8 @@
             self.key,
             self.waiting_tokens + other.waiting_tokens,
             self.running + other.running,
-            self.bad + other.bad,
-            self.good + other.good,
+            self.failures + other.failures,
+            self.successes + other.successes,
             self.memory_tokens + other.memory_tokens,
         )
 
@@ -88,15 +88,15 @@
             self.key,
             max(self.waiting_tokens - other.waiting_tokens, 0),
             max(self.running - other.running, 0),
-            max(self.bad - other.bad, 0),
-            max(self.good - other.good, 0),
+            max(self.failures - other.failures, 0),
+            max(self.successes - other.successes, 0),
             max(self.memory_tokens - other.memory_tokens, 0),
         )
 
     @property
-    def is_nothing(self) -> bool:
+    def is_zero(self) -> bool:
         """Whether there is neither load nor news."""
-        return not (self.waiting_tokens or self.running or self.bad or self.good)
+        return not (self.waiting_tokens or self.running or self.failures or self.successes)
 
 
 class TenantUse(msgspec.Struct, array_like=True, frozen=True):
@@ -123,7 +123,7 @@
         return TenantUse(self.key, self.per_second - other.per_second)
 
     @property
-    def is_nothing(self) -> bool:
+    def is_zero(self) -> bool:
         """Whether nothing is spent."""
         return not self.per_second
 
@@ -146,18 +146,18 @@
     started_ms: int = 0
 
 
-class CrashEnd(msgspec.Struct, array_like=True, frozen=True):
+class ServerCrash(msgspec.Struct, array_like=True, frozen=True):
     """A server that ended while it had a request.
 
     Attributes:
         server: Key of the incarnation.
         sent_ms: Age of the send of the request to it.
-        ended_ms: Age of its end.
+        crashed_ms: Age of its end.
     """
 
     server: int
-    sent_ms: Age
-    ended_ms: Age
+    sent_ms: AgeMs
+    crashed_ms: AgeMs
 
 
 class CrashReport(msgspec.Struct, array_like=True, frozen=True):
@@ -165,13 +165,13 @@
 
     Attributes:
         identity: Identity of its content.
-        ends: Servers that ended under it since the latest answer.
+        crashes: Servers that ended under it since the latest answer.
         cleared_ms: Age of the latest answer to it, None when there was none.
     """
 
     identity: int
-    ends: Annotated[list[CrashEnd], msgspec.Meta(max_length=MAX_TOLD_ENDS)] = []
-    cleared_ms: Age | None = None
+    crashes: Annotated[list[ServerCrash], msgspec.Meta(max_length=MAX_REPORTED_CRASHES)] = []
+    cleared_ms: AgeMs | None = None
 
 
 class SignalReport(msgspec.Struct, array_like=True, frozen=True):
@@ -180,14 +180,14 @@
     Attributes:
         key: Key of the incarnation.
         per_second: Requests a second that it takes from all gateways together, None for no limit.
-        said_ms: Age of the answer that said so.
-        leaving_ms: Age of the first answer that said that it leaves, None when none did.
+        limit_age_ms: Age of the answer that said so.
+        leaving_age_ms: Age of the first answer that said that it leaves, None when none did.
     """
 
     key: int
     per_second: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_LIMIT_PER_SECOND)] | None
-    said_ms: Age
-    leaving_ms: Age | None = None
+    limit_age_ms: AgeMs
+    leaving_age_ms: AgeMs | None = None
 
 
 class PeerMessage(msgspec.Struct, array_like=True, frozen=True):
@@ -199,7 +199,7 @@
         loads: Servers with load; others have none.
         notices: States of servers that changed in the last moments.
         scope: Whose load it is.
-        follows: The sender follows the receiver, and wants to be told the fleet's load.
+        is_follower: The sender follows the receiver, and wants to be told the fleet's load.
         uses: What is spent for tenants with a limit; nothing for others.
         gateways: How many gateways' load and use it tells.
         crashes: Requests under which servers ended.
@@ -211,7 +211,7 @@
     loads: list[InstanceLoad] = []
     notices: list[ServerNotice] = []
     scope: LoadScope = LoadScope.GATEWAY
-    follows: bool = False
+    is_follower: bool = False
     uses: list[TenantUse] = []
     gateways: int = 1
     crashes: list[CrashReport] = []
--- a/src/milletcourse/exchange/messages/quota_messages.py
+++ b/src/milletcourse/exchange/messages/quota_messages.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.peer_messages import Age
+from milletcourse.exchange.messages.peer_messages import AgeMs
 from milletcourse.exchange.messages.signal_headers import MAX_LIMIT_PER_SECOND
 
 _MARK = b"\xc1"
@@ -21,7 +21,7 @@
 Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=MAX_MS)]
 
 
-class UnitStep(IntEnum):
+class PermitStep(IntEnum):
     """What a message is."""
 
     ASK = 1
@@ -29,49 +29,49 @@
     DENY = 3
 
 
-class UnitMessage(msgspec.Struct, array_like=True, frozen=True):
+class PermitMessage(msgspec.Struct, array_like=True, frozen=True):
     """One unit is asked for, lent or denied.
 
     Attributes:
         step: Which of them.
         sender: Name of the gateway that sends it.
         key: Identity of the allowance.
-        number: The asker's number of its ask, repeated by the reply.
+        request_number: The asker's number of its ask, repeated by the reply.
         per_second: Units a second, as the asker knows it; None in replies.
-        said_ms: Age of that knowledge.
-        rank: Rank of the request, 0 for the most urgent.
+        limit_age_ms: Age of that knowledge.
+        priority: Rank of the request, 0 for the most urgent.
         unit_ms: Time until there may be a unit for the asker.
         pause_ms: Time after which it may ask again.
-        askers: Gateways that asked lately.
+        requesters: Gateways that asked lately.
     """
 
-    step: UnitStep
+    step: PermitStep
     sender: str
     key: int
-    number: int
+    request_number: int
     per_second: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_LIMIT_PER_SECOND)] | None = None
-    said_ms: Age = 0
-    rank: int = 0
-    unit_ms: Milliseconds = 0
-    pause_ms: Milliseconds = 0
-    askers: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
+    limit_age_ms: AgeMs = 0
+    priority: int = 0
+    permit_wait_ms: Milliseconds = 0
+    retry_after_ms: Milliseconds = 0
+    requesters: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_DECODER = msgspec.msgpack.Decoder(UnitMessage)
+_DECODER = msgspec.msgpack.Decoder(PermitMessage)
 
 
-def is_unit_message(data: bytes) -> bool:
+def is_permit_message(data: bytes) -> bool:
     """Whether a datagram is one of these messages, as far as its first byte tells."""
     return data.startswith(_MARK)
 
 
-def encode_unit_message(message: UnitMessage) -> bytes:
+def encode_permit_message(message: PermitMessage) -> bytes:
     """Bytes of a datagram."""
     return _MARK + _ENCODER.encode(message)
 
 
-def decode_unit_message(data: bytes) -> UnitMessage | None:
+def decode_permit_message(data: bytes) -> PermitMessage | None:
     """Understand a datagram; None when it is none of ours."""
     try:
         return _DECODER.decode(memoryview(data)[len(_MARK) :])
@@ -79,6 +79,6 @@
         return None
 
 
-def told_ms(seconds: float) -> int:
+def wire_ms(seconds: float) -> int:
     """A time as messages tell it."""
     return min(max(round(seconds * 1000.0), 0), MAX_MS)
--- a/src/milletcourse/exchange/messages/signal_headers.py
+++ b/src/milletcourse/exchange/messages/signal_headers.py
@@ -11,16 +11,16 @@
 """A greater limit is read as this one: no server gets more."""
 MAX_NUMBER_CHARACTERS = 32
 """A longer number is none that a server could mean."""
-MAX_SHOWN_BYTES = 64
+MAX_LOGGED_BYTES = 64
 """Of a field that can't be read, logs show no more."""
-MAX_REST_SECONDS = 24 * 3600.0
+MAX_BACK_OFF_SECONDS = 24 * 3600.0
 """A longer rest is read as this one."""
-LEAVING = b"1"
-STAYING = b"0"
+LEAVING_VALUE = b"1"
+STAYING_VALUE = b"0"
 _DECIMAL = re.compile(rb"\d+(\.\d*)?|\.\d+")
 
 
-class LimitReading(msgspec.Struct, frozen=True):
+class LimitHeader(msgspec.Struct, frozen=True):
     """What the head of an answer says of its server's limit.
 
     Attributes:
@@ -32,10 +32,10 @@
     unreadable: str = ""
 
 
-NO_LIMIT = LimitReading()
+NO_LIMIT = LimitHeader()
 
 
-def read_limit(values: Sequence[bytes]) -> LimitReading:
+def read_limit(values: Sequence[bytes]) -> LimitHeader:
     """Understand a limit.
 
     Args:
@@ -45,11 +45,11 @@
     if not distinct:
         return NO_LIMIT
     if len(distinct) == 1 and _is_decimal(distinct[0]):
-        return LimitReading(min(float(distinct[0]), MAX_LIMIT_PER_SECOND))
-    return LimitReading(unreadable=_shown(distinct))
+        return LimitHeader(min(float(distinct[0]), MAX_LIMIT_PER_SECOND))
+    return LimitHeader(unreadable=_excerpt(distinct))
 
 
-class RestReading(msgspec.Struct, frozen=True):
+class BackOffHeader(msgspec.Struct, frozen=True):
     """What the head of a refusal says of the rest that its server wants.
 
     Attributes:
@@ -61,10 +61,10 @@
     unreadable: str = ""
 
 
-NO_REST = RestReading()
+NO_BACK_OFF = BackOffHeader()
 
 
-def read_rest(values: Sequence[bytes]) -> RestReading:
+def read_back_off(values: Sequence[bytes]) -> BackOffHeader:
     """Understand a rest in seconds; dates are no use between clocks that differ.
 
     Args:
@@ -73,45 +73,45 @@
     """
     distinct = sorted({value.strip() for value in values})
     if not distinct:
-        return NO_REST
+        return NO_BACK_OFF
     times = [float(value) for value in distinct if _is_decimal(value)]
     if not times:
-        return RestReading(unreadable=_shown(distinct))
-    return RestReading(min(max(times), MAX_REST_SECONDS))
+        return BackOffHeader(unreadable=_excerpt(distinct))
+    return BackOffHeader(min(max(times), MAX_BACK_OFF_SECONDS))
 
 
-class LeavingReading(msgspec.Struct, frozen=True):
+class LeavingHeader(msgspec.Struct, frozen=True):
     """Whether the head of an answer says that its server leaves.
 
     Attributes:
-        leaves: It does.
+        is_leaving: It does.
         unreadable: Beginning of what it says when that is neither yes nor no; empty otherwise.
     """
 
-    leaves: bool = False
+    is_leaving: bool = False
     unreadable: str = ""
 
 
-NOT_LEAVING = LeavingReading()
+NOT_LEAVING = LeavingHeader()
 
 
-def read_leaving(values: Sequence[bytes]) -> LeavingReading:
+def read_leaving(values: Sequence[bytes]) -> LeavingHeader:
     """Understand whether a server leaves.
 
     Args:
         values: Values of all fields of that name; one that says so is enough.
     """
     distinct = sorted({value.strip() for value in values})
-    if LEAVING in distinct:
-        return LeavingReading(leaves=True)
-    if not distinct or distinct == [STAYING]:
+    if LEAVING_VALUE in distinct:
+        return LeavingHeader(is_leaving=True)
+    if not distinct or distinct == [STAYING_VALUE]:
         return NOT_LEAVING
-    return LeavingReading(unreadable=_shown(distinct))
+    return LeavingHeader(unreadable=_excerpt(distinct))
 
 
 def _is_decimal(value: bytes) -> bool:
     return len(value) <= MAX_NUMBER_CHARACTERS and _DECIMAL.fullmatch(value) is not None
 
 
-def _shown(values: Sequence[bytes]) -> str:
-    return b", ".join(values)[:MAX_SHOWN_BYTES].decode("latin-1") or "(empty)"
+def _excerpt(values: Sequence[bytes]) -> str:
+    return b", ".join(values)[:MAX_LOGGED_BYTES].decode("latin-1") or "(empty)"
--- a/src/milletcourse/exchange/messages/store_position.py
+++ b/src/milletcourse/exchange/messages/store_position.py
@@ -13,7 +13,7 @@
 """Of a store that doesn't tell its era; it counts as a former one of any that is told."""
 
 
-class StorePlace(msgspec.Struct, array_like=True, frozen=True, order=True):
+class StorePosition(msgspec.Struct, array_like=True, frozen=True, order=True):
     """A state of the store, or a change of an object; ordered as the store went through them.
 
     Attributes:
--- a/src/milletcourse/exchange/placement/server_candidates.py
+++ b/src/milletcourse/exchange/placement/server_candidates.py
@@ -60,7 +60,7 @@
         if not self._shares_suspicion:
             return False
         others = self._loads.others_load(instance.key, now)
-        return instance.health.is_suspected(ServerTally(others.bad, others.good), now)
+        return instance.health.is_suspected(ServerTally(others.failures, others.successes), now)
 
     def allowed(
         self, service: ServiceRecord, model: str, tried: Collection[str], now: float
@@ -85,7 +85,7 @@
         """Those that may run it and want requests, by what they say of themselves."""
         allowed = self.allowed(service, model, tried, now)
         paused = self._pauses.paused(now)
-        signals = self._loads.signals.in_force((instance.key for instance in allowed), now)
+        signals = self._loads.signals.active_signals((instance.key for instance in allowed), now)
         return [
             instance
             for instance in allowed
--- a/src/milletcourse/exchange/reading/confirmed_era.py
+++ b/src/milletcourse/exchange/reading/confirmed_era.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 
 FIRST_ERA = 0
 """A store in this era, or one that tells none, has never come back."""
@@ -45,12 +45,12 @@
     def __init__(self, on_confirmed: OnConfirmed) -> None:
         self.latest = UNKNOWN_ERA
         self._on_confirmed = on_confirmed
-        self._found_at = StorePlace(UNKNOWN_ERA, 0)
-        self._ended_at: StorePlace | None = None
+        self._found_at = StorePosition(UNKNOWN_ERA, 0)
+        self._ended_at: StorePosition | None = None
         self._confirmed_from = float("-inf")
         self._told_ahead: set[int] = set()
 
-    def on_era(self, place: StorePlace, before: StorePlace | None, now: float) -> None:
+    def on_era(self, place: StorePosition, before: StorePosition | None, now: float) -> None:
         """The store was found in another era than before.
 
         Args:
@@ -72,7 +72,7 @@
         elif era > self._found_at.era and len(self._told_ahead) < MAX_TOLD_AHEAD:
             self._told_ahead.add(era)
 
-    def on_configuration(self, place: StorePlace, known: StorePlace | None) -> None:
+    def on_configuration(self, place: StorePosition, known: StorePosition | None) -> None:
         """The configuration's last change, as the store shows it.
 
         Args:
@@ -83,12 +83,12 @@
         if is_later or self._is_rewritten(place, known):
             self._confirm(place.era, EraEvidence.WRITTEN)
 
-    def _is_rewritten(self, place: StorePlace, known: StorePlace | None) -> bool:
+    def _is_rewritten(self, place: StorePosition, known: StorePosition | None) -> bool:
         """Whether the ended era had no change of the configuration at this revision."""
         ended_at = self._ended_at
         if ended_at is None or known is None or known.era != ended_at.era:
             return False
-        return known < StorePlace(ended_at.era, place.revision) <= ended_at
+        return known < StorePosition(ended_at.era, place.revision) <= ended_at
 
     def confirms(self, now: float) -> bool:
         """Whether the store's present era is confirmed."""
--- a/src/milletcourse/exchange/reading/pending_contents.py
+++ b/src/milletcourse/exchange/reading/pending_contents.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from milletcourse.exchange.messages.content_patch import ContentPatch
-from milletcourse.exchange.messages.feed_messages import ContentQuestion, FedKind, FedObject
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.feed_messages import ContentRequest, FeedKind, FeedObject
+from milletcourse.exchange.messages.store_position import StorePosition
 
 MAX_WAITING = 8
 """Answers of one kind; when more wait, the reader is asked again for all behind the first one, and
@@ -27,8 +27,8 @@
         fed: What it told.
     """
 
-    since: StorePlace | None
-    fed: FedKind
+    since: StorePosition | None
+    fed: FeedKind
 
 
 class PendingContents:
@@ -42,7 +42,7 @@
     def __contains__(self, kind: str) -> bool:
         return kind in self._waiting
 
-    def position(self, kind: str, known: StorePlace | None) -> StorePlace | None:
+    def position(self, kind: str, known: StorePosition | None) -> StorePosition | None:
         """State of a kind from which a reader is to go on; None to be told all.
 
         Args:
@@ -52,12 +52,12 @@
         if kind in self._misfits:
             return None
         waiting = self._waiting.get(kind)
-        return waiting[-1].fed.place if waiting else known
+        return waiting[-1].fed.position if waiting else known
 
-    def take(self, fed: FedKind, since: StorePlace | None) -> list[FedUpdate]:
+    def take(self, fed: FeedKind, since: StorePosition | None) -> list[FedUpdate]:
         """What a reader told of a kind from a state on; returns what can be taken at once."""
         waiting = self._waiting.setdefault(fed.kind, deque())
-        if fed.whole:
+        if fed.is_snapshot:
             self._misfits.discard(fed.kind)
             waiting.clear()
         if len(waiting) >= MAX_WAITING:
@@ -68,15 +68,15 @@
             waiting.append(FedUpdate(since, fed))
         return self._settle(fed.kind)
 
-    def missing(self, kind: str) -> ContentQuestion | None:
+    def missing(self, kind: str) -> ContentRequest | None:
         """The first content that a kind waits for, None when it waits for none."""
         waiting = self._waiting.get(kind)
         for item in waiting[0].fed.objects if waiting else ():
             if item.is_announced and item.patch is not None:
-                return ContentQuestion(kind, item.name, item.patch.base, item.patch.result)
+                return ContentRequest(kind, item.name, item.patch.base, item.patch.result)
         return None
 
-    def on_patch(self, question: ContentQuestion, patch: ContentPatch) -> list[FedUpdate]:
+    def on_patch(self, question: ContentRequest, patch: ContentPatch) -> list[FedUpdate]:
         """A content that was asked for has come; returns what can be taken now."""
         waiting = self._waiting.get(question.kind)
         if not waiting or patch.result != question.result:
@@ -86,7 +86,7 @@
             msgspec.structs.replace(item, patch=patch) if _is_meant(item, question) else item
             for item in first.objects
         ]
-        fed = FedKind(first.kind, first.place, first.whole, objects)
+        fed = FeedKind(first.kind, first.position, first.is_snapshot, objects)
         waiting[0] = FedUpdate(waiting[0].since, fed)
         return self._settle(question.kind)
 
@@ -114,7 +114,7 @@
         return ready
 
 
-def _is_meant(item: FedObject, question: ContentQuestion) -> bool:
+def _is_meant(item: FeedObject, question: ContentRequest) -> bool:
     if not item.is_announced or item.patch is None or item.name != question.name:
         return False
     return item.patch.result == question.result and item.patch.base == question.base
--- a/src/milletcourse/exchange/rollout/rollout_timing.py
+++ b/src/milletcourse/exchange/rollout/rollout_timing.py
@@ -17,19 +17,19 @@
 Two whole requests stand against ten that are answered by superseded weights."""
 GRACE_SECONDS = 1.5
 """An answer by weights that were superseded more recently than this is as good as any."""
-REMEMBERED_NAMES = 4
+REMEMBERED_RELEASES = 4
 """Versions whose intervals count."""
 
 
-class NamingRhythm:
+class ReleaseCadence:
     """Tells from the moments at which versions were named when the next one is to be expected."""
 
     def __init__(self) -> None:
-        self._named_at: deque[float] = deque(maxlen=REMEMBERED_NAMES)
+        self._released_at: deque[float] = deque(maxlen=REMEMBERED_RELEASES)
 
-    def on_named(self, now: float) -> None:
+    def on_release(self, now: float) -> None:
         """A version was named."""
-        self._named_at.append(now)
+        self._released_at.append(now)
 
     def seconds_to_next(self, now: float, usual_seconds: float) -> float:
         """Expected time until the next version is named; 0 before the first.
@@ -39,11 +39,11 @@
             usual_seconds: Interval that is assumed beside the observed ones, and while there are
                 none.
         """
-        if not self._named_at:
+        if not self._released_at:
             return 0.0
-        observed = self._named_at[-1] - self._named_at[0]
-        interval = (observed + usual_seconds) / len(self._named_at)
-        elapsed = now - self._named_at[-1]
+        observed = self._released_at[-1] - self._released_at[0]
+        interval = (observed + usual_seconds) / len(self._released_at)
+        elapsed = now - self._released_at[-1]
         # Once the rhythm is broken, the pause goes on for as long as it has lasted already.
         return interval - elapsed if elapsed < interval else elapsed
 
@@ -51,7 +51,7 @@
 def is_worth_loading(
     requests_per_second: float,
     seconds_to_next: float,
-    seconds_since_named: float,
+    seconds_since_superseded: float,
     load_seconds: float,
 ) -> bool:
     """Whether a load now costs less than the superseded answers that waiting would give.
@@ -62,6 +62,6 @@
         seconds_since_named: Time since the server's version was superseded.
         load_seconds: Time of a load.
     """
-    grace_left = GRACE_SECONDS - seconds_since_named - load_seconds
+    grace_left = GRACE_SECONDS - seconds_since_superseded - load_seconds
     superseded_seconds = seconds_to_next - max(grace_left, 0.0)
     return requests_per_second * superseded_seconds * SUPERSEDED_COST >= LOAD_COST_REQUESTS
--- a/src/milletcourse/exchange/rollout/version_gate.py
+++ b/src/milletcourse/exchange/rollout/version_gate.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.records import ModelTarget
-from milletcourse.exchange.rollout.rollout_timing import GRACE_SECONDS, NamingRhythm
+from milletcourse.exchange.rollout.rollout_timing import GRACE_SECONDS, ReleaseCadence
 
 USE_MARGIN_SECONDS = 1.0
 """An older version gets no new work this long before its bound."""
@@ -20,9 +20,9 @@
 less than the time after which a started machine is held to the bound."""
 
 
-class _Named(msgspec.Struct):
+class _Release(msgspec.Struct):
     version: int
-    named_at: float
+    released_at: float
 
 
 class VersionGate:
@@ -30,32 +30,32 @@
 
     def __init__(self, bound_seconds: float) -> None:
         self.bound_seconds = bound_seconds
-        self._named: dict[str, list[_Named]] = {}
-        self._rhythms: dict[str, NamingRhythm] = {}
+        self._releases: dict[str, list[_Release]] = {}
+        self._cadences: dict[str, ReleaseCadence] = {}
 
     def on_target(self, target: ModelTarget, now: float, just_started: bool = False) -> bool:
         """A version was named; True when it is newer than all before it."""
-        named = self._named.setdefault(target.model, [])
-        if named and named[-1].version >= target.version:
+        releases = self._releases.setdefault(target.model, [])
+        if releases and releases[-1].version >= target.version:
             return False
         at = now
         if just_started:
             at = now - self.bound_seconds + USE_MARGIN_SECONDS + UNKNOWN_AGE_USE_SECONDS
-        named.append(_Named(target.version, at))
+        releases.append(_Release(target.version, at))
         if not just_started:
-            self._rhythms.setdefault(target.model, NamingRhythm()).on_named(now)
+            self._cadences.setdefault(target.model, ReleaseCadence()).on_release(now)
         return True
 
     def newest(self, model: str) -> int | None:
         """The newest named version."""
-        named = self._named.get(model)
-        return named[-1].version if named else None
+        releases = self._releases.get(model)
+        return releases[-1].version if releases else None
 
     def bound_of(self, model: str, version: int) -> float | None:
         """Time at which a version may not start work any more, None while it is the newest."""
-        for named in self._named.get(model, ()):
-            if named.version > version:
-                return named.named_at + self.bound_seconds
+        for release in self._releases.get(model, ()):
+            if release.version > version:
+                return release.released_at + self.bound_seconds
         return None
 
     def superseded_at(self, model: str, version: int) -> float | None:
@@ -70,8 +70,8 @@
 
     def seconds_to_next(self, model: str, now: float) -> float:
         """Expected time until a model's next version is named."""
-        rhythm = self._rhythms.get(model)
-        return 0.0 if rhythm is None else rhythm.seconds_to_next(now, self.bound_seconds)
+        cadence = self._cadences.get(model)
+        return 0.0 if cadence is None else cadence.seconds_to_next(now, self.bound_seconds)
 
     def permits(self, model: str, version: int, now: float) -> bool:
         """Whether new work may go to a server that has this version."""
@@ -85,6 +85,6 @@
 
     def forget_before(self, now: float) -> None:
         """Drop versions that were superseded long ago; the first newer one keeps the bound."""
-        for named in self._named.values():
-            while len(named) > 2 and named[1].named_at + self.bound_seconds < now:
-                del named[0]
+        for releases in self._releases.values():
+            while len(releases) > 2 and releases[1].released_at + self.bound_seconds < now:
+                del releases[0]
--- a/src/milletcourse/exchange/rollout/weight_rollout.py
+++ b/src/milletcourse/exchange/rollout/weight_rollout.py
@@ -23,17 +23,17 @@
 """The last load is planned to end this long before the bound."""
 INITIAL_LOAD_SECONDS = 0.8
 """Assumed time of one load with its order, until one was measured."""
-LOAD_GAIN = 0.3
+LOAD_TIME_SMOOTHING = 0.3
 MAX_LOAD_SECONDS = 2.5
 """Longer loads were held up by something else, and don't count fully."""
-FIRST_LOOK_SHARE = 0.85
+FIRST_POLL_FRACTION = 0.85
 """A load is first looked at after this share of its usual time."""
-LOOK_AGAIN_SECONDS = 0.12
+POLL_INTERVAL_SECONDS = 0.12
 UNANSWERED_SECONDS = 0.4
 """An order without an answer is looked into after this time."""
 STUCK_SECONDS = 3.0
 """A taken order that did not end by now is given up and looked into again."""
-REFUSED_PAUSE_SECONDS = 0.4
+RETRY_PAUSE_SECONDS = 0.4
 """A server that refused an order or did not answer is asked again after this time."""
 
 
@@ -42,7 +42,7 @@
 
     WAIT = "wait"
     """They end first; new ones are turned away meanwhile."""
-    CUT = "cut"
+    ABORT = "cut"
     """Their streams are cut."""
     KEEP = "keep"
     """They go on under the new weights."""
@@ -56,8 +56,8 @@
 class OrderReply(Enum):
     """What a server said to an order."""
 
-    TAKEN = "taken"
-    HOLDS = "holds"
+    ACCEPTED = "taken"
+    ALREADY_LOADED = "holds"
     BUSY = "busy"
     FENCED = "fenced"
     REFUSED = "refused"
@@ -109,22 +109,22 @@
 class _Phase(Enum):
     """How far a load has come."""
 
-    LOOKING = "looking"
+    POLLING = "looking"
     """The server's report is wanted before the order: it tells the orders taken so far."""
     READY = "ready"
     """The report is there; the order may be given."""
     ORDERED = "ordered"
     """The order was sent; its answer is not known, or is lost."""
-    TAKEN = "taken"
+    LOADING = "taken"
     """The server takes the weights."""
 
 
 class _Load(msgspec.Struct):
     model: str
     version: int
-    began_at: float
-    look_at: float
-    phase: _Phase = _Phase.LOOKING
+    started_at: float
+    poll_at: float
+    phase: _Phase = _Phase.POLLING
     sequence: int = 0
 
 
@@ -132,7 +132,7 @@
 """Requests that all gateways together send to a server in a second."""
 
 
-class RollOut:
+class WeightRollout:
     """Plans the orders of the lease holder."""
 
     def __init__(
@@ -210,11 +210,11 @@
         What a bound asks for keeps to the number that is sure not to slow loads down; only where
         there is time left are more tried.
         """
-        sure = self._window.sure(servers)
-        if len(self._loads) < sure and self._is_due(waiting, sure, now):
+        base = self._window.base_size(servers)
+        if len(self._loads) < base and self._is_due(waiting, base, now):
             return 0
         if len(self._loads) < self._window.size(servers):
-            return self._first_worth(waiting, now)
+            return self._first_worth_loading(waiting, now)
         return None
 
     def _is_due(
@@ -228,7 +228,9 @@
                 return True
         return False
 
-    def _first_worth(self, waiting: list[tuple[float, Instance, str]], now: float) -> int | None:
+    def _first_worth_loading(
+        self, waiting: list[tuple[float, Instance, str]], now: float
+    ) -> int | None:
         """Index of the first server that had better not wait for a version that may follow."""
         for index, (_, instance, model) in enumerate(waiting):
             if self._is_resting(instance):
@@ -257,8 +259,8 @@
         load = self._loads[instance.name]
         load.version = max(load.version, self._gate.newest(load.model) or 0)
         load.phase = _Phase.ORDERED
-        load.began_at = now
-        load.look_at = now + UNANSWERED_SECONDS
+        load.started_at = now
+        load.poll_at = now + UNANSWERED_SECONDS
         return WeightOrder(
             instance=instance.name,
             address=instance.record.address,
@@ -276,20 +278,20 @@
         load = self._loads.get(instance.name)
         if load is None:
             return
-        if reply is OrderReply.TAKEN:
-            load.phase = _Phase.TAKEN
-            load.began_at = now
-            load.look_at = now + self.load_seconds * FIRST_LOOK_SHARE
-        elif reply is OrderReply.HOLDS:
+        if reply is OrderReply.ACCEPTED:
+            load.phase = _Phase.LOADING
+            load.started_at = now
+            load.poll_at = now + self.load_seconds * FIRST_POLL_FRACTION
+        elif reply is OrderReply.ALREADY_LOADED:
             self._finish(instance, load)
         elif reply is OrderReply.UNANSWERED:
-            load.look_at = now + UNANSWERED_SECONDS
+            load.poll_at = now + UNANSWERED_SECONDS
         elif reply is OrderReply.BUSY:
-            load.look_at = now + LOOK_AGAIN_SECONDS
+            load.poll_at = now + POLL_INTERVAL_SECONDS
         else:
             self._give_up(instance, now)
 
-    def due_looks(self, instances: Iterable[Instance], now: float) -> list[Instance]:
+    def due_polls(self, instances: Iterable[Instance], now: float) -> list[Instance]:
         """Servers whose report is wanted now."""
         wanted = []
         for instance in instances:
@@ -298,8 +300,8 @@
                 continue
             if (instance.version(load.model) or 0) >= load.version:
                 self._finish(instance, load)
-            elif now >= load.look_at:
-                load.look_at = now + UNANSWERED_SECONDS
+            elif now >= load.poll_at:
+                load.poll_at = now + UNANSWERED_SECONDS
                 wanted.append(instance)
         return wanted
 
@@ -312,26 +314,26 @@
         if load is None:
             return
         if report is None:
-            if now - load.began_at > STUCK_SECONDS or load.phase is _Phase.LOOKING:
+            if now - load.started_at > STUCK_SECONDS or load.phase is _Phase.POLLING:
                 self._give_up(instance, now)
             return
         load.sequence = report.sequence
         if report.weight_versions.get(load.model, 0) >= load.version:
-            self._measure(load, now)
+            self._record_load_time(load, now)
             self._finish(instance, load)
         elif report.busy:
-            load.look_at = now + LOOK_AGAIN_SECONDS
-        elif load.phase is not _Phase.TAKEN or now - load.began_at > STUCK_SECONDS:
+            load.poll_at = now + POLL_INTERVAL_SECONDS
+        elif load.phase is not _Phase.LOADING or now - load.started_at > STUCK_SECONDS:
             load.phase = _Phase.READY
-            load.look_at = float("inf")
+            load.poll_at = float("inf")
         else:
-            load.look_at = now + LOOK_AGAIN_SECONDS
+            load.poll_at = now + POLL_INTERVAL_SECONDS
 
-    def _measure(self, load: _Load, now: float) -> None:
-        if load.phase is not _Phase.TAKEN:
+    def _record_load_time(self, load: _Load, now: float) -> None:
+        if load.phase is not _Phase.LOADING:
             return
-        spent = min(now - load.began_at, MAX_LOAD_SECONDS)
-        self.load_seconds += LOAD_GAIN * (spent - self.load_seconds)
+        spent = min(now - load.started_at, MAX_LOAD_SECONDS)
+        self.load_seconds += LOAD_TIME_SMOOTHING * (spent - self.load_seconds)
         self._window.on_load(spent)
 
     def on_restarted(self, before: Instance) -> None:
@@ -350,4 +352,4 @@
 
     def _give_up(self, instance: Instance, now: float) -> None:
         self._loads.pop(instance.name, None)
-        self._not_before[instance.name] = now + REFUSED_PAUSE_SECONDS
+        self._not_before[instance.name] = now + RETRY_PAUSE_SECONDS
--- a/src/milletcourse/exchange/servers/server_health.py
+++ b/src/milletcourse/exchange/servers/server_health.py
@@ -28,7 +28,7 @@
 _WEIGHTS = {
     AttemptResult.NOT_SENT: 2.0,
     AttemptResult.LOST: 1.0,
-    AttemptResult.CUT: 1.0,
+    AttemptResult.TRUNCATED: 1.0,
     # Applications answer some requests with failures in good health.
     AttemptResult.FAILED: 0.3,
 }
@@ -68,7 +68,7 @@
             if now >= self._ejected_until:
                 self._pause_seconds = FIRST_EJECTION_SECONDS
             return
-        if result is AttemptResult.TURNED_AWAY:
+        if result is AttemptResult.REJECTED:
             self._refused_until = now + BUSY_PAUSE_SECONDS
             return
         weight = _WEIGHTS.get(result, 0.0)
--- a/src/milletcourse/experiments/containment_model.py
+++ b/src/milletcourse/experiments/containment_model.py
@@ -276,7 +276,7 @@
         for work in running:
             exchange = self._exchanges[work.gateway]
             exchange.evidence.on_end(work.identity, key, work.sent_at, self._now)
-            exchange.on_news()
+            exchange.on_update()
             if work.identity >= FIRST_INNOCENT or work.identity < 0:
                 self._cut_innocent(work)
 
@@ -316,7 +316,7 @@
         if self._way is not Way.COUNT:
             exchange = self._exchanges[work.gateway]
             if exchange.evidence.on_answer(work.identity, self._now):
-                exchange.on_news()
+                exchange.on_update()
         self._ask()
 
     # -- figures --------------------------------------------------------------------------------
--- a/src/milletcourse/experiments/limit_ways.py
+++ b/src/milletcourse/experiments/limit_ways.py
@@ -57,7 +57,7 @@
         all_use = own_per_second + others
         equal = 1.0 / self._gateways
         by_demand = own_per_second / all_use if all_use > 0.0 else equal
-        heard = min(self._loads.heard_gateways(now) / self._gateways, 1.0)
+        heard = min(self._loads.known_gateways(now) / self._gateways, 1.0)
         # Half by demand, half equal: a gateway without recent demand must admit a first request.
         return KnownUse(0.0, heard * (by_demand + equal) / 2)
 
--- a/src/milletcourse/experiments/rest_model.py
+++ b/src/milletcourse/experiments/rest_model.py
@@ -221,14 +221,14 @@
 
     def _own_rest_end(self, gateway: int, server: int) -> float:
         """End of the latest rest that a server asked a gateway for; minus infinity for none."""
-        known = self._signals[gateway].known(server)
-        return known.rest_until if known is not None else float("-inf")
+        known = self._signals[gateway].record(server)
+        return known.back_off_until if known is not None else float("-inf")
 
     def _end_rest(self, gateway: int, server: int, now: float) -> None:
         """A probe was answered."""
-        known = self._signals[gateway].known(server)
+        known = self._signals[gateway].record(server)
         assert known is not None
-        known.rest_until = now
+        known.back_off_until = now
 
     def _may_probe(self, gateway: int, server: int, now: float) -> bool:
         end = self._own_rest_end(gateway, server)
@@ -250,7 +250,7 @@
             return True
         self._turned_away += 1
         self._second_rests += now >= NEED_BEGINS + NEED_SECONDS
-        signals.on_rest(server, REST_SECONDS, now)
+        signals.on_back_off(server, REST_SECONDS, now)
         self._told[server][gateway] = (now + TOLD_AFTER_SECONDS, now + REST_SECONDS)
         return False
 
--- a/src/milletcourse/experiments/return_model.py
+++ b/src/milletcourse/experiments/return_model.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
 from milletcourse.gateway.store.kind_watch import (
     FIRST_PAUSE_SECONDS,
@@ -195,7 +195,7 @@
     def _bytes_told(self) -> int:
         """What one follower is told of the gateways' list, of which some entries are lost."""
         mirror = KindMirror("gateways", IgnoringSink())
-        before, after = StorePlace(1, 900), StorePlace(2, 500)
+        before, after = StorePosition(1, 900), StorePosition(2, 500)
         spec = b'{"address":"10.0.0.1:9000","zone":"zone-1","feed":"10.0.0.1:9000"}'
         names = [f"front-{number}" for number in range(self._gateways)]
         mirror.on_list([StoredObject(name, before, spec) for name in names], before, 0.0)
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -14,10 +14,10 @@
     encode_message,
 )
 from milletcourse.exchange.messages.quota_messages import (
-    UnitMessage,
-    decode_unit_message,
-    encode_unit_message,
-    is_unit_message,
+    PermitMessage,
+    decode_permit_message,
+    encode_permit_message,
+    is_permit_message,
 )
 from milletcourse.exchange.reading.store_reading import GatewayRecord
 from milletcourse.exchange.rollout.weight_rollout import INITIAL_LOAD_SECONDS
@@ -55,7 +55,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """See `asyncio.DatagramProtocol`."""
-        if is_unit_message(data):
+        if is_permit_message(data):
             self._take_unit_message(data, addr)
             return
         message = decode_message(data)
@@ -75,22 +75,22 @@
             self._take_notice(notice, now)
 
     def _take_unit_message(self, data: bytes, addr: tuple[str, int]) -> None:
-        message = decode_unit_message(data)
+        message = decode_permit_message(data)
         if message is None:
             self._context.record.peer_message_refused(addr[0])
         elif addr == self._peers.get(message.sender):
             self._context.permits.on_message(message)
 
-    def _send_unit_message(self, name: str, message: UnitMessage) -> None:
+    def _send_unit_message(self, name: str, message: PermitMessage) -> None:
         address = self._peers.get(name)
         if address is not None and self._transport is not None:
-            self._transport.sendto(encode_unit_message(message), address)
+            self._transport.sendto(encode_permit_message(message), address)
 
     def _take_notice(self, notice: ServerNotice, now: float) -> None:
-        if notice.state in (ServerState.STORE_LOST, ServerState.STORE_FOUND):
+        if notice.state in (ServerState.STORE_UNREACHABLE, ServerState.STORE_REACHABLE):
             self._take_cache_store(notice)
             return
-        if notice.state is ServerState.ENDED:
+        if notice.state is ServerState.TERMINATED:
             self._context.end_instance(notice.subject, "told", notice.started_ms)
             return
         table = self._context.instances
@@ -108,16 +108,16 @@
         table = self._context.table
         stores = table.cache_stores if table is not None else []
         if any(store.store_address == notice.subject for store in stores):
-            reachable = notice.state is ServerState.STORE_FOUND
+            reachable = notice.state is ServerState.STORE_REACHABLE
             self._context.cache_store_reach.set(notice.subject, reachable)
 
     def _tell_cache_store(self, address: str, reachable: bool) -> None:
-        state = ServerState.STORE_FOUND if reachable else ServerState.STORE_LOST
+        state = ServerState.STORE_REACHABLE if reachable else ServerState.STORE_UNREACHABLE
         self.notify(ServerNotice(address, "", 0, state))
 
     def _tell_ended(self, instance: Instance) -> None:
         started_ms = instance.record.started_ms
-        self.notify(ServerNotice(instance.name, "", 0, ServerState.ENDED, started_ms))
+        self.notify(ServerNotice(instance.name, "", 0, ServerState.TERMINATED, started_ms))
 
     def notify(self, notice: ServerNotice) -> None:
         """Tell all gateways a server's state at once."""
--- a/src/milletcourse/gateway/fleet/roll_out_service.py
+++ b/src/milletcourse/gateway/fleet/roll_out_service.py
@@ -10,12 +10,12 @@
 
 from milletcourse.control.lease import NOT_THERE, LeaseClaim, LeaseSpec, LeaseTracker
 from milletcourse.exchange.messages.peer_messages import ServerNotice, ServerState
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.rollout.weight_rollout import (
     OrderReply,
-    RollOut,
     ServerReport,
     WeightOrder,
+    WeightRollout,
 )
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.fleet.peers import PeerExchange
@@ -82,7 +82,7 @@
         self._lease = LeaseTracker(context.settings.name, duration, margin)
         self._renew_seconds = min(MAX_RENEW_SECONDS, (duration - margin) / 2)
         watch = context.signal_watch
-        self._plan = RollOut(
+        self._plan = WeightRollout(
             context.gate, context.server_answers.request_rate, watch.is_leaving, watch.is_resting
         )
         context.restart_listeners.append(self._plan.on_restarted)
@@ -152,7 +152,7 @@
 
     def _on_missing(self) -> None:
         era = self._store.era if self._store.era is not None else UNKNOWN_ERA
-        self._lease.on_observed(None, StorePlace(era, NOT_THERE), self._context.now())
+        self._lease.on_observed(None, StorePosition(era, NOT_THERE), self._context.now())
 
     async def _write(self, claim: LeaseClaim) -> None:
         spec = msgspec.json.encode(claim.spec)
@@ -194,7 +194,7 @@
         )
         for order in orders:
             self._spawn(self._give(order))
-        for instance in self._plan.due_looks(instances, now):
+        for instance in self._plan.due_polls(instances, now):
             self._spawn(self._look(instance))
 
     async def _give(self, order: WeightOrder) -> None:
@@ -217,7 +217,7 @@
             elif reply.instance not in ("", order.instance):
                 self._context.note_successor(instance, reply.instance)
         self._plan.on_reply(instance, result, self._context.now())
-        if result is OrderReply.TAKEN:
+        if result is OrderReply.ACCEPTED:
             self._notify(instance, order.model, order.version, ServerState.LOADING)
         self._context.record.weight_order(order, result)
 
--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from milletcourse.exchange.evidence.crash_evidence import MAX_TOLD
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.reading.store_reading import GatewayRecord, ReadingPlan
 from milletcourse.gateway.adapter import PlatformAdapter
 from milletcourse.gateway.clients.client_connection import Handler
@@ -103,7 +103,7 @@
         self._context.crash_watch.listeners.append(registration.on_news)
         self._context.on_return_news = registration.on_news
 
-    def _gateways_listed_at(self) -> StorePlace | None:
+    def _gateways_listed_at(self) -> StorePosition | None:
         mirrors = [kind.mirror for kind in self._watched]
         return next(mirror.place for mirror in mirrors if mirror.kind == self._gateways_kind)
 
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -9,7 +9,7 @@
 
 from milletcourse.errors import Draining, NotFound
 from milletcourse.exchange.attempts.planned_stop import PlannedStop, StopPhase
-from milletcourse.exchange.counting.service_tally import TALLY_SECONDS
+from milletcourse.exchange.counting.service_tally import TALLY_INTERVAL_SECONDS
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS, Mechanism
 from milletcourse.gateway.adapter import PlatformAdapter
 from milletcourse.gateway.clients.client_connection import ClientConnection, Handler
@@ -182,7 +182,7 @@
     async def _tally(self) -> None:
         """Sums for the log, at a bounded rate."""
         while True:
-            await asyncio.sleep(TALLY_SECONDS)
+            await asyncio.sleep(TALLY_INTERVAL_SECONDS)
             self.context.record.tallied()
 
     # -- planned stop ---------------------------------------------------------------------------
--- a/src/milletcourse/gateway/operator_api.py
+++ b/src/milletcourse/gateway/operator_api.py
@@ -160,7 +160,7 @@
     metrics.contained.set(len(context.crash_evidence.containments(now)))
     metrics.limited_servers.set(len(context.server_signals.limited()))
     keys = [instance.key for instance in context.instances]
-    metrics.signalling_servers.set(len(context.server_signals.in_force(keys, now)))
+    metrics.signalling_servers.set(len(context.server_signals.active_signals(keys, now)))
     metrics.log_lines_left_out.set(context.log.left_out)
 
 
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -13,7 +13,7 @@
     patience_left,
 )
 from milletcourse.exchange.messages.event_stream import EventSplitter
-from milletcourse.exchange.messages.messages import AnswerHead, AttemptResult, LeaveCause
+from milletcourse.exchange.messages.messages import AbortCause, AnswerHead, AttemptResult
 from milletcourse.exchange.placement.engine_load import memory_tokens
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.requests.answer_relay import AnswerRelay, ServerFailure
@@ -81,7 +81,7 @@
     ) -> None:
         self.was_sent = False
         self.loss: LossCause | None = None
-        self.left: LeaveCause | None = None
+        self.left: AbortCause | None = None
         self.silence = Silence()
         self.told_wait_seconds: float | None = None
         self._listener = listener
@@ -106,12 +106,12 @@
         """Whether the server works on it now, as far as is known."""
         return self._connection is not None
 
-    def end(self, cause: LeaveCause) -> None:
+    def end(self, cause: AbortCause) -> None:
         """Give the attempt up at once, also one whose connection is still coming up."""
         self._ended = True
         self._leave(cause)
 
-    def _leave(self, cause: LeaveCause) -> None:
+    def _leave(self, cause: AbortCause) -> None:
         self.left = self.left or cause
         if self._connection is None:
             return
@@ -150,7 +150,7 @@
         self._waiting_tokens = 0
 
     def _note_health(self, result: AttemptResult) -> None:
-        if self.left is LeaveCause.HANDED_OVER:
+        if self.left is AbortCause.HANDED_OVER:
             # Its silence has been noted.
             self._instance.health.on_aborted()
         elif result is AttemptResult.ANSWERED or self._tells_of_server():
@@ -175,7 +175,7 @@
         except OwnMeansError:
             # It says nothing of the server, which would be ejected for it.
             self._ended = True
-            self.left = LeaveCause.OWN_MEANS
+            self.left = AbortCause.LOCAL_RESOURCES
             self._context.record.without_means()
             return AttemptResult.NOT_SENT
         if connection is None:
@@ -255,7 +255,7 @@
     def _lost(self, connection: ServerConnection, loss: LossCause | None) -> AttemptResult:
         self.loss = loss or LossCause.GARBLED
         connection.abort()
-        return AttemptResult.CUT if self._relay.begun else AttemptResult.LOST
+        return AttemptResult.TRUNCATED if self._relay.begun else AttemptResult.LOST
 
     async def _take_whole(self, connection: ServerConnection, head: AnswerHead) -> AttemptResult:
         pieces: list[bytes] = []
@@ -274,8 +274,8 @@
 
     def _judge_whole(self, head: AnswerHead, body: bytes) -> AttemptResult:
         result = judge_answer(head, self._instance.name, self._dispatch.weight_version)
-        if result is AttemptResult.TURNED_AWAY and head.rest.seconds is not None:
-            self.told_wait_seconds = head.rest.seconds
+        if result is AttemptResult.REJECTED and head.back_off.seconds is not None:
+            self.told_wait_seconds = head.back_off.seconds
         if result is AttemptResult.WRONG_INSTANCE and head.instance not in (
             "",
             self._instance.name,
@@ -288,7 +288,7 @@
             self._instance.on_version_refused(model, self._dispatch.weight_version, newest, now)
         elif self._relay.begun and result in (AttemptResult.ANSWERED, AttemptResult.FAILED):
             # Not the rest of the stream that the client has begun to read.
-            return AttemptResult.CUT
+            return AttemptResult.TRUNCATED
         elif result is AttemptResult.FAILED:
             self._relay.failure = ServerFailure(head, body)
         elif result is AttemptResult.ANSWERED:
@@ -313,7 +313,7 @@
                 self._silence_timer.expect_within(gap_seconds(self._job.route))
             if event.complete:
                 self._listener.on_piece(self)
-                self._relay.pass_events(head, splitter.take_rest(), splitter.last_event_id)
+                self._relay.pass_events(head, splitter.take_remainder(), splitter.last_event_id)
                 self._relay.end_stream()
                 self._dispatch.on_whole_answer()
                 self._context.pool.release(connection)
@@ -344,10 +344,10 @@
             self._silence_timer.expect_within(min(seconds_to_start, patience))
             return
         if seconds_to_start <= 0.0:
-            self._leave(LeaveCause.VERSION_BOUND)
+            self._leave(AbortCause.VERSION_BOUND)
             return
         if self._job.route.repeatable and not self._relay.begun:
-            self._leave(LeaveCause.SILENT)
+            self._leave(AbortCause.SERVER_SILENT)
             return
         self._context.note_result(self._instance, AttemptResult.LOST)
         again = MIN_SILENCE_SECONDS if self._relay.begun else float("inf")
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -16,7 +16,7 @@
 from milletcourse.exchange.attempts.attempt_plan import AttemptPlan, NextStep
 from milletcourse.exchange.evidence.crash_evidence import Containment
 from milletcourse.exchange.mechanisms import Mechanism
-from milletcourse.exchange.messages.messages import AttemptResult, ExchangeRequest, LeaveCause
+from milletcourse.exchange.messages.messages import AbortCause, AttemptResult, ExchangeRequest
 from milletcourse.exchange.messages.records import (
     RouteKind,
     RouteRecord,
@@ -81,7 +81,7 @@
         self._told_waits: list[float] = []
         """For how long the servers that turned it away want no more."""
         self._lacks_means = False
-        self._end_cause: LeaveCause | None = None
+        self._end_cause: AbortCause | None = None
         self._servers: list[VisitedServer] = []
         self._end_timer: asyncio.TimerHandle | None = None
         self._has_looked_late = False
@@ -119,7 +119,7 @@
             loop = self._context.loop
             self._end_timer = loop.call_later(SECOND_LOOK_SECONDS, self._on_time_up)
             return
-        self._end(LeaveCause.TIME_UP)
+        self._end(AbortCause.DEADLINE_EXCEEDED)
 
     def _cancel_end_timer(self) -> None:
         if self._end_timer is not None:
@@ -145,7 +145,7 @@
             successor = None if result is AttemptResult.ANSWERED else self._handover.take_over()
             self._note_end(visit, result)
             await self._learn_of_ends(visit, result)
-            if self._end_cause is LeaveCause.CLIENT_GONE:
+            if self._end_cause is AbortCause.CLIENT_DISCONNECTED:
                 record.client_left(request, self._job.route, visit.instance.name, self._relay.begun)
                 self._client.cut()
                 return
@@ -177,7 +177,7 @@
         destination = self._search.best_beside(first)
         if destination is None or not self._try_retry():
             return None
-        self._context.record.tally.on_sent_again(self._job.route.name)
+        self._context.record.tally.on_retry(self._job.route.name)
         return self._open(destination)
 
     def _on_failed_offer(self, visit: Visit, result: AttemptResult) -> None:
@@ -194,7 +194,7 @@
             self._plan.on_send()
         if result not in (AttemptResult.ANSWERED, AttemptResult.WRONG_VERSION):
             self._search.on_tried(visit.instance)
-        if visit.attempt.left is LeaveCause.OWN_MEANS:
+        if visit.attempt.left is AbortCause.LOCAL_RESOURCES:
             self._lacks_means = True
         if visit.attempt.told_wait_seconds is not None:
             self._told_waits.append(visit.attempt.told_wait_seconds)
@@ -314,7 +314,7 @@
             self._refuse(self._own_failure(step))
 
     def _own_failure(self, step: NextStep) -> Failure:
-        late = self._end_cause is LeaveCause.TIME_UP
+        late = self._end_cause is AbortCause.DEADLINE_EXCEEDED
         if step is not NextStep.REFUSE:
             if late:
                 return AnswerLate("the server's answer did not come in time")
@@ -344,9 +344,9 @@
         if self._job.route.kind is RouteKind.UNSAFE and at_server:
             # It can't be undone: let it end, so that the connection stays usable.
             return
-        self._end(LeaveCause.CLIENT_GONE)
+        self._end(AbortCause.CLIENT_DISCONNECTED)
 
-    def _end(self, cause: LeaveCause) -> None:
+    def _end(self, cause: AbortCause) -> None:
         if self._end_cause is None:
             self._end_cause = cause
         self._handover.end(cause)
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -125,7 +125,7 @@
 
     def _unavailable(self, retry_after: float) -> Failure:
         signals = self._signals_of_all(self._looked_at)
-        if Signal.RESTING in signals:
+        if Signal.BACKING_OFF in signals:
             return ServersResting("its servers asked for rest", self._seconds_to_return())
         if Signal.LEAVING in signals:
             return ServersLeaving("its servers are about to end", retry_after)
@@ -134,7 +134,7 @@
     def _signals_of_all(self, now: float) -> set[Signal]:
         """What keeps requests from all servers that may run it; nothing when one takes requests."""
         keys = [instance.key for instance in self._allowed(now)]
-        in_force = self._context.server_signals.in_force(keys, now)
+        in_force = self._context.server_signals.active_signals(keys, now)
         return set(in_force.values()) if len(in_force) == len(keys) else set()
 
     def _allowed(self, now: float) -> list[Instance]:
@@ -146,10 +146,12 @@
         """Time until its caller may come back, when the first of its servers has had its rest."""
         now = self._looked_at
         signals = self._context.server_signals
-        rests = [signals.rest(instance.key, now) for instance in self._allowed(now)]
-        first = min((rest for rest in rests if rest is not None), key=lambda rest: rest.left)
+        rests = [signals.back_off(instance.key, now) for instance in self._allowed(now)]
+        first = min(
+            (rest for rest in rests if rest is not None), key=lambda rest: rest.remaining_seconds
+        )
         drawn = self._context.random.random()
-        return return_seconds(first.left, first.seconds, self._job.rank, drawn)
+        return return_seconds(first.remaining_seconds, first.total_seconds, self._job.rank, drawn)
 
     def _choose(self, left_out: set[str]) -> Choice | None:
         job = self._job
@@ -169,7 +171,7 @@
         if not context.server_signals.has_signals:
             return
         servers = {instance.key: instance.name for instance in self._servers()}
-        in_force = context.server_signals.in_force(servers, self._looked_at)
+        in_force = context.server_signals.active_signals(servers, self._looked_at)
         for key, signal in in_force.items():
             if servers[key] not in self.kept_from:
                 self.kept_from[servers[key]] = signal.value
--- a/src/milletcourse/gateway/requests/stream_handover.py
+++ b/src/milletcourse/gateway/requests/stream_handover.py
@@ -12,7 +12,7 @@
     HandoverStep,
     Runner,
 )
-from milletcourse.exchange.messages.messages import AttemptResult, LeaveCause
+from milletcourse.exchange.messages.messages import AbortCause, AttemptResult
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.requests.attempt import Attempt
 from milletcourse.gateway.requests.visit import Visit
@@ -76,7 +76,7 @@
             return
         is_successor = self._successor.attempt is attempt
         runner = Runner.SUCCESSOR if is_successor else Runner.FIRST
-        self._carry_out(self._core.on_piece(runner), LeaveCause.FIRST_WENT_ON)
+        self._carry_out(self._core.on_piece(runner), AbortCause.FIRST_CONTINUED)
 
     # -- the exchange asks ----------------------------------------------------------------------
 
@@ -94,9 +94,9 @@
         """The request has its answer, or none: no other server works on it any more."""
         self._core.on_request_end()
         if self._successor is not None:
-            self._successor.attempt.end(LeaveCause.FIRST_WENT_ON)
+            self._successor.attempt.end(AbortCause.FIRST_CONTINUED)
 
-    def end(self, cause: LeaveCause) -> None:
+    def end(self, cause: AbortCause) -> None:
         """Give all attempts up."""
         for visit in (self.current, self._successor):
             if visit is not None:
@@ -105,14 +105,14 @@
     # -- inside ---------------------------------------------------------------------------------
 
     def _on_overlap_over(self) -> None:
-        self._carry_out(self._core.on_overlap_over(), LeaveCause.OVERLAP_OVER)
+        self._carry_out(self._core.on_overlap_over(), AbortCause.OVERLAP_TIMEOUT)
 
-    def _carry_out(self, step: HandoverStep, cause: LeaveCause) -> None:
+    def _carry_out(self, step: HandoverStep, cause: AbortCause) -> None:
         if step is HandoverStep.WAIT or self.current is None or self._successor is None:
             return
         self._stop_timer()
         if step is HandoverStep.END_FIRST:
-            self.current.attempt.end(LeaveCause.HANDED_OVER)
+            self.current.attempt.end(AbortCause.HANDED_OVER)
             return
         self._successor.attempt.end(cause)
 
@@ -127,7 +127,7 @@
         error = task.exception()
         if error is not None:
             self._context.log.emit("handover-failed", error=repr(error))
-        result = AttemptResult.CUT if error is not None else task.result()
+        result = AttemptResult.TRUNCATED if error is not None else task.result()
         self._on_failed_offer(visit, result)
         if is_undecided:
             # It didn't go on, and the first one has said nothing since. Asked again after that, a
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -21,9 +21,9 @@
 from milletcourse.exchange.limits.ask_pauses import AskPauses
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.load.signal_record import ServerLimitState, Signal
-from milletcourse.exchange.messages.messages import LeaveCause
+from milletcourse.exchange.messages.messages import AbortCause
 from milletcourse.exchange.messages.peer_messages import MAX_AGE_MS, SignalReport
-from milletcourse.exchange.messages.quota_messages import UnitMessage, UnitStep, told_ms
+from milletcourse.exchange.messages.quota_messages import PermitMessage, PermitStep, wire_ms
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.telling.figures import Figures
 from milletcourse.runtime.attended_clock import AttendedClock
@@ -36,8 +36,8 @@
 
 
 _SIGNAL_CAUSES = {
-    Signal.LEAVING: LeaveCause.SERVER_LEAVING,
-    Signal.RESTING: LeaveCause.SERVER_RESTING,
+    Signal.LEAVING: AbortCause.SERVER_LEAVING,
+    Signal.BACKING_OFF: AbortCause.SERVER_BACKING_OFF,
 }
 
 
@@ -54,7 +54,7 @@
     valid_until: float
 
 
-SendMessage = Callable[[str, UnitMessage], None]
+SendMessage = Callable[[str, PermitMessage], None]
 """Sends a message to a gateway by name."""
 TakeReports = Callable[[Iterable[SignalReport], bool], None]
 """Takes what another gateway knows, and whether others have to hear of it from here."""
@@ -106,7 +106,7 @@
         self._members = members
         self._figures = figures
         self._numbers = count(1)
-        self._waiting: dict[tuple[str, int], asyncio.Future[UnitMessage]] = {}
+        self._waiting: dict[tuple[str, int], asyncio.Future[PermitMessage]] = {}
         """Replies that requests wait for, by lender and number."""
 
     # -- sends ----------------------------------------------------------------------------------
@@ -119,7 +119,7 @@
             rank: Rank of the request, 0 for the most urgent.
         """
         key = instance.key
-        per_second = self._signals.income(key)
+        per_second = self._signals.send_rate(key)
         if per_second is None:
             return self.without_limit(instance)
         reply = await self._ask(key, per_second, rank)
@@ -133,7 +133,7 @@
         """A permit that is good until the server names a limit."""
         return Permit(instance.key, float("-inf"))
 
-    def obstacle(self, permit: Permit, instance: Instance) -> LeaveCause | None:
+    def obstacle(self, permit: Permit, instance: Instance) -> AbortCause | None:
         """Why a request may not go out now, None when it may: asked last before it does.
 
         The server may have said something of itself while the connection to it came up, or its
@@ -145,7 +145,7 @@
         if self._signals.per_second(instance.key) is None:
             return None
         is_valid = permit.key == instance.key and self._now() < permit.valid_until
-        return None if is_valid else LeaveCause.SERVER_LIMIT
+        return None if is_valid else AbortCause.SERVER_LIMIT
 
     def is_limited(self, instance: Instance) -> bool:
         """Whether a server names a limit."""
@@ -158,7 +158,7 @@
             return None
         now = self._now()
         lender = self.homes.lender(instance.key, now)
-        said = round(self._signals.age(instance.key, now), 3)
+        said = round(self._signals.limit_age(instance.key, now), 3)
         return ServerLimitState(instance.name, per_second, said, lender.name, lender.standing.value)
 
     def promise(self, instances: Iterable[Instance], now: float) -> float | None:
@@ -191,13 +191,13 @@
         self._waiting[chosen.name, number] = future
         self.send(
             chosen.name,
-            UnitMessage(
-                UnitStep.ASK,
+            PermitMessage(
+                PermitStep.ASK,
                 self._own_name,
                 key,
                 number,
                 self._signals.per_second(key),
-                min(round(self._signals.age(key, self._now()) * 1000.0), MAX_AGE_MS),
+                min(round(self._signals.limit_age(key, self._now()) * 1000.0), MAX_AGE_MS),
                 rank,
             ),
         )
@@ -208,39 +208,41 @@
             return None
         finally:
             del self._waiting[chosen.name, number]
-        if message.step is UnitStep.GRANT:
+        if message.step is PermitStep.GRANT:
             return GRANTED
-        return UnitReply(False, message.unit_ms / 1000.0, message.pause_ms / 1000.0, message.askers)
+        return UnitReply(
+            False, message.permit_wait_ms / 1000.0, message.retry_after_ms / 1000.0, message.askers
+        )
 
     # -- messages -------------------------------------------------------------------------------
 
-    def on_message(self, message: UnitMessage) -> None:
+    def on_message(self, message: PermitMessage) -> None:
         """Another gateway asks for a unit, or replies."""
-        if message.step is UnitStep.ASK:
+        if message.step is PermitStep.ASK:
             self._on_ask(message)
             return
-        waiting = self._waiting.get((message.sender, message.number))
+        waiting = self._waiting.get((message.sender, message.request_number))
         if waiting is not None and not waiting.done():
             waiting.set_result(message)
 
-    def _on_ask(self, ask: UnitMessage) -> None:
+    def _on_ask(self, ask: PermitMessage) -> None:
         if ask.per_second is not None:
-            self._on_reports([SignalReport(ask.key, ask.per_second, ask.said_ms)], False)
-        per_second = self._signals.income(ask.key)
+            self._on_reports([SignalReport(ask.key, ask.per_second, ask.limit_age_ms)], False)
+        per_second = self._signals.send_rate(ask.key)
         reply = GRANTED
         if per_second is not None:
             standing = self.homes.own_standing(ask.key)
-            reply = self._lend(ask.key, per_second, standing, ask.sender, ask.rank)
+            reply = self._lend(ask.key, per_second, standing, ask.sender, ask.priority)
         self.send(
             ask.sender,
-            UnitMessage(
-                UnitStep.GRANT if reply.granted else UnitStep.DENY,
+            PermitMessage(
+                PermitStep.GRANT if reply.granted else PermitStep.DENY,
                 self._own_name,
                 ask.key,
-                ask.number,
-                unit_ms=told_ms(reply.unit_seconds),
-                pause_ms=told_ms(reply.pause_seconds),
-                askers=reply.askers,
+                ask.request_number,
+                permit_wait_ms=wire_ms(reply.unit_seconds),
+                retry_after_ms=wire_ms(reply.pause_seconds),
+                requesters=reply.askers,
             ),
         )
 
--- a/src/milletcourse/gateway/servers/signal_watch.py
+++ b/src/milletcourse/gateway/servers/signal_watch.py
@@ -7,7 +7,13 @@
 from milletcourse.exchange.attempts.answer_rules import MISDIRECTED
 from milletcourse.exchange.limits.ask_pauses import AskPauses
 from milletcourse.exchange.load.server_signals import ServerSignals
-from milletcourse.exchange.load.signal_record import ANSWER, ENTRY, PEER, LimitChange, Signal
+from milletcourse.exchange.load.signal_record import (
+    SOURCE_ANSWER,
+    SOURCE_ENTRY,
+    SOURCE_PEER,
+    LimitChange,
+    Signal,
+)
 from milletcourse.exchange.messages.messages import AnswerHead
 from milletcourse.exchange.messages.peer_messages import SignalReport
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
@@ -90,9 +96,9 @@
             if instance is None:
                 continue
             if item.change is not None:
-                self._on_limit_change(instance, item.change, item.per_second, PEER)
-            if item.leaves:
-                self._tell_leaving(instance, PEER)
+                self._on_limit_change(instance, item.change, item.per_second, SOURCE_PEER)
+            if item.is_leaving:
+                self._tell_leaving(instance, SOURCE_PEER)
         if passes_on:
             self._on_news()
 
@@ -112,7 +118,7 @@
 
     def is_resting(self, instance: Instance) -> bool:
         """Whether a server asked this gateway for rest, and still has it."""
-        return self._signals.signal(instance.key, self._record.now()) is Signal.RESTING
+        return self._signals.signal(instance.key, self._record.now()) is Signal.BACKING_OFF
 
     # -- inside ---------------------------------------------------------------------------------
 
@@ -125,32 +131,32 @@
         per_second = head.limit.per_second
         change = self._signals.on_answer(instance.key, per_second, sent_at, now)
         if change is not None:
-            self._on_limit_change(instance, change, per_second, ANSWER)
+            self._on_limit_change(instance, change, per_second, SOURCE_ANSWER)
             self._on_news()
 
     def _take_leaving(self, instance: Instance, head: AnswerHead) -> None:
         if head.leaving.unreadable:
             self._record.signals.unreadable(instance.name, "leaving", head.leaving.unreadable)
-        if head.leaving.leaves and self._signals.on_leaving(instance.key, self._record.now()):
-            self._tell_leaving(instance, ANSWER)
+        if head.leaving.is_leaving and self._signals.on_leaving(instance.key, self._record.now()):
+            self._tell_leaving(instance, SOURCE_ANSWER)
             self._on_news()
 
     def _on_draining(self, instance: Instance) -> None:
         """Its entry says so: all gateways see it there, so that nobody needs to be told."""
         if self._signals.on_entry_leaving(instance.key, self._record.now()):
-            self._tell_leaving(instance, ENTRY)
+            self._tell_leaving(instance, SOURCE_ENTRY)
 
     def _tell_leaving(self, instance: Instance, told_by: str) -> None:
         self._record.signals.leaving(instance.name, told_by)
         self._on_leaving(instance)
 
     def _take_rest(self, instance: Instance, head: AnswerHead) -> None:
-        if head.rest.unreadable:
-            self._record.signals.unreadable(instance.name, "rest", head.rest.unreadable)
-        if not head.rest.seconds:
+        if head.back_off.unreadable:
+            self._record.signals.unreadable(instance.name, "rest", head.back_off.unreadable)
+        if not head.back_off.seconds:
             return
-        if self._signals.on_rest(instance.key, head.rest.seconds, self._record.now()):
-            self._record.signals.resting(instance.name, head.rest.seconds)
+        if self._signals.on_back_off(instance.key, head.back_off.seconds, self._record.now()):
+            self._record.signals.resting(instance.name, head.back_off.seconds)
 
     def _on_limit_change(
         self, instance: Instance, change: LimitChange, per_second: float | None, told_by: str
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -228,7 +228,7 @@
                 tally.good,
                 instance.memory_tokens,
             )
-            if not load.is_nothing:
+            if not load.is_zero:
                 loads.append(load)
         return loads
 
@@ -372,7 +372,7 @@
 
     def _on_news(self) -> None:
         """Let the other gateways know at once."""
-        self.loads.on_news()
+        self.loads.on_update()
         for listener in self.news_listeners:
             listener()
 
--- a/src/milletcourse/gateway/state/server_answers.py
+++ b/src/milletcourse/gateway/state/server_answers.py
@@ -40,4 +40,4 @@
     def _count(self, instance: Instance) -> float:
         now = self._now()
         own = instance.health.tally(now).good
-        return own + self._loads.others_load(instance.key, now).good
+        return own + self._loads.others_load(instance.key, now).successes
--- a/src/milletcourse/gateway/store/change_log.py
+++ b/src/milletcourse/gateway/store/change_log.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.content_patch import ContentPatch, make_patch, whole_patch
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.content_patch import ContentPatch, full_patch, make_patch
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.gateway.store.object_store import ObjectChange
 
 MAX_GAPS = 32
@@ -31,9 +31,9 @@
         patch: Makes its content from the one before; None for a small one.
     """
 
-    at: StorePlace
+    at: StorePosition
     name: str
-    place: StorePlace
+    place: StorePosition
     gone: bool
     spec: bytes
     patch: ContentPatch | None
@@ -50,15 +50,15 @@
     def __init__(self) -> None:
         self._changes: deque[LoggedChange] = deque()
         self._bytes = 0
-        self._start: StorePlace | None = None
-        self._gaps: deque[tuple[StorePlace, StorePlace]] = deque()
+        self._start: StorePosition | None = None
+        self._gaps: deque[tuple[StorePosition, StorePosition]] = deque()
         """States between which changes aren't known one by one, just how the ends differ."""
 
-    def begin(self, place: StorePlace) -> None:
+    def begin(self, place: StorePosition) -> None:
         """Nothing before this state is known."""
         self._start = place
 
-    def note(self, change: ObjectChange, before: bytes | None, place: StorePlace) -> None:
+    def note(self, change: ObjectChange, before: bytes | None, place: StorePosition) -> None:
         """A change has become known.
 
         Args:
@@ -78,7 +78,7 @@
             self._bytes -= dropped.size
             self._start = dropped.at
 
-    def note_gap(self, begin: StorePlace, end: StorePlace) -> None:
+    def note_gap(self, begin: StorePosition, end: StorePosition) -> None:
         """What lies between two states isn't known one by one."""
         if begin == end:
             return
@@ -87,17 +87,17 @@
             _, last = self._gaps.popleft()
             self._start = last if self._start is None else max(self._start, last)
 
-    def covers(self, place: StorePlace | None) -> TypeGuard[StorePlace]:
+    def covers(self, place: StorePosition | None) -> TypeGuard[StorePosition]:
         """Whether what differs from a state is kept: not from one within a gap."""
         if place is None or self._start is None or place < self._start:
             return False
         return not any(begin < place < end for begin, end in self._gaps)
 
-    def has_after(self, place: StorePlace) -> bool:
+    def has_after(self, place: StorePosition) -> bool:
         """Whether a change became known after a state."""
         return bool(self._changes) and self._changes[-1].at > place
 
-    def after(self, place: StorePlace) -> list[LoggedChange]:
+    def after(self, place: StorePosition) -> list[LoggedChange]:
         """Changes that became known after a state."""
         return [change for change in self._changes if change.at > place]
 
@@ -113,4 +113,4 @@
 
 
 def _patch(before: bytes | None, content: bytes) -> ContentPatch:
-    return make_patch(before, content) if before is not None else whole_patch(content)
+    return make_patch(before, content) if before is not None else full_patch(content)
--- a/src/milletcourse/gateway/store/directory.py
+++ b/src/milletcourse/gateway/store/directory.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from milletcourse.exchange.evidence.request_identity import identity_text
-from milletcourse.exchange.messages.peer_messages import CrashEnd, CrashReport
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.peer_messages import CrashReport, ServerCrash
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.reading.store_reading import GatewayRecord
 from milletcourse.gateway.store.kind_mirror import IgnoringSink
 from milletcourse.gateway.store.object_store import UNREADABLE, ObjectChange, StoredObject
@@ -34,12 +34,12 @@
     """
 
     content: str
-    ends: list[CrashEnd]
+    ends: list[ServerCrash]
 
     @classmethod
     def of(cls, report: CrashReport) -> ContainedRequest:
         """The stored form of a report."""
-        return cls(identity_text(report.identity), report.ends)
+        return cls(identity_text(report.identity), report.crashes)
 
     def report(self) -> CrashReport:
         """The report; raises `ValueError` when the identity is none."""
@@ -106,7 +106,7 @@
         self._log = log
         self.is_listed = asyncio.Event()
         self.own_entry: GatewayEntry | None = None
-        self.own_place: StorePlace | None = None
+        self.own_place: StorePosition | None = None
         self._others: dict[str, GatewayRecord] = {}
         self._missing: dict[str, GatewayRecord] = {}
         self._confirmed_eras: dict[str, int] = {}
@@ -147,7 +147,7 @@
                 self._note(change.stored)
         self._tell()
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
+    def on_era(self, place: StorePosition, before: StorePosition | None) -> None:
         """See `KindSink`: what the store lost isn't gone yet."""
         if before is not None:
             self._kept_until = self._now() + KEPT_SECONDS
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -9,16 +9,16 @@
 
 from milletcourse.exchange.messages.content_patch import ContentPatch, PatchError
 from milletcourse.exchange.messages.feed_messages import (
-    ContentQuestion,
-    FeedAnswer,
+    ContentRequest,
     FeedPosition,
-    FeedQuestion,
-    decode_answer,
+    FeedRequest,
+    FeedResponse,
+    decode_feed_response,
     decode_patch,
-    encode_content_question,
-    encode_question,
+    encode_content_request,
+    encode_feed_request,
 )
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.reading.pending_contents import FedUpdate, PendingContents
 from milletcourse.exchange.reading.store_reading import GatewayRecord, ReadingPlan
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
@@ -100,7 +100,7 @@
             self._reader = reader.name
         context = self._context
         positions = self._positions()
-        question = FeedQuestion(
+        question = FeedRequest(
             positions,
             hold_seconds,
             True,
@@ -110,14 +110,16 @@
         asked_at = self._context.now()
         reply = await self._calls.call(
             reader.feed,
-            Call("POST", FEED_PATH, encode_question(question)),
+            Call("POST", FEED_PATH, encode_feed_request(question)),
             hold_seconds + margin_seconds,
         )
-        answer = decode_answer(reply.body) if reply is not None and reply.status == 200 else None
+        answer = (
+            decode_feed_response(reply.body) if reply is not None and reply.status == 200 else None
+        )
         if reply is None or answer is None:
             return self._on_no_answer(reader, reply, asked_at)
         self._proved_at = reply.sent_at + answer.proof_offset
-        self._take(answer, {item.kind: item.place for item in positions}, reader)
+        self._take(answer, {item.kind: item.position for item in positions}, reader)
         if self._is_content_missing:
             self.leave()
             self._plan.on_failed(reader.name, self._context.now(), answered=False)
@@ -143,7 +145,7 @@
         self._plan.on_failed(reader.name, now, answered)
         return FeedOutcome.REFUSED if answered else FeedOutcome.SILENT
 
-    def _is_current(self, answer: FeedAnswer) -> bool:
+    def _is_current(self, answer: FeedResponse) -> bool:
         """Whether the store would tell no more than the reader does."""
         age = self._context.now() - self._proved_at
         if answer.is_receiving:
@@ -159,10 +161,10 @@
     # -- taking ---------------------------------------------------------------------------------
 
     def _take(
-        self, answer: FeedAnswer, asked: dict[str, StorePlace | None], reader: GatewayRecord
+        self, answer: FeedResponse, asked: dict[str, StorePosition | None], reader: GatewayRecord
     ) -> None:
         self._context.confirmed_era.on_told(answer.confirmed_era)
-        offset = answer.not_out_offset
+        offset = answer.unpublished_offset
         not_out_at = self._proved_at - answer.proof_offset + offset if offset is not None else None
         for fed in answer.kinds:
             if fed.kind not in self._mirrors:
@@ -200,7 +202,7 @@
                 problem = error.problem.value
                 self._context.record.store.content_differs(kind, self._reader, problem)
                 self._pending.on_misfit(kind)
-                self._is_content_missing = update.fed.whole
+                self._is_content_missing = update.fed.is_snapshot
                 return
 
     # -- contents -------------------------------------------------------------------------------
@@ -221,9 +223,9 @@
             self._apply_all(self._pending.on_patch(question, patch))
 
     async def _fetch_one(
-        self, reader: GatewayRecord, question: ContentQuestion
+        self, reader: GatewayRecord, question: ContentRequest
     ) -> ContentPatch | None:
-        call = Call("POST", CONTENT_PATH, encode_content_question(question))
+        call = Call("POST", CONTENT_PATH, encode_content_request(question))
         reply = await self._calls.call(reader.feed, call, CONTENT_SECONDS)
         patch = decode_patch(reply.body) if reply is not None and reply.status == 200 else None
         if patch is None or patch.is_announcement or patch.result != question.result:
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -10,14 +10,14 @@
 
 from milletcourse.exchange.messages.configuration_effect import ConfigurationEffect
 from milletcourse.exchange.messages.content_patch import (
-    NO_CONTENT_SUM,
+    NO_CONTENT_CHECKSUM,
     ContentPatch,
     apply_patch,
-    content_sum,
-    whole_patch,
+    content_checksum,
+    full_patch,
 )
-from milletcourse.exchange.messages.feed_messages import FedKind, FedObject
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.feed_messages import FeedKind, FeedObject
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.reading.pending_contents import FedUpdate
 from milletcourse.gateway.store.change_log import PATCHED_BYTES, ChangeLog, LoggedChange
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
@@ -43,7 +43,7 @@
     def on_unavailable(self) -> None:
         """A call failed."""
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
+    def on_era(self, place: StorePosition, before: StorePosition | None) -> None:
         """The store was found in an era; what it holds now is handed on next.
 
         Args:
@@ -78,7 +78,7 @@
     def on_unavailable(self) -> None:
         """See `KindSink`."""
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
+    def on_era(self, place: StorePosition, before: StorePosition | None) -> None:
         """See `KindSink`."""
 
     def on_change_announced(
@@ -93,7 +93,7 @@
 class MirrorListener(Protocol):
     """Told what a mirror learns of the store's history."""
 
-    def list_outdated(self, kind: str, listed: StorePlace, known: StorePlace) -> None:
+    def list_outdated(self, kind: str, listed: StorePosition, known: StorePosition) -> None:
         """A list was thrown away, since a later state is known."""
 
     def returned(self, store_return: StoreReturn) -> None:
@@ -116,7 +116,7 @@
 
     def __init__(self, kind: str, sink: KindSink, listener: MirrorListener | None = None) -> None:
         self.kind = kind
-        self.place: StorePlace | None = None
+        self.place: StorePosition | None = None
         self.is_confirmed = True
         self.proved_at = float("-inf")
         self.is_receiving = False
@@ -133,7 +133,7 @@
     def on_list(
         self,
         objects: list[StoredObject],
-        place: StorePlace,
+        place: StorePosition,
         sent_at: float,
         is_stale: bool = False,
     ) -> None:
@@ -213,7 +213,9 @@
         known = self._objects.get(name)
         return known.spec if known is not None else None
 
-    def _advance(self, place: StorePlace, news: tuple[ObjectChange, ...], sent_at: float) -> None:
+    def _advance(
+        self, place: StorePosition, news: tuple[ObjectChange, ...], sent_at: float
+    ) -> None:
         if self.place is None:
             self._log.begin(place)
             self._sink.on_era(place, None)
@@ -223,7 +225,7 @@
         self.proved_at = max(self.proved_at, sent_at)
 
     def _note_return(
-        self, before: StorePlace, place: StorePlace, news: tuple[ObjectChange, ...]
+        self, before: StorePosition, place: StorePosition, news: tuple[ObjectChange, ...]
     ) -> None:
         self._sink.on_era(place, before)
         if self._listener is not None:
@@ -241,7 +243,7 @@
 
     # -- telling --------------------------------------------------------------------------------
 
-    def has_news(self, place: StorePlace | None) -> bool:
+    def has_news(self, place: StorePosition | None) -> bool:
         """Whether something came after a state."""
         if self.place is None or (place is not None and place >= self.place):
             return False
@@ -249,7 +251,7 @@
             return True
         return self._log.has_after(place)
 
-    def since(self, place: StorePlace | None, as_patches: bool = False) -> FedKind | None:
+    def since(self, place: StorePosition | None, as_patches: bool = False) -> FeedKind | None:
         """What came after a state, None when it is known up to there at most.
 
         Args:
@@ -260,13 +262,13 @@
             return None
         if not self._log.covers(place):
             objects = [self._fed(stored, as_patches) for stored in self._objects.values()]
-            return FedKind(self.kind, self.place, True, objects)
+            return FeedKind(self.kind, self.place, True, objects)
         changes = self._without_overtaken(self._log.after(place), as_patches)
-        return FedKind(self.kind, self.place, False, [*changes])
+        return FeedKind(self.kind, self.place, False, [*changes])
 
     def _without_overtaken(
         self, changes: list[LoggedChange], as_patches: bool
-    ) -> Iterable[FedObject]:
+    ) -> Iterable[FeedObject]:
         """Changes in their order; large contents that a later one has overtaken don't go twice."""
         patch_bytes: dict[str, int] = defaultdict(int)
         last: dict[str, LoggedChange] = {}
@@ -277,7 +279,7 @@
         for change in changes:
             if change.patch is None:
                 spec = _NO_SPEC if change.gone else msgspec.Raw(change.spec)
-                yield FedObject(change.name, change.place, spec, change.gone)
+                yield FeedObject(change.name, change.place, spec, change.gone)
             elif as_patches and not self._costs_more(change.name, patch_bytes[change.name]):
                 yield _fed_patch(change.name, change.place, change.patch)
             elif change is last[change.name] and (stored := self._objects.get(change.name)):
@@ -290,15 +292,15 @@
             return False
         return patch_bytes > len(self._whole_patch(stored).steps)
 
-    def _fed(self, stored: StoredObject, as_patch: bool) -> FedObject:
+    def _fed(self, stored: StoredObject, as_patch: bool) -> FeedObject:
         if as_patch and len(stored.spec) >= PATCHED_BYTES:
             return _fed_patch(stored.name, stored.place, self._whole_patch(stored))
-        return FedObject(stored.name, stored.place, msgspec.Raw(stored.spec))
+        return FeedObject(stored.name, stored.place, msgspec.Raw(stored.spec))
 
     def _whole_patch(self, stored: StoredObject) -> ContentPatch:
         kept = self._whole.get(stored.name)
-        if kept is None or kept.result != content_sum(stored.spec):
-            kept = self._whole[stored.name] = whole_patch(stored.spec)
+        if kept is None or kept.result != content_checksum(stored.spec):
+            kept = self._whole[stored.name] = full_patch(stored.spec)
             self._whole = {name: self._whole[name] for name in self._whole if name in self._objects}
         return kept
 
@@ -306,9 +308,9 @@
         """A patch that was announced; None when its contents are forgotten."""
         logged = self._log.patch(name, base, result)
         stored = self._objects.get(name)
-        if logged is not None or base != NO_CONTENT_SUM or stored is None:
+        if logged is not None or base != NO_CONTENT_CHECKSUM or stored is None:
             return logged
-        return self._whole_patch(stored) if content_sum(stored.spec) == result else None
+        return self._whole_patch(stored) if content_checksum(stored.spec) == result else None
 
     def on_fed(self, update: FedUpdate, sent_at: float) -> bool:
         """A reader tells what came, with all contents; False for what goes on from another state.
@@ -317,28 +319,28 @@
             PatchError: A content differs from what was announced; nothing is taken then.
         """
         fed = update.fed
-        if not fed.whole and update.since != self.place:
+        if not fed.is_snapshot and update.since != self.place:
             # Something was learnt in another way meanwhile.
             return False
         changes = tuple(self._changes_of(fed))
-        if fed.whole:
-            self.on_list(_left_after(changes), fed.place, sent_at)
+        if fed.is_snapshot:
+            self.on_list(_left_after(changes), fed.position, sent_at)
             return True
-        if self.place is not None and fed.place > self.place:
-            self._log.note_gap(self.place, fed.place)
-        self.on_changes(ObjectChanges(changes, fed.place), sent_at)
+        if self.place is not None and fed.position > self.place:
+            self._log.note_gap(self.place, fed.position)
+        self.on_changes(ObjectChanges(changes, fed.position), sent_at)
         return True
 
-    def _changes_of(self, fed: FedKind) -> Iterable[ObjectChange]:
+    def _changes_of(self, fed: FeedKind) -> Iterable[ObjectChange]:
         contents: dict[str, bytes | None] = {}
         for item in fed.objects:
             spec = bytes(item.spec)
             if item.patch is not None:
                 before = contents.get(item.name, self._content(item.name))
                 spec = apply_patch(item.patch, before)
-            contents[item.name] = None if item.gone else spec
-            stored = StoredObject(item.name, item.place, spec)
-            yield ObjectChange(stored, item.gone, item.patch)
+            contents[item.name] = None if item.deleted else spec
+            stored = StoredObject(item.name, item.position, spec)
+            yield ObjectChange(stored, item.deleted, item.patch)
 
     def on_proof(self, sent_at: float) -> None:
         """A reader proves that nothing else had come when a call was sent at this time."""
@@ -357,6 +359,6 @@
     return [*left.values()]
 
 
-def _fed_patch(name: str, place: StorePlace, patch: ContentPatch) -> FedObject:
+def _fed_patch(name: str, place: StorePosition, patch: ContentPatch) -> FeedObject:
     is_small = len(patch.steps) <= INLINE_BYTES
-    return FedObject(name, place, _NO_SPEC, patch=patch if is_small else patch.announcement())
+    return FeedObject(name, place, _NO_SPEC, patch=patch if is_small else patch.announcement())
--- a/src/milletcourse/gateway/store/kind_watch.py
+++ b/src/milletcourse/gateway/store/kind_watch.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Callable
 
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.gateway.store.kind_mirror import KindMirror
 from milletcourse.gateway.store.object_store import (
     ObjectChanges,
@@ -163,7 +163,7 @@
     stale: bool,
     attempts_seconds: float = math.inf,
     on_content: Callable[[], None] | None = None,
-) -> tuple[list[StoredObject], StorePlace, float]:
+) -> tuple[list[StoredObject], StorePosition, float]:
     """All objects of a kind as they are now: (objects, place, time of the proving call).
 
     A stale list is followed by a watch that doesn't wait, which brings what came since; when that
--- a/src/milletcourse/gateway/store/object_store.py
+++ b/src/milletcourse/gateway/store/object_store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.content_patch import ContentPatch
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.runtime.clock import elapsed_seconds
 
@@ -45,7 +45,7 @@
     """
 
     name: str
-    place: StorePlace
+    place: StorePosition
     spec: bytes
 
 
@@ -60,7 +60,7 @@
     """
 
     objects: tuple[StoredObject, ...]
-    place: StorePlace
+    place: StorePosition
     more: bool
     unreadable: int = 0
 
@@ -89,7 +89,7 @@
     """
 
     changes: tuple[ObjectChange, ...]
-    place: StorePlace
+    place: StorePosition
     unreadable: int = 0
 
 
@@ -135,7 +135,7 @@
     def read_page(self, reply: Reply) -> ObjectPage:
         """Understand a page."""
 
-    def watch_call(self, kind: str, place: StorePlace, wait_seconds: float) -> Call:
+    def watch_call(self, kind: str, place: StorePosition, wait_seconds: float) -> Call:
         """Changes of a kind after a state of the store; waits for one."""
 
     def read_changes(self, reply: Reply) -> ObjectChanges:
@@ -147,7 +147,7 @@
     def create_call(self, kind: str, name: str, spec: bytes) -> Call:
         """Make an object that isn't there."""
 
-    def replace_call(self, kind: str, name: str, spec: bytes, place: StorePlace) -> Call:
+    def replace_call(self, kind: str, name: str, spec: bytes, place: StorePosition) -> Call:
         """Replace an object whose last change is known."""
 
     def read_object(self, reply: Reply) -> StoredObject:
@@ -207,7 +207,7 @@
         stale: bool = False,
         attempts_seconds: float = math.inf,
         on_content: Callable[[], None] | None = None,
-    ) -> tuple[list[StoredObject], StorePlace, float]:
+    ) -> tuple[list[StoredObject], StorePosition, float]:
         """All objects of a kind: (objects, place to watch from, time of the first call).
 
         The place is the earliest of all pages, so that changes between pages are seen again. A
@@ -224,7 +224,7 @@
         attempts_end_at = elapsed_seconds() + attempts_seconds
         objects: list[StoredObject] = []
         after = ""
-        place: StorePlace | None = None
+        place: StorePosition | None = None
         sent_at = 0.0
         while True:
             page, page_sent_at = await self._page(kind, after, stale, attempts_end_at, on_content)
@@ -270,7 +270,7 @@
     async def watch(
         self,
         kind: str,
-        place: StorePlace,
+        place: StorePosition,
         wait_seconds: float,
         on_content: Callable[[], None] | None = None,
     ) -> tuple[ObjectChanges, float]:
@@ -304,7 +304,7 @@
         return self._dialect.read_object(reply), reply.sent_at
 
     async def replace(
-        self, kind: str, name: str, spec: bytes, place: StorePlace
+        self, kind: str, name: str, spec: bytes, place: StorePosition
     ) -> tuple[StoredObject, float]:
         """Replace an object; raises a conflict when its last change is another one.
 
--- a/src/milletcourse/gateway/store/registration.py
+++ b/src/milletcourse/gateway/store/registration.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.gateway.store.directory import (
     ContainedRequest,
     GatewayDirectory,
@@ -53,9 +53,9 @@
         directory: GatewayDirectory,
         wanted: Callable[[], GatewayEntry],
         on_found: Callable[[GatewayEntry], None],
-        listed_at: Callable[[], StorePlace | None],
+        listed_at: Callable[[], StorePosition | None],
         random_source: random.Random,
-        on_written_again: Callable[[StorePlace], None],
+        on_written_again: Callable[[StorePosition], None],
     ) -> None:
         """Nothing written yet.
 
@@ -83,7 +83,7 @@
         self._pause_seconds = LOOK_SECONDS
         self._news = asyncio.Event()
         self._stored: GatewayEntry | None = None
-        self._written_at: StorePlace | None = None
+        self._written_at: StorePosition | None = None
 
     async def run(self) -> None:
         """Keep the entry right until cancelled."""
--- a/src/milletcourse/gateway/store/sinks.py
+++ b/src/milletcourse/gateway/store/sinks.py
@@ -10,7 +10,7 @@
     InstanceRecord,
     ModelTarget,
 )
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.placement.route_table import RouteTable
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.store.kind_mirror import IgnoringSink
@@ -50,9 +50,9 @@
         self._object_name = object_name
         self._decode = decode
         self._understood = False
-        self._changed_at: StorePlace | None = None
+        self._changed_at: StorePosition | None = None
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
+    def on_era(self, place: StorePosition, before: StorePosition | None) -> None:
         """See `KindSink`: the configuration that is found now may be older than the newest."""
         self._context.confirmed_era.on_era(place, before, self._context.now())
 
@@ -160,7 +160,7 @@
         super().__init__(context)
         self._decode = decode
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
+    def on_era(self, place: StorePosition, before: StorePosition | None) -> None:
         """See `KindSink`."""
         if before is not None:
             self._context.instances.on_copy(self._context.now())
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -9,11 +9,11 @@
 
 from milletcourse.errors import MalformedRequest, NotFound, NotReady
 from milletcourse.exchange.messages.feed_messages import (
-    FeedAnswer,
-    FeedQuestion,
-    decode_content_question,
-    decode_question,
-    encode_answer,
+    FeedRequest,
+    FeedResponse,
+    decode_content_request,
+    decode_feed_request,
+    encode_feed_response,
     encode_patch,
 )
 from milletcourse.exchange.messages.messages import HeaderField
@@ -65,7 +65,7 @@
 
     def _answer_content(self, request: ClientRequest, client: ClientConnection) -> None:
         """Bring a content that was announced; its sums tell whether it is meant."""
-        question = decode_content_question(request.body)
+        question = decode_content_request(request.body)
         if question is None:
             refuse(client, MalformedRequest("no question about a content"))
             return
@@ -80,7 +80,7 @@
 
     async def _answer_news(self, request: ClientRequest, client: ClientConnection) -> None:
         received_at = self._context.now()
-        question = decode_question(request.body)
+        question = decode_feed_request(request.body)
         if question is None:
             refuse(client, MalformedRequest("no question about the store"))
             return
@@ -92,18 +92,18 @@
             refuse(client, NotReady("the store isn't read here now"))
             return
         told = [
-            self._mirrors[position.kind].since(position.place, question.takes_patches)
+            self._mirrors[position.kind].since(position.position, question.accepts_patches)
             for position in question.positions
             if position.kind in self._mirrors
         ]
         proof_offset = self._proven.proved_at - received_at
         news = [kind for kind in told if kind is not None]
-        answer = self._with_coming_change(FeedAnswer(news, proof_offset), question, received_at)
-        client.send_whole(200, b"", [_JSON], encode_answer(answer, question.takes_patches))
+        answer = self._with_coming_change(FeedResponse(news, proof_offset), question, received_at)
+        client.send_whole(200, b"", [_JSON], encode_feed_response(answer, question.accepts_patches))
 
     def _with_coming_change(
-        self, answer: FeedAnswer, question: FeedQuestion, received_at: float
-    ) -> FeedAnswer:
+        self, answer: FeedResponse, question: FeedRequest, received_at: float
+    ) -> FeedResponse:
         """The answer with what is known of a configuration that it doesn't bring."""
         context = self._context
         effect = not_out_at = None
@@ -116,28 +116,30 @@
             answer,
             is_receiving=self._proven.is_receiving,
             effect=effect,
-            not_out_offset=not_out_at - received_at if not_out_at is not None else None,
+            unpublished_offset=not_out_at - received_at if not_out_at is not None else None,
             configuration=context.configuration_version,
             confirmed_era=context.confirmed_era.latest,
         )
 
-    def _note_configuration(self, question: FeedQuestion) -> None:
+    def _note_configuration(self, question: FeedRequest) -> None:
         """A follower that knows no later state of the store, but a later configuration."""
         known = self._proven.place
         asked = next(
-            (item.place for item in question.positions if item.kind == self._proven.kind), None
+            (item.position for item in question.positions if item.kind == self._proven.kind), None
         )
         if known is not None and asked is not None and asked <= known:
             self._context.on_lost_configuration(question.configuration)
 
-    def _note_positions(self, question: FeedQuestion) -> None:
+    def _note_positions(self, question: FeedRequest) -> None:
         for position in question.positions:
             mirror = self._mirrors.get(position.kind)
             known = mirror.place if mirror is not None else None
-            if known is not None and position.place is not None:
-                self._context.record.store.follower_position(position.kind, position.place, known)
+            if known is not None and position.position is not None:
+                self._context.record.store.follower_position(
+                    position.kind, position.position, known
+                )
 
-    def _is_an_era_behind(self, question: FeedQuestion) -> bool:
+    def _is_an_era_behind(self, question: FeedRequest) -> bool:
         """Whether the follower knows of a return of the store that isn't known here.
 
         What is proved here is then of a history that the store has lost.
@@ -145,7 +147,7 @@
         for position in question.positions:
             mirror = self._mirrors.get(position.kind)
             known = mirror.place if mirror is not None else None
-            asked = position.place
+            asked = position.position
             if asked is not None and known is not None and asked.era > known.era:
                 return True
         return False
@@ -170,7 +172,7 @@
     def _proof_ends_at(self) -> float:
         return self._proven.proved_at + self._context.reading.max_proof_age
 
-    async def _wait_for_news(self, question: FeedQuestion, received_at: float) -> None:
+    async def _wait_for_news(self, question: FeedRequest, received_at: float) -> None:
         """Wait until there is something to tell, or the question was kept long enough."""
         until = received_at + min(question.hold_seconds, MAX_HOLD_SECONDS)
         if self._is_an_era_behind(question):
@@ -192,9 +194,9 @@
             timer.cancel()
             self._waiters.discard(waiter)
 
-    def _has_news(self, question: FeedQuestion) -> bool:
+    def _has_news(self, question: FeedRequest) -> bool:
         return any(
-            self._mirrors[position.kind].has_news(position.place)
+            self._mirrors[position.kind].has_news(position.position)
             for position in question.positions
             if position.kind in self._mirrors
         )
--- a/src/milletcourse/gateway/telling/recorder.py
+++ b/src/milletcourse/gateway/telling/recorder.py
@@ -156,7 +156,7 @@
         """An attempt ended; those without an answer get a line by `attempt_failed`."""
         self._figures.on_attempt(result)
         if step is NextStep.SEND_AGAIN:
-            self.tally.on_sent_again(route.name)
+            self.tally.on_retry(route.name)
 
     def attempt_failed(
         self,
@@ -224,7 +224,7 @@
 
     def cut(self, request: ExchangeRequest, route: RouteRecord, cut: StreamCut) -> None:
         """A stream that a client had begun to read could not be completed."""
-        self.tally.on_end(route.name, Outcome.CUT)
+        self.tally.on_end(route.name, Outcome.TRUNCATED)
         self._figures.on_end("cut")
         self._log.emit(
             "stream-cut", route=route.name, **msgspec.to_builtins(cut), **self._about(request)
@@ -234,7 +234,7 @@
         self, request: ExchangeRequest, route: RouteRecord, instance: str, stream_begun: bool
     ) -> None:
         """A client closed its connection before the answer was whole."""
-        self.tally.on_end(route.name, Outcome.CLIENT_LEFT)
+        self.tally.on_end(route.name, Outcome.CLIENT_DISCONNECTED)
         self._figures.on_end("client-left")
         self._log.emit(
             "client-left",
--- a/src/milletcourse/gateway/telling/store_recorder.py
+++ b/src/milletcourse/gateway/telling/store_recorder.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.reading.confirmed_era import EraEvidence
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
@@ -26,8 +26,8 @@
     """
 
     kind: str
-    before: StorePlace
-    after: StorePlace
+    before: StorePosition
+    after: StorePosition
     missing: list[str]
     changed: list[str]
 
@@ -73,7 +73,7 @@
             names=[*store_return.missing, *store_return.changed][:MAX_NAMES],
         )
 
-    def entry_written_again(self, place: StorePlace) -> None:
+    def entry_written_again(self, place: StorePosition) -> None:
         """This gateway's own entry, which the store had lost, is there again."""
         self._log.emit("entry-written-again", place=_told(place))
 
@@ -141,7 +141,7 @@
         """
         self._log.emit("configuration-outdated", found=found, known=known)
 
-    def list_outdated(self, kind: str, listed: StorePlace, known: StorePlace) -> None:
+    def list_outdated(self, kind: str, listed: StorePosition, known: StorePosition) -> None:
         """A list of a kind was thrown away, since a later state is known.
 
         Args:
@@ -151,7 +151,7 @@
         """
         self._log.emit("store-list-outdated", kind=kind, listed=_told(listed), known=_told(known))
 
-    def follower_position(self, kind: str, asked: StorePlace, known: StorePlace) -> None:
+    def follower_position(self, kind: str, asked: StorePosition, known: StorePosition) -> None:
         """A follower asks with the state that it knows; a line when it is later than ours.
 
         Args:
@@ -166,5 +166,5 @@
             self._log.emit("follower-ahead", kind=kind, asked=_told(asked), known=_told(known))
 
 
-def _told(place: StorePlace) -> dict[str, int]:
+def _told(place: StorePosition) -> dict[str, int]:
     return msgspec.structs.asdict(place)
--- a/src/milletcourse/platform/object_store.py
+++ b/src/milletcourse/platform/object_store.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.gateway.servers.call_client import Call, Reply
 from milletcourse.gateway.store.object_store import (
     UNREADABLE,
@@ -80,10 +80,10 @@
         era = _read_era(reply)
         found = [_readable(item, era) for item in page.items]
         objects = tuple(stored for stored in found if stored is not None)
-        place = StorePlace(era, page.at)
+        place = StorePosition(era, page.at)
         return ObjectPage(objects, place, page.more, len(found) - len(objects))
 
-    def watch_call(self, kind: str, place: StorePlace, wait_seconds: float) -> Call:
+    def watch_call(self, kind: str, place: StorePosition, wait_seconds: float) -> Call:
         """See `StoreDialect`."""
         wait = int(wait_seconds * 1000)
         return Call("GET", f"{OBJECTS_PATH}/{kind}?Watch={place.revision}&WaitMs={wait}")
@@ -94,7 +94,7 @@
         era = _read_era(reply)
         found = [_readable_change(event, era) for event in changes.events]
         readable = tuple(change for change in found if change is not None)
-        place = StorePlace(era, changes.at)
+        place = StorePosition(era, changes.at)
         return ObjectChanges(readable, place, len(found) - len(readable))
 
     def get_call(self, kind: str, name: str) -> Call:
@@ -106,7 +106,7 @@
         body = _body({"Name": name}, spec)
         return Call("POST", f"{OBJECTS_PATH}/{kind}", body)
 
-    def replace_call(self, kind: str, name: str, spec: bytes, place: StorePlace) -> Call:
+    def replace_call(self, kind: str, name: str, spec: bytes, place: StorePosition) -> Call:
         """See `StoreDialect`."""
         body = _body({"Name": name, "Revision": place.revision}, spec)
         return Call("PUT", f"{OBJECTS_PATH}/{kind}/{quote(name, safe='')}", body)
@@ -121,7 +121,7 @@
 
 
 def _stored(document: _Object, era: int) -> StoredObject:
-    place = StorePlace(era, document.metadata.revision)
+    place = StorePosition(era, document.metadata.revision)
     return StoredObject(document.metadata.name, place, bytes(document.spec))
 
 
--- a/src/milletcourse/platform/orders.py
+++ b/src/milletcourse/platform/orders.py
@@ -16,12 +16,12 @@
 
 _MANNERS = {
     RunningWork.WAIT: "wait",
-    RunningWork.CUT: "truncate",
+    RunningWork.ABORT: "truncate",
     RunningWork.KEEP: "retain",
 }
 _REPLIES = {
-    200: OrderReply.HOLDS,
-    202: OrderReply.TAKEN,
+    200: OrderReply.ALREADY_LOADED,
+    202: OrderReply.ACCEPTED,
     409: OrderReply.BUSY,
     412: OrderReply.FENCED,
     421: OrderReply.WRONG_INSTANCE,
--- a/src/milletcourse/reports/loss_report.py
+++ b/src/milletcourse/reports/loss_report.py
@@ -9,7 +9,11 @@
 
 import msgspec
 
-from milletcourse.exchange.counting.service_tally import TALLY_SECONDS, Outcome, TallyReport
+from milletcourse.exchange.counting.service_tally import (
+    TALLY_INTERVAL_SECONDS,
+    Outcome,
+    TallyReport,
+)
 from milletcourse.reports.log_lines import SkippedLines, read_documents
 
 TALLY_EVENT = "service-tally"
@@ -159,7 +163,7 @@
         skipped.unknown += 1
         return
     # A tally tells of the time before it.
-    sums.add_tally(tally, max(int((at - first) / TALLY_SECONDS) - 1, 0))
+    sums.add_tally(tally, max(int((at - first) / TALLY_INTERVAL_SECONDS) - 1, 0))
 
 
 def _report(sums: _Sums, skipped: SkippedLines) -> LossReport:
@@ -170,7 +174,7 @@
         for name in sorted({*sums.ends, *sums.superseded})
     }
     moments = [
-        Moment(stretch * TALLY_SECONDS, dict(ends), extras["superseded"], extras["calls"])
+        Moment(stretch * TALLY_INTERVAL_SECONDS, dict(ends), extras["superseded"], extras["calls"])
         for stretch, (ends, extras) in sorted(sums.moments.items())
     ]
     decisions = [
@@ -207,7 +211,7 @@
     head = f"{'':28}" + "".join(f"{name:>15}" for name in [*columns, "superseded"])
     lines = [f"{len(report.gateways)} gateways", "", "by route", head]
     lines += [_row(name, route.ends, route.superseded) for name, route in report.routes.items()]
-    lines += ["", f"by moment (start of {TALLY_SECONDS:g} s)", head]
+    lines += ["", f"by moment (start of {TALLY_INTERVAL_SECONDS:g} s)", head]
     lines += [_row(f"{at.start:.0f}", at.ends, at.superseded) for at in report.moments]
     lines += ["", "decisions, most frequent of each kind (left out of the log in brackets)"]
     shown: Counter[str] = Counter()
--- a/tests/exchange/evidence/test_crash_evidence.py
+++ b/tests/exchange/evidence/test_crash_evidence.py
@@ -15,9 +15,9 @@
 from milletcourse.exchange.evidence.request_identity import request_identity
 from milletcourse.exchange.messages.peer_messages import (
     MAX_AGE_MS,
-    CrashEnd,
     CrashReport,
     PeerMessage,
+    ServerCrash,
     decode_message,
     encode_message,
 )
@@ -113,7 +113,7 @@
     """A gateway that answered a request well isn't told too late that a server ended under it."""
     evidence = CrashEvidence()
     evidence.on_answer(CRASHING, NOW + 10)
-    report = CrashReport(CRASHING, [CrashEnd(1, 9000, 8000), CrashEnd(2, 7000, 6000)])
+    report = CrashReport(CRASHING, [ServerCrash(1, 9000, 8000), ServerCrash(2, 7000, 6000)])
     evidence.merge([report], NOW + 11, False)
     assert evidence.ends(CRASHING) == 0
     assert evidence.has_news
@@ -134,7 +134,7 @@
     evidence = CrashEvidence()
     for number in range(3):
         ended_ms = 100 * (2 - number)
-        report = CrashReport(CRASHING, [CrashEnd(number, ended_ms + 100, ended_ms)])
+        report = CrashReport(CRASHING, [ServerCrash(number, ended_ms + 100, ended_ms)])
         evidence.merge([report], NOW, True)
     assert evidence.containment(CRASHING, NOW) is not None
 
@@ -222,9 +222,9 @@
 @pytest.mark.parametrize("age", [-1, MAX_AGE_MS + 1])
 def test_absurd_ages_are_refused(age: int) -> None:
     """A message that holds one is none of ours."""
-    report = CrashReport(CRASHING, [CrashEnd(1, age, 0)])
+    report = CrashReport(CRASHING, [ServerCrash(1, age, 0)])
     assert decode_message(encode_message(PeerMessage("g", 1, crashes=[report]))) is None
-    too_many = CrashReport(CRASHING, [CrashEnd(number, 5, 5) for number in range(7)])
+    too_many = CrashReport(CRASHING, [ServerCrash(number, 5, 5) for number in range(7)])
     assert decode_message(encode_message(PeerMessage("g", 1, crashes=[too_many]))) is None
 
 
@@ -251,7 +251,7 @@
     for number, name in enumerate(fleet.random.sample(fleet.names, 3)):
         evidence = fleet.exchanges[name].evidence
         evidence.on_end(CRASHING, 50 + number, fleet.now - 0.1, fleet.now)
-        fleet.exchanges[name].on_news()
+        fleet.exchanges[name].on_update()
         fleet.run(0.5)
 
 
@@ -310,12 +310,12 @@
         sent_at = fleet.now
         fleet.run(0.1)
         sender.evidence.on_end(CRASHING, 1000 + self.ended, sent_at, fleet.now)
-        sender.on_news()
+        sender.on_update()
         for innocent in range(5):
             witness = fleet.exchanges[fleet.random.choice(fleet.names)]
             identity = 10_000 * self.ended + innocent
             witness.evidence.on_end(identity, 1000 + self.ended, sent_at - 1.0, fleet.now)
-            witness.on_news()
+            witness.on_update()
 
 
 @pytest.mark.parametrize("size", [8, 79, 195])
--- a/tests/exchange/evidence/test_crash_machine.py
+++ b/tests/exchange/evidence/test_crash_machine.py
@@ -91,7 +91,7 @@
         for name, identity, sent_at in running:
             exchange = self.fleet.exchanges[name]
             exchange.evidence.on_end(identity, self.servers, sent_at, self.fleet.now)
-            exchange.on_news()
+            exchange.on_update()
 
     @rule(witnesses=st.lists(gateways, min_size=1, max_size=4))
     def rack_crashes(self, witnesses: list[int]) -> None:
@@ -103,7 +103,7 @@
         """By a server that lives."""
         exchange = self.fleet.exchanges[self.fleet.names[number]]
         if exchange.evidence.on_answer(POPULAR, self.fleet.now):
-            exchange.on_news()
+            exchange.on_update()
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.0, 2.5]))
     def time_passes(self, seconds: float) -> None:
--- a/tests/exchange/limits/test_allowances.py
+++ b/tests/exchange/limits/test_allowances.py
@@ -24,13 +24,13 @@
 )
 from milletcourse.exchange.limits.ask_pauses import MAX_PROMISE_SECONDS, AskPauses
 from milletcourse.exchange.load.server_signals import (
-    MAX_KNOWN,
-    MAX_TOLD,
-    PROBE_SECONDS,
-    TOLD_TIMES,
+    MAX_RECORDS,
+    MAX_REPORTS_PER_MESSAGE,
+    PROBE_INTERVAL_SECONDS,
+    REPORT_REPEATS,
     ServerSignals,
 )
-from milletcourse.exchange.load.signal_record import ENDED_SECONDS, LimitChange
+from milletcourse.exchange.load.signal_record import TOMBSTONE_SECONDS, LimitChange
 from milletcourse.exchange.messages.peer_messages import (
     PeerMessage,
     SignalReport,
@@ -38,15 +38,15 @@
     encode_message,
 )
 from milletcourse.exchange.messages.quota_messages import (
-    UnitMessage,
-    UnitStep,
-    decode_unit_message,
-    encode_unit_message,
-    is_unit_message,
+    PermitMessage,
+    PermitStep,
+    decode_permit_message,
+    encode_permit_message,
+    is_permit_message,
 )
 from milletcourse.exchange.messages.signal_headers import (
     MAX_LIMIT_PER_SECOND,
-    MAX_SHOWN_BYTES,
+    MAX_LOGGED_BYTES,
     NO_LIMIT,
     read_limit,
 )
@@ -95,7 +95,7 @@
     """It is shown to operators in a few bytes."""
     reading = read_limit(values)
     assert reading.per_second is None
-    assert 0 < len(reading.unreadable) <= MAX_SHOWN_BYTES
+    assert 0 < len(reading.unreadable) <= MAX_LOGGED_BYTES
 
 
 def test_no_field_is_no_limit() -> None:
@@ -138,7 +138,7 @@
     @rule(per_second=st.one_of(st.none(), st.floats(0.0, 50.0)), ms=st.integers(0, 9000))
     def told(self, per_second: float | None, ms: int) -> None:
         """Another gateway tells what it heard some time ago."""
-        self.limits.merge([SignalReport(KEY, per_second, ms)], self.now, passes_on=True)
+        self.limits.merge([SignalReport(KEY, per_second, ms)], self.now, relay=True)
         said_at = self.now - ms / 1000.0
         if self.newest is None or said_at > self.newest[0]:
             self.newest = (said_at, per_second)
@@ -157,15 +157,15 @@
 def test_changes_are_told_some_times_and_what_holds_again_later() -> None:
     """Gateways that start later hear it too."""
     limits = ServerSignals()
-    assert limits.on_answer(KEY, 2.0, 0.0, 0.0) is LimitChange.NAMED
-    told = [limits.to_tell(0.1 * number, 1.0) for number in range(TOLD_TIMES + 1)]
-    assert [len(words) for words in told] == [1] * TOLD_TIMES + [0]
-    assert not limits.has_news
-    assert limits.to_tell(1.3, 1.0) == [SignalReport(KEY, 2.0, 1300)]
+    assert limits.on_answer(KEY, 2.0, 0.0, 0.0) is LimitChange.ADDED
+    told = [limits.due_reports(0.1 * number, 1.0) for number in range(REPORT_REPEATS + 1)]
+    assert [len(words) for words in told] == [1] * REPORT_REPEATS + [0]
+    assert not limits.has_updates
+    assert limits.due_reports(1.3, 1.0) == [SignalReport(KEY, 2.0, 1300)]
     limits.on_answer(KEY, 2.0, 1.4, 1.4)
-    assert not limits.has_news
-    assert limits.on_answer(KEY, None, 1.5, 1.5) is LimitChange.ENDED
-    assert limits.has_news
+    assert not limits.has_updates
+    assert limits.on_answer(KEY, None, 1.5, 1.5) is LimitChange.REMOVED
+    assert limits.has_updates
 
 
 def test_an_end_is_remembered_for_a_while_only() -> None:
@@ -173,10 +173,10 @@
     limits = ServerSignals()
     limits.on_answer(KEY, 2.0, 0.0, 0.0)
     limits.on_answer(KEY, None, 1.0, 1.0)
-    limits.merge([SignalReport(KEY, 2.0, 1500)], 2.0, passes_on=False)
+    limits.merge([SignalReport(KEY, 2.0, 1500)], 2.0, relay=False)
     assert limits.per_second(KEY) is None
-    limits.expire(ENDED_SECONDS + 2.0, lambda: {KEY})
-    assert not limits.to_tell(ENDED_SECONDS + 2.0, 0.0)
+    limits.expire(TOMBSTONE_SECONDS + 2.0, lambda: {KEY})
+    assert not limits.due_reports(TOMBSTONE_SECONDS + 2.0, 0.0)
 
 
 def test_what_servers_said_that_are_gone_is_forgotten() -> None:
@@ -184,9 +184,9 @@
     limits = ServerSignals()
     limits.on_answer(KEY, 2.0, 0.0, 0.0)
     limits.on_answer(KEY + 1, 2.0, 0.0, 0.0)
-    limits.expire(ENDED_SECONDS - 1.0, set)
+    limits.expire(TOMBSTONE_SECONDS - 1.0, set)
     assert limits.per_second(KEY) == 2.0
-    limits.expire(ENDED_SECONDS + 1.0, lambda: {KEY + 1})
+    limits.expire(TOMBSTONE_SECONDS + 1.0, lambda: {KEY + 1})
     assert limits.per_second(KEY) is None
     assert limits.per_second(KEY + 1) == 2.0
 
@@ -194,18 +194,18 @@
 def test_what_is_known_and_told_is_bounded() -> None:
     """However many servers peers make up."""
     limits = ServerSignals()
-    words = [SignalReport(key, 1.0, 0) for key in range(MAX_KNOWN + 100)]
-    limits.merge(words, 10.0, passes_on=True)
-    assert len(limits.limited()) == MAX_KNOWN
-    assert len(limits.to_tell(10.0, 1.0)) == MAX_TOLD
-    assert len(limits.newest(10.0)) == MAX_TOLD
+    words = [SignalReport(key, 1.0, 0) for key in range(MAX_RECORDS + 100)]
+    limits.merge(words, 10.0, relay=True)
+    assert len(limits.limited()) == MAX_RECORDS
+    assert len(limits.due_reports(10.0, 1.0)) == MAX_REPORTS_PER_MESSAGE
+    assert len(limits.latest_reports(10.0)) == MAX_REPORTS_PER_MESSAGE
 
 
 def test_a_server_that_takes_nothing_is_asked_once_in_a_while() -> None:
     """Nothing but its answers tells that it takes requests again."""
     limits = ServerSignals()
     limits.on_answer(KEY, 0.0, 0.0, 0.0)
-    assert limits.income(KEY) == 1.0 / PROBE_SECONDS
+    assert limits.send_rate(KEY) == 1.0 / PROBE_INTERVAL_SECONDS
 
 
 @pytest.mark.parametrize("per_second", [-1.0, 1e300])
@@ -375,14 +375,14 @@
 
 def test_messages_come_back_as_they_were_sent() -> None:
     """And other datagrams are none of them."""
-    ask = UnitMessage(UnitStep.ASK, "g1", KEY, 3, 1.5, 200, 1)
-    data = encode_unit_message(ask)
-    assert is_unit_message(data) and decode_unit_message(data) == ask
-    assert not is_unit_message(encode_message(PeerMessage("g1", 1)))
+    ask = PermitMessage(PermitStep.ASK, "g1", KEY, 3, 1.5, 200, 1)
+    data = encode_permit_message(ask)
+    assert is_permit_message(data) and decode_permit_message(data) == ask
+    assert not is_permit_message(encode_message(PeerMessage("g1", 1)))
     assert decode_message(data) is None
-    assert decode_unit_message(b"\xc1\x93\x09") is None
-    wrong = UnitMessage(UnitStep.ASK, "g1", KEY, 3, -4.0)
-    assert decode_unit_message(encode_unit_message(wrong)) is None
+    assert decode_permit_message(b"\xc1\x93\x09") is None
+    wrong = PermitMessage(PermitStep.ASK, "g1", KEY, 3, -4.0)
+    assert decode_permit_message(encode_permit_message(wrong)) is None
 
 
 def test_refused_callers_are_told_to_come_back_one_after_the_other() -> None:
--- a/tests/exchange/limits/test_tenant_limits.py
+++ b/tests/exchange/limits/test_tenant_limits.py
@@ -23,7 +23,7 @@
 )
 from milletcourse.cli.experiment import read_sizes
 from milletcourse.errors import FailureError
-from milletcourse.exchange.counting.recent_use import TOLD_SECONDS, RecentUse
+from milletcourse.exchange.counting.recent_use import RATE_WINDOW_SECONDS, RecentUse
 from milletcourse.exchange.limits.known_use import SummedUse, UseKnowledge
 from milletcourse.exchange.limits.shared_bucket import START_SECONDS
 from milletcourse.exchange.limits.tenant_limits import MAX_WAIT_SECONDS, TenantLimits
@@ -110,7 +110,7 @@
     tenant = _tenant(unit)
     limits = _limits(tenant)
     assert limits.try_spend(tenant, _request(700 if declares else 0, declares), 5.0) is None
-    assert limits.tick(5.0)[0].per_second == units / TOLD_SECONDS
+    assert limits.tick(5.0)[0].per_second == units / RATE_WINDOW_SECONDS
 
 
 def test_what_no_server_ran_is_given_back_and_each_further_run_counts() -> None:
@@ -122,7 +122,9 @@
         assert limits.try_spend(tenant, request, 0.0) is None
         limits.settle(tenant, request, runs, 0.0)
         told = limits.tick(0.0)
-        assert sum(use.per_second for use in told) * TOLD_SECONDS == START_SECONDS * RATE - left
+        assert (
+            sum(use.per_second for use in told) * RATE_WINDOW_SECONDS == START_SECONDS * RATE - left
+        )
 
 
 def test_tenants_without_a_limit_cost_nothing() -> None:
--- a/tests/exchange/load/test_load_exchange.py
+++ b/tests/exchange/load/test_load_exchange.py
@@ -43,7 +43,7 @@
         for name in fleet.names:
             assert fleet.known(name) == fleet.expected(name)
             failing = fleet.exchanges[name].failing(fleet.now)
-            assert {load.key for load in fleet.expected(name) if load.bad} <= set(failing)
+            assert {load.key for load in fleet.expected(name) if load.failures} <= set(failing)
 
 
 def test_what_a_gateway_sends_does_not_grow_with_the_fleet() -> None:
@@ -71,7 +71,7 @@
         # A tick takes a little longer than its pause.
         now += TICK_SECONDS + 0.001
         load = [InstanceLoad(1, 0, tick + 1)]
-        reader.on_message(PeerMessage("follower", tick + 1, load, follows=True), now)
+        reader.on_message(PeerMessage("follower", tick + 1, load, is_follower=True), now)
         own = [InstanceLoad(key, 0, 1 + tick % 2) for key in range(2, servers + 1)]
         sent += len(reader.tick(now, own, ""))
     assert sent == pytest.approx(sums, abs=1)
--- a/tests/exchange/load/test_server_signals.py
+++ b/tests/exchange/load/test_server_signals.py
@@ -4,8 +4,12 @@
 
 import pytest
 
-from milletcourse.exchange.load.server_signals import LEAVING_REMEMBERED_SECONDS, ServerSignals
-from milletcourse.exchange.load.signal_record import ENDED_SECONDS, LEAVING_TOLD_SECONDS, Signal
+from milletcourse.exchange.load.server_signals import LEAVING_RETENTION_SECONDS, ServerSignals
+from milletcourse.exchange.load.signal_record import (
+    LEAVING_REPORT_SECONDS,
+    TOMBSTONE_SECONDS,
+    Signal,
+)
 from milletcourse.exchange.messages.dialect import HeaderDialect, HeaderNames
 from milletcourse.exchange.messages.messages import HeaderField
 from milletcourse.exchange.messages.peer_messages import (
@@ -17,12 +21,12 @@
 )
 from milletcourse.exchange.messages.records import InstanceRecord
 from milletcourse.exchange.messages.signal_headers import (
-    MAX_REST_SECONDS,
-    MAX_SHOWN_BYTES,
-    NO_REST,
+    MAX_BACK_OFF_SECONDS,
+    MAX_LOGGED_BYTES,
+    NO_BACK_OFF,
     NOT_LEAVING,
+    read_back_off,
     read_leaving,
-    read_rest,
 )
 from milletcourse.exchange.servers.instance_table import InstanceTable
 
@@ -41,12 +45,12 @@
         ([b"3", b"5"], 5.0),
         ([b"soon", b"2"], 2.0),
         ([b"0"], 0.0),
-        ([b"9" * 30], MAX_REST_SECONDS),
+        ([b"9" * 30], MAX_BACK_OFF_SECONDS),
     ],
 )
 def test_a_rest_is_a_decimal_number_of_seconds(values: list[bytes], seconds: float) -> None:
     """Of several the longest keeps to all."""
-    reading = read_rest(values)
+    reading = read_back_off(values)
     assert reading.seconds == seconds
     assert not reading.unreadable
 
@@ -57,9 +61,9 @@
 )
 def test_what_is_no_rest_is_not_believed(value: bytes) -> None:
     """It is shown to operators in a few bytes."""
-    reading = read_rest([value])
+    reading = read_back_off([value])
     assert reading.seconds is None
-    assert 0 < len(reading.unreadable) <= MAX_SHOWN_BYTES
+    assert 0 < len(reading.unreadable) <= MAX_LOGGED_BYTES
 
 
 @pytest.mark.parametrize(
@@ -71,7 +75,7 @@
 ) -> None:
     """As no field at all says that it stays."""
     reading = read_leaving(values)
-    assert reading.leaves is leaves
+    assert reading.is_leaving is leaves
     assert not reading.unreadable
 
 
@@ -79,8 +83,8 @@
 def test_what_neither_says_leaving_nor_staying_is_shown(value: bytes) -> None:
     """And changes nothing."""
     reading = read_leaving([value])
-    assert not reading.leaves
-    assert 0 < len(reading.unreadable) <= MAX_SHOWN_BYTES
+    assert not reading.is_leaving
+    assert 0 < len(reading.unreadable) <= MAX_LOGGED_BYTES
 
 
 @pytest.mark.parametrize(("status", "seconds"), [(503, 2.0), (429, 2.0), (200, None), (500, None)])
@@ -88,13 +92,13 @@
     """Elsewhere the field isn't about the server."""
     fields = [HeaderField(b"Retry-After", b"2")]
     head = HeaderDialect(HeaderNames()).read_answer(status, b"", fields)
-    assert head.rest.seconds == seconds
+    assert head.back_off.seconds == seconds
 
 
 def test_an_answer_without_fields_says_nothing() -> None:
     """As most do."""
     head = HeaderDialect(HeaderNames()).read_answer(503, b"", [])
-    assert head.rest == NO_REST
+    assert head.back_off == NO_BACK_OFF
     assert head.leaving == NOT_LEAVING
 
 
@@ -104,13 +108,13 @@
 def test_a_rest_ends_by_time_and_is_not_told_to_others() -> None:
     """It was asked of one gateway."""
     signals = ServerSignals()
-    assert signals.on_rest(KEY, 3.0, 10.0)
-    assert not signals.on_rest(KEY, 1.0, 11.0)
-    assert signals.in_force([KEY], 12.9) == {KEY: Signal.RESTING}
-    assert not signals.in_force([KEY], 13.0)
-    assert not signals.to_tell(11.0, 0.0)
-    assert not signals.newest(11.0)
-    assert not signals.has_news
+    assert signals.on_back_off(KEY, 3.0, 10.0)
+    assert not signals.on_back_off(KEY, 1.0, 11.0)
+    assert signals.active_signals([KEY], 12.9) == {KEY: Signal.BACKING_OFF}
+    assert not signals.active_signals([KEY], 13.0)
+    assert not signals.due_reports(11.0, 0.0)
+    assert not signals.latest_reports(11.0)
+    assert not signals.has_updates
 
 
 def test_that_a_server_leaves_holds_whatever_it_says_afterwards() -> None:
@@ -120,7 +124,7 @@
     assert not signals.on_leaving(KEY, 2.0)
     signals.on_answer(KEY, None, 3.0, 3.0)
     assert signals.signal(KEY, 1000.0) is Signal.LEAVING
-    signals.expire(ENDED_SECONDS + 100.0, lambda: {KEY})
+    signals.expire(TOMBSTONE_SECONDS + 100.0, lambda: {KEY})
     assert signals.signal(KEY, 1000.0) is Signal.LEAVING
 
 
@@ -128,28 +132,28 @@
     """A list that is read after an outage may be older than the word, and show it again."""
     signals = ServerSignals()
     signals.on_leaving(KEY, 0.0)
-    signals.expire(LEAVING_REMEMBERED_SECONDS - 1.0, set)
+    signals.expire(LEAVING_RETENTION_SECONDS - 1.0, set)
     assert signals.signal(KEY, 0.0) is Signal.LEAVING
-    signals.expire(LEAVING_REMEMBERED_SECONDS + 1.0, set)
-    assert signals.known(KEY) is None
+    signals.expire(LEAVING_RETENTION_SECONDS + 1.0, set)
+    assert signals.record(KEY) is None
 
 
 def test_gateways_tell_each_other_that_a_server_leaves() -> None:
     """With the age of the first answer that said so, and for as long as it may be there."""
     here, there = ServerSignals(), ServerSignals()
     here.on_leaving(KEY, 10.0)
-    assert here.has_news
-    report = here.to_tell(10.5, 1.0)
+    assert here.has_updates
+    report = here.due_reports(10.5, 1.0)
     assert report == [SignalReport(KEY, None, MAX_AGE_MS, 500)]
-    changes = there.merge(report, 50.0, passes_on=True)
-    assert [(item.key, item.leaves, item.change) for item in changes] == [(KEY, True, None)]
-    assert there.has_news
+    changes = there.merge(report, 50.0, relay=True)
+    assert [(item.key, item.is_leaving, item.change) for item in changes] == [(KEY, True, None)]
+    assert there.has_updates
     assert there.per_second(KEY) is None
-    assert not there.merge(report, 50.1, passes_on=True)
+    assert not there.merge(report, 50.1, relay=True)
     for _ in range(9):
-        here.to_tell(11.0, 10.0)
-    assert here.to_tell(10.0 + LEAVING_TOLD_SECONDS - 1.0, 1.0)
-    assert not here.to_tell(10.0 + LEAVING_TOLD_SECONDS + 1.0, 1.0)
+        here.due_reports(11.0, 10.0)
+    assert here.due_reports(10.0 + LEAVING_REPORT_SECONDS - 1.0, 1.0)
+    assert not here.due_reports(10.0 + LEAVING_REPORT_SECONDS + 1.0, 1.0)
 
 
 def test_what_a_server_said_holds_when_its_start_becomes_known() -> None:
--- a/tests/exchange/placement/test_engine_load.py
+++ b/tests/exchange/placement/test_engine_load.py
@@ -65,7 +65,7 @@
         record = InstanceRecord(f"e-{number}", "s", f"10.0.0.{number}:1", weight_versions={"m": 1})
         table.upsert(record)
     exchange = LoadExchange("g")
-    told = [load for load in loads.values() if not load.is_nothing]
+    told = [load for load in loads.values() if not load.is_zero]
     exchange.on_message(PeerMessage("other", 1, told, scope=LoadScope.ZONE), 0.0)
     selector = InstanceSelector(table, VersionGate(8.0), exchange, "", random.Random(1))
     choice = selector.choose(SERVICE, request, "scope", (), 0.0, PAUSE_SECONDS)
--- a/tests/exchange/placement/test_server_candidates.py
+++ b/tests/exchange/placement/test_server_candidates.py
@@ -34,7 +34,7 @@
         """A server asks for rest."""
         instance = self.table.get(name)
         assert instance is not None
-        self.loads.signals.on_rest(instance.key, REST_SECONDS, NOW)
+        self.loads.signals.on_back_off(instance.key, REST_SECONDS, NOW)
 
     def fail(self, name: str, result: AttemptResult) -> None:
         """Attempts at a server end so, until it is passed over."""
@@ -50,7 +50,7 @@
         return sorted(instance.name for instance in found)
 
 
-@pytest.mark.parametrize("result", [AttemptResult.LOST, AttemptResult.TURNED_AWAY])
+@pytest.mark.parametrize("result", [AttemptResult.LOST, AttemptResult.REJECTED])
 def test_a_sick_or_busy_server_is_used_rather_than_one_that_rests(result: AttemptResult) -> None:
     """What a gateway judges is a reason to prefer others; a server's own word is none to weigh."""
     servers = Servers()
@@ -59,7 +59,7 @@
     assert servers.chosen() == ["s-2"]
 
 
-@pytest.mark.parametrize("result", [AttemptResult.LOST, AttemptResult.TURNED_AWAY])
+@pytest.mark.parametrize("result", [AttemptResult.LOST, AttemptResult.REJECTED])
 def test_no_server_is_chosen_when_all_rest_however_they_do(result: AttemptResult) -> None:
     """So that the request is refused at once."""
     servers = Servers()
--- a/tests/exchange/reading/test_confirmed_era.py
+++ b/tests/exchange/reading/test_confirmed_era.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.reading.confirmed_era import (
     FIRST_ERA,
     WRITTEN_AGAIN_SECONDS,
@@ -26,12 +26,12 @@
 
 
 def _returned(
-    ended_at: StorePlace | None = StorePlace(1, 20),
+    ended_at: StorePosition | None = StorePosition(1, 20),
 ) -> tuple[ConfirmedEra, Evidence]:
     """A store that was known up to (1, 20), and was found at (2, 15)."""
     evidence = Evidence()
     eras = ConfirmedEra(evidence)
-    eras.on_era(StorePlace(2, 15), ended_at, FOUND_AT)
+    eras.on_era(StorePosition(2, 15), ended_at, FOUND_AT)
     return eras, evidence
 
 
@@ -40,13 +40,13 @@
     """Nothing can be lost; nothing is told either."""
     evidence = Evidence()
     eras = ConfirmedEra(evidence)
-    eras.on_era(StorePlace(era, 15), None, FOUND_AT)
+    eras.on_era(StorePosition(era, 15), None, FOUND_AT)
     assert eras.confirms(FOUND_AT) and not evidence.told
 
 
-@pytest.mark.parametrize("ended_at", [None, StorePlace(1, 20)])
+@pytest.mark.parametrize("ended_at", [None, StorePosition(1, 20)])
 def test_a_return_is_in_doubt_until_the_operator_had_the_time_to_write(
-    ended_at: StorePlace | None,
+    ended_at: StorePosition | None,
 ) -> None:
     """At a process that lived through it, and at one that has just started."""
     eras, evidence = _returned(ended_at)
@@ -58,35 +58,35 @@
 def test_a_configuration_that_is_written_after_the_return_was_found_confirms_it() -> None:
     """The operator writes the newest one whole."""
     eras, evidence = _returned()
-    eras.on_configuration(StorePlace(2, 10), StorePlace(1, 10))
+    eras.on_configuration(StorePosition(2, 10), StorePosition(1, 10))
     assert not eras.confirms(FOUND_AT)
-    eras.on_configuration(StorePlace(2, 16), StorePlace(2, 10))
+    eras.on_configuration(StorePosition(2, 16), StorePosition(2, 10))
     assert eras.confirms(FOUND_AT) and evidence.told == [(2, EraEvidence.WRITTEN)]
 
 
 @pytest.mark.parametrize(
     ("revision", "known", "is_rewritten"),
     [
-        (12, StorePlace(1, 10), True),
-        (10, StorePlace(1, 10), False),
-        (8, StorePlace(1, 10), False),
+        (12, StorePosition(1, 10), True),
+        (10, StorePosition(1, 10), False),
+        (8, StorePosition(1, 10), False),
         (12, None, False),
-        (12, StorePlace(0, 10), False),
+        (12, StorePosition(0, 10), False),
     ],
 )
 def test_a_change_at_a_revision_that_had_none_before_the_return_was_written_after_it(
-    revision: int, known: StorePlace | None, is_rewritten: bool
+    revision: int, known: StorePosition | None, is_rewritten: bool
 ) -> None:
     """The operator may write before anybody looks; an older change may come from the copy."""
     eras, _ = _returned()
-    eras.on_configuration(StorePlace(2, revision), known)
+    eras.on_configuration(StorePosition(2, revision), known)
     assert eras.confirms(FOUND_AT) is is_rewritten
 
 
 def test_a_change_beyond_what_was_known_before_the_return_proves_nothing() -> None:
     """It may be one that was never heard of, and stood in the copy."""
-    eras, _ = _returned(StorePlace(1, 11))
-    eras.on_configuration(StorePlace(2, 12), StorePlace(1, 10))
+    eras, _ = _returned(StorePosition(1, 11))
+    eras.on_configuration(StorePosition(2, 12), StorePosition(1, 10))
     assert not eras.confirms(FOUND_AT)
 
 
@@ -97,7 +97,7 @@
     assert not eras.confirms(FOUND_AT)
     eras.on_told(2)
     assert eras.confirms(FOUND_AT)
-    eras.on_era(StorePlace(3, 15), StorePlace(2, 18), FOUND_AT)
+    eras.on_era(StorePosition(3, 15), StorePosition(2, 18), FOUND_AT)
     assert not eras.confirms(FOUND_AT)
     eras.on_told(4)
     assert not eras.confirms(FOUND_AT), "the store has come back once more since"
@@ -110,7 +110,7 @@
     eras, evidence = _returned()
     for era in (10**9, 3, -7):
         eras.on_told(era)
-    eras.on_era(StorePlace(3, 15), StorePlace(2, 18), FOUND_AT)
+    eras.on_era(StorePosition(3, 15), StorePosition(2, 18), FOUND_AT)
     assert eras.confirms(FOUND_AT) and evidence.told == [(3, EraEvidence.TOLD)]
-    eras.on_era(StorePlace(4, 15), StorePlace(3, 18), FOUND_AT)
+    eras.on_era(StorePosition(4, 15), StorePosition(3, 18), FOUND_AT)
     assert not eras.confirms(FOUND_AT)
--- a/tests/exchange/rollout/test_lease_machine.py
+++ b/tests/exchange/rollout/test_lease_machine.py
@@ -16,7 +16,7 @@
 )
 
 from milletcourse.control.lease import NOT_THERE, LeaseClaim, LeaseSpec, LeaseTracker
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 
 LEASE_SECONDS = 3.3
 MARGIN_SECONDS = 1.0
@@ -41,9 +41,9 @@
         self.held = Held(None, NOT_THERE, 5)
 
     @property
-    def place(self) -> StorePlace:
+    def place(self) -> StorePosition:
         """The lease's last change."""
-        return StorePlace(self.era, self.held.changed_at)
+        return StorePosition(self.era, self.held.changed_at)
 
     def write(self, claim: LeaseClaim) -> bool:
         """Whether the condition held."""
@@ -199,7 +199,7 @@
 class CountsTokens(LeaseTracker):
     """Raises the token that the store shows."""
 
-    def _new_term(self, place: StorePlace) -> LeaseClaim:
+    def _new_term(self, place: StorePosition) -> LeaseClaim:
         claim = super()._new_term(place)
         token = self._spec.fencing_token + 1 if self._spec else 1
         spec = LeaseSpec(claim.spec.holder, token, claim.spec.duration_seconds, 0)
@@ -209,8 +209,8 @@
 class BelievesLateWrites(LeaseTracker):
     """Holds what was written in another era than it was meant for."""
 
-    def on_written(self, claim: LeaseClaim, place: StorePlace, sent_at: float) -> None:
-        expected = StorePlace(place.era, claim.expected.revision)
+    def on_written(self, claim: LeaseClaim, place: StorePosition, sent_at: float) -> None:
+        expected = StorePosition(place.era, claim.expected.revision)
         super().on_written(LeaseClaim(claim.spec, expected), place, sent_at)
 
 
@@ -220,11 +220,11 @@
     def on_era(self, era: int, now: float) -> bool:
         return super().on_era(min(era, 1), now)
 
-    def on_observed(self, spec: LeaseSpec | None, place: StorePlace, now: float) -> None:
-        super().on_observed(spec, StorePlace(1, place.revision), now)
+    def on_observed(self, spec: LeaseSpec | None, place: StorePosition, now: float) -> None:
+        super().on_observed(spec, StorePosition(1, place.revision), now)
 
-    def on_written(self, claim: LeaseClaim, place: StorePlace, sent_at: float) -> None:
-        super().on_written(claim, StorePlace(1, place.revision), sent_at)
+    def on_written(self, claim: LeaseClaim, place: StorePosition, sent_at: float) -> None:
+        super().on_written(claim, StorePosition(1, place.revision), sent_at)
 
 
 MUTANTS = (TakesAtOnce, CountsTokens, BelievesLateWrites, KnowsNoEra)
--- a/tests/exchange/rollout/test_rollout_timing.py
+++ b/tests/exchange/rollout/test_rollout_timing.py
@@ -11,7 +11,7 @@
 from milletcourse.exchange.messages.records import ModelTarget
 from milletcourse.exchange.rollout.rollout_timing import (
     GRACE_SECONDS,
-    NamingRhythm,
+    ReleaseCadence,
     is_worth_loading,
 )
 from milletcourse.exchange.rollout.version_gate import VersionGate
@@ -20,17 +20,17 @@
 LOAD = 0.8
 
 
-def rhythm_of(*named_at: float) -> NamingRhythm:
+def rhythm_of(*named_at: float) -> ReleaseCadence:
     """The rhythm of some moments."""
-    rhythm = NamingRhythm()
+    rhythm = ReleaseCadence()
     for moment in named_at:
-        rhythm.on_named(moment)
+        rhythm.on_release(moment)
     return rhythm
 
 
 def test_nothing_is_expected_before_the_first_version() -> None:
     """Without a version there is nothing to wait for."""
-    assert NamingRhythm().seconds_to_next(5.0, USUAL) == 0.0
+    assert ReleaseCadence().seconds_to_next(5.0, USUAL) == 0.0
 
 
 def test_the_usual_interval_counts_less_with_each_observed_one() -> None:
