--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -15,7 +15,7 @@
 from milletcourse.control.lease import LeaseTracker
 from milletcourse.errors import FailureError
 from milletcourse.exchange.attempts.attempt_plan import AttemptPlan, NextStep
-from milletcourse.exchange.counting.load_window import MIN_PARALLEL, MOST_SHARE, LoadWindow
+from milletcourse.exchange.counting.load_window import MAX_DIVISOR, MIN_PARALLEL_LOADS, LoadWindow
 from milletcourse.exchange.counting.weighted_choice import WeightedChoice
 from milletcourse.exchange.load.load_sums import LoadSums
 from milletcourse.exchange.messages.dialect import HeaderDialect, HeaderNames
@@ -39,15 +39,15 @@
     RouteRecord,
     WeightedService,
 )
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.placement.route_table import RouteTable
 from milletcourse.exchange.reading.freshness import ProofOfFreshness, reading_times
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.rollout.weight_rollout import (
     OrderReply,
-    RollOut,
     ServerReport,
     WeightOrder,
+    WeightRollout,
 )
 from milletcourse.exchange.servers.instance_table import BACK_SECONDS, Instance, InstanceTable
 from milletcourse.exchange.servers.server_health import ServerHealth
@@ -118,7 +118,11 @@
     possible_runs = 0
     for result in results:
         plan.on_send()
-        possible_runs += result in (AttemptResult.LOST, AttemptResult.FAILED, AttemptResult.CUT)
+        possible_runs += result in (
+            AttemptResult.LOST,
+            AttemptResult.FAILED,
+            AttemptResult.TRUNCATED,
+        )
         plan.on_result(result)
         if plan.final_step(result) is NextStep.REFUSE:
             assert possible_runs == 0
@@ -192,9 +196,9 @@
     holder = LeaseTracker("a", duration, margin)
     claim = holder.next_claim(0.0)
     assert claim is not None
-    holder.on_written(claim, StorePlace(UNKNOWN_ERA, 1), 0.0)
+    holder.on_written(claim, StorePosition(UNKNOWN_ERA, 1), 0.0)
     other = LeaseTracker("b", duration, margin)
-    other.on_observed(claim.spec, StorePlace(UNKNOWN_ERA, 1), 0.0)
+    other.on_observed(claim.spec, StorePosition(UNKNOWN_ERA, 1), 0.0)
     assert holder.is_held(duration - margin - 0.01)
     assert not holder.is_held(duration - margin + 0.01)
     assert other.next_claim(duration - 0.01) is None
@@ -362,7 +366,7 @@
         self.random = random.Random(seed)
         self.gate = VersionGate(BOUND)
         self.rate = 0.0
-        self.plan = RollOut(self.gate, lambda _: self.rate, lambda _: False, lambda _: False)
+        self.plan = WeightRollout(self.gate, lambda _: self.rate, lambda _: False, lambda _: False)
         self.instances = [Instance(engine(f"e{number:02}")) for number in range(size)]
         self.versions = {instance.name: 1 for instance in self.instances}
         self.sequences = dict.fromkeys(self.versions, 0)
@@ -383,7 +387,7 @@
         if name in self.loading or self.sequences[name] != order.expected_sequence:
             return OrderReply.BUSY
         if self.versions[name] >= order.version:
-            return OrderReply.HOLDS
+            return OrderReply.ALREADY_LOADED
         self.sequences[name] += 1
         self.loads += 1
         slowed = max((len(self.loading) + 1) / self.unslowed - 1.0, 0.0) * self.LOAD_SECONDS
@@ -391,7 +395,7 @@
             self.loading[other] = (ends_at + slowed, version)
         self.loading[name] = (now + self.LOAD_SECONDS + slowed, order.version)
         self.most_at_once = max(self.most_at_once, len(self.loading))
-        return OrderReply.TAKEN
+        return OrderReply.ACCEPTED
 
     def tick(self, now: float) -> None:
         """A tenth of a second goes by."""
@@ -411,7 +415,7 @@
             else:
                 reply = self.take(order, now)
             self.plan.on_reply(by_name[order.instance], reply, now)
-        for instance in self.plan.due_looks(self.instances, now):
+        for instance in self.plan.due_polls(self.instances, now):
             name = instance.name
             report = ServerReport(
                 {MODEL: self.versions[name]}, name in self.loading, self.sequences[name]
@@ -457,7 +461,11 @@
     window = LoadWindow()
     for spent in seconds:
         window.on_load(spent)
-        assert MIN_PARALLEL <= window.size(servers) <= max(MIN_PARALLEL, servers // MOST_SHARE)
+        assert (
+            MIN_PARALLEL_LOADS
+            <= window.size(servers)
+            <= max(MIN_PARALLEL_LOADS, servers // MAX_DIVISOR)
+        )
 
 
 @given(st.integers(0, 10_000))
@@ -484,14 +492,14 @@
     """The latest message of each sender counts, for a while; older ones don't."""
     sums = LoadSums(1.0)
     key = short_key("e-1")
-    assert sums.on_told("a", 5, [InstanceLoad(key, 4000, 2, 1, 3)], 1.0)
-    assert sums.on_told("b", 1, [InstanceLoad(key, 1000, 1, 0, 1)], 1.2)
-    assert not sums.on_told("a", 4, [], 1.3)
+    assert sums.on_report("a", 5, [InstanceLoad(key, 4000, 2, 1, 3)], 1.0)
+    assert sums.on_report("b", 1, [InstanceLoad(key, 1000, 1, 0, 1)], 1.2)
+    assert not sums.on_report("a", 4, [], 1.3)
     assert sums.load(key, 1.5) == InstanceLoad(key, 5000, 3, 1, 4)
-    assert sums.on_told("a", 6, [], 1.6)
+    assert sums.on_report("a", 6, [], 1.6)
     assert sums.load(key, 1.7) == InstanceLoad(key, 1000, 1, 0, 1)
     assert sums.load(key, 2.5) is None
-    assert sums.on_told("a", 1, [], 9.0)
+    assert sums.on_report("a", 1, [], 9.0)
 
 
 @given(
@@ -520,7 +528,7 @@
         known = latest.get(sender)
         newer = known is None or sequence > known[0]
         told_loads = [InstanceLoad(*load) for load in loads]
-        assert peers.on_told(sender, sequence, told_loads, now) == newer
+        assert peers.on_report(sender, sequence, told_loads, now) == newer
         if newer:
             latest[sender] = (sequence, now, loads)
         for key in (1, 2, 3):
--- a/tests/gateway/fleet/test_words_in_replies.py
+++ b/tests/gateway/fleet/test_words_in_replies.py
@@ -109,6 +109,6 @@
         instance = await _start(harness, ordered)
         assert harness.node is not None
         await harness.until(lambda: ordered.calls.count(REPORT) >= 2)
-        assert harness.node.context.server_signals.known(instance.key) is None
+        assert harness.node.context.server_signals.record(instance.key) is None
 
     run_with_gateway(scenario)
--- a/tests/gateway/requests/test_stream_handover_machine.py
+++ b/tests/gateway/requests/test_stream_handover_machine.py
@@ -10,7 +10,7 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from milletcourse.exchange.messages.messages import AttemptResult, LeaveCause
+from milletcourse.exchange.messages.messages import AbortCause, AttemptResult
 from milletcourse.gateway.requests.stream_handover import StreamHandover
 from milletcourse.gateway.requests.visit import Visit
 
@@ -20,7 +20,7 @@
 
     def __init__(self) -> None:
         self.result: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
-        self.left: LeaveCause | None = None
+        self.left: AbortCause | None = None
         self.loss = None
         self.was_sent = False
         self.ended = False
@@ -29,7 +29,7 @@
         """Until it has a result."""
         return await self.result
 
-    def end(self, cause: LeaveCause) -> None:
+    def end(self, cause: AbortCause) -> None:
         """It is given up; its end shows later, and only what was sent tells why."""
         self.ended = True
         if self.was_sent and self.left is None:
@@ -148,7 +148,7 @@
     @rule()
     def other_ends(self) -> None:
         """It turned the stream away, or its end shows."""
-        self.do(lambda: self.offered.result.set_result(AttemptResult.TURNED_AWAY))
+        self.do(lambda: self.offered.result.set_result(AttemptResult.REJECTED))
 
     @precondition(lambda self: not self.is_over and not self.current.result.done())
     @rule()
@@ -156,7 +156,7 @@
         """It broke off, or was ended: whoever was asked takes over, or the request is over."""
 
         def step() -> None:
-            self.current.result.set_result(AttemptResult.CUT)
+            self.current.result.set_result(AttemptResult.TRUNCATED)
             following = self.handover.take_over()
             if following is None:
                 self.is_over = True
@@ -183,7 +183,7 @@
         """Both are ended."""
 
         def step() -> None:
-            self.handover.end(LeaveCause.CLIENT_GONE)
+            self.handover.end(AbortCause.CLIENT_DISCONNECTED)
             self.is_over = True
             self.handover.close()
 
--- a/tests/gateway/servers/test_resting_servers.py
+++ b/tests/gateway/servers/test_resting_servers.py
@@ -159,7 +159,7 @@
     """A server that has its weights may still be full."""
     instance = Instance(InstanceRecord("s-1", "engine", "127.0.0.1:1"))
     instance.health.on_order(5.0)
-    instance.health.on_result(AttemptResult.TURNED_AWAY, 1.0)
+    instance.health.on_result(AttemptResult.REJECTED, 1.0)
     instance.health.on_ready()
     assert instance.health.is_busy(1.1)
     assert not instance.health.is_busy(1.2)
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -27,10 +27,10 @@
 from milletcourse.exchange.messages.messages import AnswerHead, AttemptResult
 from milletcourse.exchange.messages.records import InstanceRecord, ServiceRecord
 from milletcourse.exchange.messages.signal_headers import (
-    NO_REST,
+    NO_BACK_OFF,
     NOT_LEAVING,
-    LeavingReading,
-    RestReading,
+    BackOffHeader,
+    LeavingHeader,
 )
 from milletcourse.exchange.placement.server_candidates import ServerCandidates
 from milletcourse.exchange.rollout.version_gate import VersionGate
@@ -68,8 +68,8 @@
         closing=False,
         encoded=False,
         event_stream=False,
-        leaving=LeavingReading(True) if leaving else NOT_LEAVING,
-        rest=RestReading(rest) if rest is not None else NO_REST,
+        leaving=LeavingHeader(True) if leaving else NOT_LEAVING,
+        back_off=BackOffHeader(rest) if rest is not None else NO_BACK_OFF,
     )
 
 
@@ -229,7 +229,7 @@
         head = answer_head(instance.name, status, leaves, rest)
         here.watch.on_answer(instance, head, self.clock[0])
         if rest is not None:
-            instance.health.on_result(AttemptResult.TURNED_AWAY, self.clock[0])
+            instance.health.on_result(AttemptResult.REJECTED, self.clock[0])
             heard.rests.append((self.clock[0], rest))
         if leaves and heard.left_at is None:
             heard.left_at = self.clock[0]
@@ -237,7 +237,7 @@
     @rule(sender=st.sampled_from(GATEWAYS))
     def gateways_tell(self, sender: str) -> None:
         """One tells the other what it knows."""
-        reports = self.gateways[sender].signals.to_tell(self.clock[0], 0.0)
+        reports = self.gateways[sender].signals.due_reports(self.clock[0], 0.0)
         for name, gateway in self.gateways.items():
             if name != sender:
                 gateway.watch.on_reports(reports, True)
@@ -315,11 +315,11 @@
         )
 
     def _next_key(self, before: Instance) -> int:
-        known = self.signals.known(before.key)
+        known = self.signals.record(before.key)
         after = Instance(
             InstanceRecord(before.name, "app", "", started_ms=before.record.started_ms + 1000)
         )
-        return after.key if known is not None and known.leaves else 0
+        return after.key if known is not None and known.is_leaving else 0
 
 
 class EndsRestsWithOrdersGateway(ModelGateway):
--- a/tests/gateway/store/test_registration.py
+++ b/tests/gateway/store/test_registration.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.gateway.store.directory import GatewayDirectory, GatewayEntry
 from milletcourse.gateway.store.object_store import (
     ObjectStoreClient,
@@ -36,18 +36,18 @@
         """Make the entry."""
         if self.entry is not None:
             raise StoreError(StoreProblem.CONFLICT, self.entry)
-        self.entry = StoredObject(name, StorePlace(self.era, 1), spec)
+        self.entry = StoredObject(name, StorePosition(self.era, 1), spec)
         return self.entry, 0.0
 
     async def replace(
-        self, kind: str, name: str, spec: bytes, place: StorePlace
+        self, kind: str, name: str, spec: bytes, place: StorePosition
     ) -> tuple[StoredObject, float]:
         """A place of an era that has ended is a conflict, whatever is there."""
         if place.era < self.era:
             raise StoreError(StoreProblem.CONFLICT)
         if self.entry is None:
             raise StoreError(StoreProblem.NOT_FOUND)
-        self.entry = StoredObject(name, StorePlace(self.era, place.revision + 1), spec)
+        self.entry = StoredObject(name, StorePosition(self.era, place.revision + 1), spec)
         return self.entry, 0.0
 
     async def get(self, kind: str, name: str) -> tuple[StoredObject, float]:
@@ -77,8 +77,8 @@
     async def scenario() -> None:
         store = LosingStore()
         wanted = [FIRST_ENTRY]
-        listed: list[StorePlace | None] = [None]
-        written_again: list[StorePlace] = []
+        listed: list[StorePosition | None] = [None]
+        written_again: list[StorePosition] = []
         directory = GatewayDirectory("front-1", EventLog("front-1", None))
         directory.on_list([], 0.0)
         registration = Registration(
@@ -97,7 +97,7 @@
         store.come_back_without()
         if wanted_after is FIRST_ENTRY:
             # Nothing but the list tells of it then.
-            listed[0] = StorePlace(1, 1)
+            listed[0] = StorePosition(1, 1)
         wanted[0] = wanted_after
         registration.on_news()
         await _until(lambda: store.entry is not None and bool(written_again))
--- a/tests/gateway/store/test_restarts_under_one_name.py
+++ b/tests/gateway/store/test_restarts_under_one_name.py
@@ -197,10 +197,10 @@
         assert harness.node is not None
         context = harness.node.context
         peers = harness.node._fleet.peers
-        late = ServerNotice("e-1", "", 0, ServerState.ENDED, FIRST_MS)
+        late = ServerNotice("e-1", "", 0, ServerState.TERMINATED, FIRST_MS)
         peers._take_notice(late, context.now())
         assert [instance.name for instance in context.instances] == ["e-1"]
-        now = ServerNotice("e-1", "", 0, ServerState.ENDED, FIRST_MS + 10)
+        now = ServerNotice("e-1", "", 0, ServerState.TERMINATED, FIRST_MS + 10)
         peers._take_notice(now, context.now())
         assert not list(context.instances)
 
--- a/tests/gateway/store/test_store_eras.py
+++ b/tests/gateway/store/test_store_eras.py
@@ -8,9 +8,9 @@
 import pytest
 
 from gateway_harness import Harness, run_with_gateway
-from milletcourse.exchange.messages.feed_messages import FedKind
+from milletcourse.exchange.messages.feed_messages import FeedKind
 from milletcourse.exchange.messages.messages import AnswerHead, HeaderField
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.reading.pending_contents import FedUpdate
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.gateway.store.change_log import MAX_GAPS
@@ -52,11 +52,11 @@
             else:
                 self.specs[change.stored.name] = change.stored.spec
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
+    def on_era(self, place: StorePosition, before: StorePosition | None) -> None:
         self.eras += before is not None
 
 
-def _stored(name: str, place: StorePlace, spec: bytes = b"{}") -> StoredObject:
+def _stored(name: str, place: StorePosition, spec: bytes = b"{}") -> StoredObject:
     return StoredObject(name, place, spec)
 
 
@@ -64,13 +64,13 @@
     """A reader and a follower that both know a and b at (1, 10)."""
     reader_sink, follower_sink = _Sink(), _Sink()
     reader, follower = KindMirror("kind", reader_sink), KindMirror("kind", follower_sink)
-    place = StorePlace(1, 10)
+    place = StorePosition(1, 10)
     reader.on_list([_stored("a", place), _stored("b", place)], place, 0.0)
     _feed(reader, follower)
     return reader, reader_sink, follower, follower_sink
 
 
-def _feed(reader: KindMirror, follower: KindMirror) -> FedKind | None:
+def _feed(reader: KindMirror, follower: KindMirror) -> FeedKind | None:
     fed = reader.since(follower.place)
     if fed is not None:
         follower.on_fed(FedUpdate(follower.place, fed), 0.0)
@@ -80,16 +80,16 @@
 def test_followers_are_told_what_differs_after_a_return() -> None:
     """At a revision far below theirs; what is the same isn't told again."""
     reader, reader_sink, follower, sink = _pair()
-    back = StorePlace(2, 4)
+    back = StorePosition(2, 4)
     reader.on_list([_stored("a", back), _stored("c", back)], back, 0.0)
     assert reader.has_news(follower.place)
     fed = _feed(reader, follower)
-    assert fed is not None and not fed.whole
+    assert fed is not None and not fed.is_snapshot
     assert {item.name for item in fed.objects} == {"b", "c"}
     assert sink.specs == reader_sink.specs == {"a": b"{}", "c": b"{}"}
     assert follower.place == back and sink.eras == reader_sink.eras == 1
-    change = ObjectChange(_stored("a", StorePlace(2, 5), b"[]"), gone=False)
-    reader.on_changes(ObjectChanges((change,), StorePlace(2, 5)), 0.0)
+    change = ObjectChange(_stored("a", StorePosition(2, 5), b"[]"), gone=False)
+    reader.on_changes(ObjectChanges((change,), StorePosition(2, 5)), 0.0)
     _feed(reader, follower)
     assert sink.specs["a"] == b"[]"
 
@@ -97,12 +97,12 @@
 def test_a_follower_that_knew_more_of_the_former_era_is_told_all() -> None:
     """Its reader can't tell the differences to a state that it never knew."""
     reader, _, follower, sink = _pair()
-    lost = ObjectChange(_stored("lost", StorePlace(1, 11)), gone=False)
-    follower.on_changes(ObjectChanges((lost,), StorePlace(1, 11)), 0.0)
-    back = StorePlace(2, 4)
+    lost = ObjectChange(_stored("lost", StorePosition(1, 11)), gone=False)
+    follower.on_changes(ObjectChanges((lost,), StorePosition(1, 11)), 0.0)
+    back = StorePosition(2, 4)
     reader.on_list([_stored("a", back), _stored("b", back)], back, 0.0)
     fed = _feed(reader, follower)
-    assert fed is not None and fed.whole
+    assert fed is not None and fed.is_snapshot
     assert set(sink.specs) == {"a", "b"}
 
 
@@ -110,12 +110,12 @@
     """Two returns in a row."""
     reader, _, follower, sink = _pair()
     for era in (2, 3):
-        back = StorePlace(era, 4)
+        back = StorePosition(era, 4)
         reader.on_list([_stored("a", back), _stored(f"of-{era}", back)], back, 0.0)
     fed = _feed(reader, follower)
-    assert fed is not None and not fed.whole
+    assert fed is not None and not fed.is_snapshot
     assert set(sink.specs) == {"a", "of-3"} and sink.eras == 1
-    assert follower.place == StorePlace(3, 4)
+    assert follower.place == StorePosition(3, 4)
 
 
 def test_a_follower_that_read_the_new_era_before_its_reader_is_told_all() -> None:
@@ -123,20 +123,20 @@
     reader, _, _, _ = _pair()
     sink = _Sink()
     follower = KindMirror("kind", sink)
-    follower.on_list([_stored("a", StorePlace(2, 4))], StorePlace(2, 4), 0.0)
-    back = StorePlace(2, 6)
+    follower.on_list([_stored("a", StorePosition(2, 4))], StorePosition(2, 4), 0.0)
+    back = StorePosition(2, 6)
     reader.on_list([_stored("a", back), _stored("b", back)], back, 0.0)
     fed = _feed(reader, follower)
-    assert fed is not None and fed.whole
+    assert fed is not None and fed.is_snapshot
     assert set(sink.specs) == {"a", "b"}
 
 
 def test_a_follower_within_a_gap_of_its_reader_is_told_all() -> None:
     """A change and its reverse, which the reader's lists don't show."""
     reader, _, follower, sink = _pair()
-    changed = ObjectChange(_stored("a", StorePlace(1, 11), b"[]"), gone=False)
-    follower.on_changes(ObjectChanges((changed,), StorePlace(1, 11)), 0.0)
-    later = StorePlace(1, 15)
+    changed = ObjectChange(_stored("a", StorePosition(1, 11), b"[]"), gone=False)
+    follower.on_changes(ObjectChanges((changed,), StorePosition(1, 11)), 0.0)
+    later = StorePosition(1, 15)
     reader.on_list([_stored("a", later), _stored("b", later)], later, 0.0)
     _feed(reader, follower)
     assert sink.specs["a"] == b"{}"
@@ -146,21 +146,21 @@
     """Followers that are further behind are told all."""
     reader, _, follower, sink = _pair()
     for revision in range(11, 12 + MAX_GAPS + 1):
-        place = StorePlace(1, revision)
+        place = StorePosition(1, revision)
         reader.on_list([_stored("a", place), _stored(f"b-{revision}", place)], place, 0.0)
     fed = _feed(reader, follower)
-    assert fed is not None and fed.whole
+    assert fed is not None and fed.is_snapshot
     assert set(sink.specs) == {"a", f"b-{revision}"}
 
 
 def test_changes_that_are_known_by_now_bring_nothing_back() -> None:
     """Both a reader and the store tell a gateway that stands in for its reader."""
     _, _, follower, sink = _pair()
-    newer = ObjectChange(_stored("a", StorePlace(1, 12), b"2"), gone=False)
-    follower.on_changes(ObjectChanges((newer,), StorePlace(1, 12)), 0.0)
-    older = ObjectChange(_stored("a", StorePlace(1, 11), b"1"), gone=False)
-    follower.on_changes(ObjectChanges((older,), StorePlace(1, 11)), 0.0)
-    assert sink.specs["a"] == b"2" and follower.place == StorePlace(1, 12)
+    newer = ObjectChange(_stored("a", StorePosition(1, 12), b"2"), gone=False)
+    follower.on_changes(ObjectChanges((newer,), StorePosition(1, 12)), 0.0)
+    older = ObjectChange(_stored("a", StorePosition(1, 11), b"1"), gone=False)
+    follower.on_changes(ObjectChanges((older,), StorePosition(1, 11)), 0.0)
+    assert sink.specs["a"] == b"2" and follower.place == StorePosition(1, 12)
 
 
 def _head(status: int, fields: list[HeaderField]) -> AnswerHead:
@@ -249,7 +249,7 @@
 def test_an_answer_whose_era_is_missing_or_unreadable_gives_nothing(era: bytes | None) -> None:
     """It is told once, and the call counts as failed."""
     client, _, lines = _client((200, CHANGES, b"4"), (200, CHANGES, era), (200, CHANGES, era))
-    place = StorePlace(4, 5)
+    place = StorePosition(4, 5)
     asyncio.run(client.watch("k", place, 0.0))
     assert _problem(client.watch("k", place, 0.0)) is StoreProblem.UNAVAILABLE
     assert _problem(client.watch("k", place, 0.0)) is StoreProblem.UNAVAILABLE
@@ -266,7 +266,7 @@
 def test_a_refusal_tells_the_era_too(status: int) -> None:
     """And ends the former one."""
     client, calls, _ = _client((200, CHANGES, b"1"), (status, b"{}", b"2"))
-    place = StorePlace(1, 5)
+    place = StorePosition(1, 5)
     asyncio.run(client.watch("k", place, 0.0))
     _problem(client.create("k", "a", b"{}"))
     assert client.era == 2
@@ -280,9 +280,9 @@
     """So that the next condition is one of the present history."""
     client, _, _ = _client((409, CONFLICT, b"2"))
     with pytest.raises(StoreError) as caught:
-        asyncio.run(client.replace("k", "a", b"{}", StorePlace(2, 3)))
+        asyncio.run(client.replace("k", "a", b"{}", StorePosition(2, 3)))
     assert caught.value.current is not None
-    assert caught.value.current.place == StorePlace(2, 4)
+    assert caught.value.current.place == StorePosition(2, 4)
 
 
 def test_watches_that_wait_are_given_up_when_another_call_shows_a_new_era() -> None:
@@ -310,7 +310,7 @@
     return {"Service": "app", "Address": "127.0.0.1:9", "Zone": "zone-1", "State": "ready"}
 
 
-def _gateway(name: str, place: StorePlace) -> StoredObject:
+def _gateway(name: str, place: StorePosition) -> StoredObject:
     entry = b'{"address":"127.0.0.1:1","zone":"zone-1","feed":"127.0.0.1:2"}'
     return StoredObject(name, place, entry)
 
@@ -321,13 +321,13 @@
     directory = GatewayDirectory("front-1", EventLog("front-1", None), now=lambda: clock[0])
     told: list[set[str]] = []
     directory.add_listener(lambda others: told.append({other.name for other in others}))
-    place = StorePlace(1, 9)
+    place = StorePosition(1, 9)
     directory.on_list([_gateway(f"front-{number}", place) for number in (1, 2, 3)], 0.0)
     assert told[-1] == {"front-2", "front-3"} and directory.own_place == place
-    directory.on_era(StorePlace(2, 3), place)
+    directory.on_era(StorePosition(2, 3), place)
     directory.on_list([], 0.0)
     assert told[-1] == {"front-2", "front-3"} and directory.own_place is None
-    back = ObjectChange(_gateway("front-2", StorePlace(2, 4)), gone=False)
+    back = ObjectChange(_gateway("front-2", StorePosition(2, 4)), gone=False)
     directory.on_changes((back,), 0.0)
     clock[0] = KEPT_SECONDS
     directory.expire_missing(clock[0])
--- a/tests/gateway/store/test_store_feed.py
+++ b/tests/gateway/store/test_store_feed.py
@@ -9,7 +9,7 @@
 
 from gateway_harness import Harness, run_with_gateway
 from gateway_standin import configuration, serve_whole
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.reading.pending_contents import FedUpdate
 from milletcourse.exchange.reading.store_reading import (
     MAX_STARTING_SECONDS,
@@ -112,8 +112,8 @@
                 self.names.add(change.stored.name)
 
 
-def _at(revision: int, era: int = 1) -> StorePlace:
-    return StorePlace(era, revision)
+def _at(revision: int, era: int = 1) -> StorePosition:
+    return StorePosition(era, revision)
 
 
 def _stored(name: str, revision: int, spec: bytes = b"{}") -> StoredObject:
--- a/tests/gateway/store/test_told_contents_machine.py
+++ b/tests/gateway/store/test_told_contents_machine.py
@@ -12,8 +12,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from milletcourse.exchange.messages.content_patch import ContentPatch, PatchError
-from milletcourse.exchange.messages.feed_messages import FedKind
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.feed_messages import FeedKind
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.reading.pending_contents import FedUpdate, PendingContents
 from milletcourse.gateway.store import change_log, kind_mirror
 from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
@@ -81,10 +81,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.place = StorePlace(1, 1)
+        self.place = StorePosition(1, 1)
         self.objects: dict[str, StoredObject] = {}
-        self.history: dict[StorePlace, dict[str, bytes]] = {self.place: {}}
-        self.events: list[tuple[StorePlace, ObjectChange]] = []
+        self.history: dict[StorePosition, dict[str, bytes]] = {self.place: {}}
+        self.events: list[tuple[StorePosition, ObjectChange]] = []
         self.readers = [KindMirror("kind", IgnoringSink()) for _ in range(READERS)]
         for reader in self.readers:
             reader.on_list([], self.place, 0.0)
@@ -97,7 +97,7 @@
     @rule(name=st.sampled_from(NAMES), draw=st.integers(0, 10**6), is_told=st.booleans())
     def change(self, name: str, draw: int, is_told: bool) -> None:
         """An object gets another content; followers may hear of it at once."""
-        self.place = StorePlace(self.place.era, self.place.revision + 1)
+        self.place = StorePosition(self.place.era, self.place.revision + 1)
         known = self.objects.get(name)
         stored = StoredObject(name, self.place, _content(draw, known.spec if known else None))
         self.objects[name] = stored
@@ -112,7 +112,7 @@
     def remove(self, name: str) -> None:
         """An object goes."""
         if name in self.objects:
-            self.place = StorePlace(self.place.era, self.place.revision + 1)
+            self.place = StorePosition(self.place.era, self.place.revision + 1)
             self._commit(ObjectChange(self.objects.pop(name), gone=True))
 
     @rule(number=st.integers(0, READERS - 1))
@@ -152,7 +152,7 @@
         self.objects = {
             name: StoredObject(name, kept, spec) for name, spec in self.history[kept].items()
         }
-        self.place = StorePlace(self.place.era + 1, kept.revision)
+        self.place = StorePosition(self.place.era + 1, kept.revision)
         self.events.clear()
         self.history[self.place] = dict(self.history[kept])
 
@@ -242,7 +242,7 @@
             return base or b""
 
     def take_latest(
-        pending: PendingContents, fed: FedKind, since: StorePlace | None
+        pending: PendingContents, fed: FeedKind, since: StorePosition | None
     ) -> list[FedUpdate]:
         pending.clear()
         return take(pending, fed, since)
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -340,7 +340,7 @@
         assert harness.node is not None
         context = harness.node.context
         monkeypatch.setattr(context.record, "suspicion", lambda *about: told.append(about))
-        failures = InstanceLoad(short_key("app-1"), 0, 0, bad=3)
+        failures = InstanceLoad(short_key("app-1"), 0, 0, failures=3)
         sick = PeerMessage("other", 1, [failures], scope=LoadScope.ZONE)
         assert context.loads.on_message(sick, context.now())
         await harness.until(lambda: len(told) == 1)
--- a/tests/gateway/test_sleep_machines.py
+++ b/tests/gateway/test_sleep_machines.py
@@ -13,7 +13,7 @@
 
 from milletcourse.control.lease import LeaseSpec, LeaseTracker
 from milletcourse.exchange.limits.shared_bucket import MAX_STEP_SECONDS, SharedBucket
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.reading.freshness import ProofOfFreshness
 
 LEASE_SECONDS = 3.0
@@ -92,12 +92,12 @@
         if machine is None:
             return
         now = machine.now(self.time)
-        place = StorePlace(UNKNOWN_ERA, self.version)
+        place = StorePosition(UNKNOWN_ERA, self.version)
         machine.lease.on_observed(self.stored, place, now)
         claim = machine.lease.next_claim(now)
         if claim is not None and claim.expected == place:
             self.stored, self.version = claim.spec, self.version + 1
-            machine.lease.on_written(claim, StorePlace(UNKNOWN_ERA, self.version), now)
+            machine.lease.on_written(claim, StorePosition(UNKNOWN_ERA, self.version), now)
 
     @rule(index=machines)
     def orders(self, index: int) -> None:
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -25,7 +25,7 @@
     serve_whole,
 )
 from milletcourse.control.lease import LeaseTracker
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.gateway.servers.call_client import Call, CallClient
 
 SOURCES = Path(__file__).parents[2] / "src" / "milletcourse"
@@ -170,7 +170,7 @@
         lease = LeaseTracker("front-1", duration_seconds=3.0)
         claim = lease.next_claim(context.now())
         assert claim is not None
-        lease.on_written(claim, StorePlace(UNKNOWN_ERA, 1), context.now())
+        lease.on_written(claim, StorePosition(UNKNOWN_ERA, 1), context.now())
         calls = CallClient(context.pool)
         order = Call("POST", "/order", b"{}")
 
--- a/tests/load_fleet.py
+++ b/tests/load_fleet.py
@@ -4,7 +4,7 @@
 
 import random
 
-from milletcourse.exchange.counting.keyed_sums import added
+from milletcourse.exchange.counting.keyed_sums import sum_by_key
 from milletcourse.exchange.load.load_exchange import TICK_SECONDS, LoadExchange
 from milletcourse.exchange.messages.peer_messages import InstanceLoad, PeerMessage
 
@@ -82,10 +82,10 @@
     def expected(self, name: str) -> list[InstanceLoad]:
         """The load of all others that live."""
         others = [other for other in self.names if other != name and other not in self.dead]
-        return added(*(self.loads[other] for other in others))
+        return sum_by_key(*(self.loads[other] for other in others))
 
     def known(self, name: str) -> list[InstanceLoad]:
         """What a gateway knows of the others' load."""
         exchange = self.exchanges[name]
         loads = [exchange.others_load(key, self.now) for key in range(1, SERVERS + 1)]
-        return [load for load in loads if not load.is_nothing]
+        return [load for load in loads if not load.is_zero]
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -16,10 +16,10 @@
 from milletcourse.exchange.limits.allowance_lender import Standing
 from milletcourse.exchange.load.server_signals import ServerSignals
 from milletcourse.exchange.messages import feed_messages
-from milletcourse.exchange.messages.feed_messages import FedKind
-from milletcourse.exchange.messages.messages import LeaveCause
+from milletcourse.exchange.messages.feed_messages import FeedKind
+from milletcourse.exchange.messages.messages import AbortCause
 from milletcourse.exchange.messages.records import ExchangeConfiguration
-from milletcourse.exchange.messages.store_position import StorePlace
+from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.reading.configuration_lag import ConfigurationLag, LagVerdict
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.clients.client_connection import ClientConnection
@@ -92,7 +92,7 @@
     def on_silent(handover: StreamHandover) -> None:
         original(handover)
         if handover._successor is not None and handover.current is not None:
-            handover.current.attempt.end(LeaveCause.SILENT)
+            handover.current.attempt.end(AbortCause.SERVER_SILENT)
 
     StreamHandover.on_silent = on_silent  # type: ignore[method-assign]
 
@@ -124,7 +124,7 @@
 
 def ask_resting_servers() -> None:
     """A rest is heard, and set aside."""
-    ServerSignals.on_rest = lambda *_: False  # type: ignore[method-assign]
+    ServerSignals.on_back_off = lambda *_: False  # type: ignore[method-assign]
 
 
 def use_leaving_servers() -> None:
@@ -172,7 +172,7 @@
     """Followers are told each content whole."""
     original = KindMirror.since
 
-    def since(mirror: KindMirror, place: StorePlace | None, _: bool = False) -> FedKind | None:
+    def since(mirror: KindMirror, place: StorePosition | None, _: bool = False) -> FeedKind | None:
         return original(mirror, place)
 
     KindMirror.since = since  # type: ignore[method-assign]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -15,7 +15,7 @@
 from milletcourse.configuration.store import ChangesPage, ChangesRequest, ConfigurationStore
 from milletcourse.control.lease import HOLDER_MARGIN_SECONDS, LeaseTracker
 from milletcourse.errors import FailureError, InvalidObject
-from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePlace
+from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.membership.messages import PlatformStamp
 from milletcourse.settings import load_settings
 
@@ -121,15 +121,15 @@
     first, second = LeaseTracker("first", 6.0), LeaseTracker("second", 6.0)
     claim = first.next_claim(0.0)
     assert claim is not None
-    first.on_written(claim, StorePlace(UNKNOWN_ERA, 1), 0.0)
+    first.on_written(claim, StorePosition(UNKNOWN_ERA, 1), 0.0)
     assert first.is_held(6.0 - HOLDER_MARGIN_SECONDS - 0.01)
     assert not first.is_held(6.0 - HOLDER_MARGIN_SECONDS)
-    second.on_observed(claim.spec, StorePlace(UNKNOWN_ERA, 1), 1.0)
+    second.on_observed(claim.spec, StorePosition(UNKNOWN_ERA, 1), 1.0)
     assert second.next_claim(6.9) is None
     taken = second.next_claim(7.0)
     assert taken is not None
     assert taken.spec.fencing_token == claim.spec.fencing_token + 1
-    first.on_observed(taken.spec, StorePlace(UNKNOWN_ERA, 2), 7.1)
+    first.on_observed(taken.spec, StorePosition(UNKNOWN_ERA, 2), 7.1)
     assert not first.is_held(7.1)
 
 
