--- a/src/milletcourse/exchange/counting/__init__.py
+++ b/src/milletcourse/exchange/counting/__init__.py
@@ -1,4 +1,4 @@
-"""Counts and sums that others keep: decaying, over windows, by key, and weighted choices.
+"""Counters and sums for the other packages: decaying, windowed, keyed; and weighted choice.
 
-Numbers come in and numbers go out. It may import messages.
+Plain arithmetic without input/output. It may import messages.
 """
--- a/src/milletcourse/exchange/counting/keyed_sums.py
+++ b/src/milletcourse/exchange/counting/keyed_sums.py
@@ -1,4 +1,4 @@
-"""Sums of entries by key that can be taken back one by one; no input/output."""
+"""Sums of entries by key from which entries can be subtracted again; no input/output."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class _Summable(Protocol):
-    """What several senders tell of the same subject, so that it adds up."""
+    """An entry that several senders report for the same key, and that can be summed."""
 
     @property
     def key(self) -> int:
-        """Identity of the subject."""
+        """Key of the entry's subject."""
         ...
 
     @property
     def is_zero(self) -> bool:
-        """Whether it may as well be left out."""
+        """Whether the entry is zero and can be dropped."""
         ...
 
     def plus(self: EntryT, other: EntryT, /) -> EntryT:
-        """The sum with another entry of the same subject."""
+        """The sum with another entry of the same key."""
         ...
 
     def minus(self: EntryT, other: EntryT, /) -> EntryT:
@@ -32,23 +32,23 @@
 
 
 class KeyedSums(Generic[EntryT]):
-    """Sums of entries, kept up to date, since they are read more often than they change."""
+    """Sums by key, updated on each change because they are read more often than they change."""
 
     def __init__(self) -> None:
         self._sums: dict[int, EntryT] = {}
 
     def add(self, entries: Iterable[EntryT]) -> None:
-        """Count entries in."""
+        """Adds entries to the sums."""
         for entry in entries:
             known = self._sums.get(entry.key)
             self._sums[entry.key] = entry if known is None else known.plus(entry)
 
     def subtract(self, entries: Iterable[EntryT]) -> None:
-        """Count entries out that were counted in before."""
+        """Subtracts entries that were added before."""
         for entry in entries:
             known = self._sums.get(entry.key)
             if known is None:
-                # Entries of nothing were left of the sum, and it has been dropped.
+                # Only zero entries remained in the sum, so it has been dropped.
                 continue
             left = known.minus(entry)
             if left.is_zero:
@@ -57,20 +57,20 @@
                 self._sums[entry.key] = left
 
     def get(self, key: int) -> EntryT | None:
-        """The sum for one subject, None when nobody told of it."""
+        """The sum for one key, None when there is no entry."""
         return self._sums.get(key)
 
     def all(self) -> list[EntryT]:
-        """The sums of all subjects."""
+        """The sums for all keys."""
         return list(self._sums.values())
 
     def sorted_by_key(self) -> list[EntryT]:
-        """The same in the order of their keys."""
+        """The sums for all keys, sorted by key."""
         return [self._sums[key] for key in sorted(self._sums)]
 
 
 def sum_by_key(*parts: Iterable[EntryT]) -> list[EntryT]:
-    """The sum of several lists, in the order of their keys."""
+    """Sums several lists of entries by key; the result is sorted by key."""
     sums: KeyedSums[EntryT] = KeyedSums()
     for part in parts:
         sums.add(part)
--- a/src/milletcourse/exchange/counting/service_tally.py
+++ b/src/milletcourse/exchange/counting/service_tally.py
@@ -1,6 +1,6 @@
-"""How requests ended and what serving them took, summed for a while; no input/output.
+"""Counts request outcomes and the calls that serving them took, per interval; no input/output.
 
-Lines for single requests are bounded in rate, so they can't be added up; these sums can.
+Log lines for single requests are rate-limited, so they can't be summed; these counts can.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from milletcourse.exchange.messages.records import RouteRecord
 
 TALLY_INTERVAL_SECONDS = 5.0
-"""A tally is logged this often, so that its volume doesn't grow with the traffic."""
+"""Interval at which a tally is logged, so that the log volume doesn't grow with the traffic."""
 
 
 class Outcome(Enum):
@@ -21,20 +21,20 @@
 
     IN_TIME = "in-time"
     LATE = "late"
-    """Served, but its first byte or a pause took longer than the route's target."""
+    """It was served, but its first byte or a pause took longer than the route's target."""
     REFUSED = "refused"
-    """It did not run, and the client was told when to come back."""
+    """It did not run, and the client was told when to retry."""
     FAILED = "failed"
     """It may have run; its answer was lost or late."""
     SERVER_FAILURE = "server-failure"
-    """The server's own failure was passed on."""
+    """A failure that the server reported was relayed."""
     TRUNCATED = "cut"
-    """A stream broke off."""
+    """Its stream was interrupted."""
     CLIENT_DISCONNECTED = "client-left"
 
 
 class TallyReport(msgspec.Struct, frozen=True):
-    """What was counted since the report before.
+    """Counts since the previous report.
 
     Attributes:
         ends: Route -> outcome -> requests.
@@ -43,10 +43,10 @@
         sent_again: Route -> attempts after a request's first.
         connections: New connections to servers.
         store_calls: Kind of objects -> calls to the object store.
-        store_failures: Kind of objects -> calls that gave nothing.
-        limited_sends: Server that names a limit -> requests sent to it meanwhile.
-        leaving_sends: Server that said that it leaves -> requests sent to it after that.
-        resting_sends: Server that asked for rest -> requests sent to it in its rest.
+        store_failures: Kind of objects -> failed calls to the object store.
+        limited_sends: Server that reports a limit -> requests sent to it under the limit.
+        leaving_sends: Server that is shutting down -> requests sent to it after it reported so.
+        resting_sends: Server that requested a back-off -> requests sent to it during the back-off.
     """
 
     ends: dict[str, dict[str, int]]
@@ -61,7 +61,7 @@
 
 
 class ServiceTally:
-    """Counts until a report is taken."""
+    """Counts until the next report."""
 
     def __init__(self) -> None:
         self._reset()
@@ -78,41 +78,41 @@
         self._resting_sends: Counter[str] = Counter()
 
     def on_end(self, route: str, outcome: Outcome) -> None:
-        """A routed request ended."""
+        """Counts the outcome of a routed request."""
         self._ends.setdefault(route, Counter())[outcome.value] += 1
 
     def on_superseded(self, route: str) -> None:
-        """A request was sent to a server whose weights are superseded."""
+        """Counts a request sent to a server whose weights are superseded."""
         self._superseded[route] += 1
 
     def on_retry(self, route: str) -> None:
-        """A request was sent to another server."""
+        """Counts an attempt after a request's first."""
         self._sent_again[route] += 1
 
     def on_limited_send(self, instance: str) -> None:
-        """A request was sent to a server that names a limit."""
+        """Counts a request sent to a server that reports a limit."""
         self._limited_sends[instance] += 1
 
     def on_leaving_send(self, instance: str) -> None:
-        """A request was sent to a server that said that it leaves."""
+        """Counts a request sent to a server that reported its shutdown."""
         self._leaving_sends[instance] += 1
 
     def on_resting_send(self, instance: str) -> None:
-        """A request was sent to a server in the rest that it asked for."""
+        """Counts a request sent to a server during the back-off that it requested."""
         self._resting_sends[instance] += 1
 
     def on_connection(self) -> None:
-        """A connection to a server was opened."""
+        """Counts a new connection to a server."""
         self._connections += 1
 
     def on_store_call(self, kind: str, succeeded: bool) -> None:
-        """A call to the object store ended."""
+        """Counts a completed call to the object store."""
         self._store_calls[kind] += 1
         if not succeeded:
             self._store_failures[kind] += 1
 
     def take(self) -> TallyReport | None:
-        """What was counted since the last time, None when it is nothing."""
+        """Returns the counts since the last call and resets them; None when there are none."""
         counted = (self._ends, self._superseded, self._connections, self._store_calls)
         if not any(counted):
             return None
@@ -132,12 +132,12 @@
 
 
 def served_outcome(route: RouteRecord, first_seconds: float, gap_seconds: float) -> Outcome:
-    """Whether a whole answer came in time.
+    """Whether a complete answer was in time or late.
 
     Args:
         route: The request's route.
         first_seconds: Time from the request to the first byte of its answer.
-        gap_seconds: Longest pause between two pieces of a stream.
+        gap_seconds: Longest pause between two chunks of a stream.
     """
     target = route.target_latency_seconds
     if target and first_seconds > target:
--- a/src/milletcourse/exchange/counting/weighted_choice.py
+++ b/src/milletcourse/exchange/counting/weighted_choice.py
@@ -1,4 +1,4 @@
-"""Smooth weighted round-robin: shares hold exactly over time, without runs of one service."""
+"""Smooth weighted round-robin: exact shares over time, without bursts to one service."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
     def __init__(self, backends: tuple[WeightedService, ...], random_source: random.Random) -> None:
         self.backends = backends
         self._total = sum(backend.weight for backend in backends)
-        # Nodes begin at different points of the cycle, so that small shares come evenly over time.
+        # Gateways start at random points of the cycle, so that requests for services with small
+        # weights are spread evenly over time.
         offset = random_source.random()
         self._credit = [backend.weight * offset for backend in backends]
 
@@ -31,7 +32,7 @@
         self._shares: dict[str, _RouteShares] = {}
 
     def choose(self, route: RouteRecord) -> str:
-        """The service that the next request of the route goes to."""
+        """Returns the service for the next request of the route."""
         if len(route.backends) == 1:
             return route.backends[0].service
         shares = self._shares.get(route.name)
--- a/src/milletcourse/exchange/load/__init__.py
+++ b/src/milletcourse/exchange/load/__init__.py
@@ -1,5 +1,5 @@
-"""Who tells whom the load on servers, what tenants spend, and what servers say of themselves.
+"""Exchange of server load, tenant usage and servers' self-reported state between gateways.
 
-Own figures and messages of others come in; messages and sums of the whole fleet go out. It may
-import evidence, servers, counting and messages.
+Inputs are the gateway's own load and the messages of others, outputs are messages and sums over the
+fleet. It may import evidence, servers, counting and messages.
 """
--- a/src/milletcourse/exchange/load/fleet_load.py
+++ b/src/milletcourse/exchange/load/fleet_load.py
@@ -1,4 +1,4 @@
-"""What a follower was told of the fleet by its reader, ready for look-ups; no input/output."""
+"""The fleet's load as a follower received it from its reader, indexed by key; no input/output."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class FleetLoad(msgspec.Struct, frozen=True):
-    """One message about the fleet.
+    """The fleet's load from one message.
 
     Attributes:
-        sequence: Number of the message.
-        received_at: Monotonic time at which it came.
+        sequence: Sequence number of the message.
+        received_at: Monotonic time of its receipt.
         loads: Key of a server -> its load.
-        failing: Keys of the servers at which some gateway saw a failure lately.
-        uses: Key of a tenant -> what is spent for it.
-        gateways: How many gateways it tells of, the receiver included.
+        failing: Keys of the servers at which some gateway saw a failure recently.
+        uses: Key of a tenant -> its usage.
+        gateways: Number of gateways that it includes, counting the receiver.
     """
 
     sequence: int = 0
@@ -28,7 +28,7 @@
 
 
 def fleet_load(message: PeerMessage, now: float) -> FleetLoad:
-    """The fleet as a message tells it."""
+    """Indexes the load in a message with the scope of the fleet."""
     return FleetLoad(
         sequence=message.sequence,
         received_at=now,
--- a/src/milletcourse/exchange/load/load_exchange.py
+++ b/src/milletcourse/exchange/load/load_exchange.py
@@ -1,10 +1,10 @@
-"""Who tells whom the load on servers, and what tenants spend; events in, messages out, no I/O.
+"""Exchange of server load and tenant usage between gateways; events in, messages out, no I/O.
 
-A gateway tells its load to the reader of the store that it follows. A reader adds up its followers
-and itself, tells that sum to the other zones' readers, and the sum of all zones to its followers:
-each gateway knows the load of the whole fleet within a few ticks, for two small messages a tick,
-and only readers talk across zones. A gateway whose reader is silent tells its load to all others
-in turn. Messages are small and may be lost; nothing depends on them but speed.
+A gateway sends its load to the store reader that it follows. A reader sums its own load and that of
+its followers, sends this zone sum to the other zones' readers, and sends the sum of all zones to
+its followers. Each gateway thus knows the load of the whole fleet within a few ticks, for two small
+messages a tick, and only readers communicate across zones. A gateway whose reader is silent gossips
+its load to all others in turn. Messages are small and may be lost; they only speed things up.
 """
 
 from __future__ import annotations
@@ -30,46 +30,46 @@
 )
 
 TICK_SECONDS = 0.05
-"""A changed load is told this often."""
+"""Interval at which a changed load is sent."""
 DIGEST_SECONDS = 0.1
-"""Sums are told this often."""
+"""Minimum interval between two sums of a reader."""
 DIGEST_SECONDS_PER_SERVER = 0.0003
-"""Sums of many servers are told less often, by this time for each server with load, so that what a
-reader sends doesn't grow with the square of the fleet."""
+"""The interval between sums grows by this time for each server with load, so that a reader's
+traffic doesn't grow with the square of the fleet."""
 MAX_DIGEST_SECONDS = 0.4
-"""But at least this often, so that a lost message doesn't make what is known stale."""
+"""Maximum interval between two sums, so that a lost message doesn't make the known load stale."""
 REFRESH_SECONDS = 0.4
-"""What has not changed is told again, before it counts as stale."""
+"""Interval at which an unchanged load is sent again; less than `STALE_SECONDS`."""
 STALE_SECONDS = 1.0
-"""What isn't told again counts no longer than this."""
+"""A load that isn't sent again expires after this time."""
 GOSSIP_RECEIVERS = 3
-"""Without a reader, load is told to this many others a tick, in turn."""
+"""Without a reader, load is sent to this many other gateways per tick, in turn."""
 STALE_ROUNDS = 2.0
-"""Load told so counts for this many of the rounds in which all others are told."""
+"""A gossiped load expires after this many rounds; in one round all others receive it."""
 READER_RESEND_SECONDS = 1.0
-"""A reader tells requests that are suspected to end servers again after this time, so that a
-gateway that has just started or was cut off knows them about a second later."""
+"""A reader resends crash reports and server signals after this time, so that a gateway that has
+just started or was partitioned receives them about a second later."""
 FOLLOWER_RESEND_SECONDS = 5.0
-"""A follower does so for a reader that has started since; less often, as readers have many
-followers."""
+"""A follower resends them after this time, for a reader that has started since; less often, because
+readers have many followers."""
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A message and the gateways that it is for."""
+    """A message and the names of its receivers."""
 
     message: PeerMessage
     receivers: list[str]
 
 
 class LoadExchange:
-    """One gateway's part in telling loads, and what it knows of the others' load.
+    """One gateway's part in the exchange of loads, and its view of the others' load.
 
-    What was told last is the gateway's own load while it follows a reader, and the fleet's while it
-    is one; a follower's own part is taken out of what its reader tells.
+    The load sent last is the gateway's own while it follows a reader, and the fleet's while it is a
+    reader. A follower subtracts its own part from the fleet's load that its reader sends.
 
     Attributes:
-        evidence: What is known of requests that end servers; it is told with the loads.
-        signals: What servers say of themselves; so is it.
+        evidence: Evidence about requests that crash servers; sent with the loads.
+        signals: Self-reported state of servers; sent with the loads.
     """
 
     def __init__(
@@ -78,12 +78,12 @@
         evidence: CrashEvidence | None = None,
         signals: ServerSignals | None = None,
     ) -> None:
-        """Nothing told and nothing heard yet.
+        """Starts without any load sent or received.
 
         Args:
             own_name: This gateway's name.
-            evidence: What is known of requests that end servers.
-            signals: What servers say of themselves.
+            evidence: Evidence about requests that crash servers.
+            signals: Self-reported state of servers.
         """
         self._own_name = own_name
         self.signals = signals if signals is not None else ServerSignals()
@@ -107,16 +107,16 @@
         self._sequence = 0
 
     def set_gateways(self, others: list[str], readers: list[str]) -> None:
-        """Take the list of the other gateways, and of the zones' readers among them."""
+        """Sets the other gateways, and the zones' readers among them."""
         self._others = others
         self._readers = readers
         round_seconds = len(others) / GOSSIP_RECEIVERS * TICK_SECONDS
         self._gateways.stale_seconds = max(STALE_SECONDS, STALE_ROUNDS * round_seconds)
 
-    # -- what the others have on the servers ----------------------------------------------------
+    # -- load of the other gateways -------------------------------------------------------------
 
     def others_load(self, key: int, now: float) -> InstanceLoad:
-        """What all other gateways have at a server, and how it went lately."""
+        """Load of all other gateways at a server, with their recent results there."""
         nothing = InstanceLoad(key, 0, 0)
         if self._knows_fleet(now):
             total = self._fleet.loads.get(key)
@@ -131,14 +131,14 @@
         return of_gateways.plus(of_zones)
 
     def failing(self, now: float) -> Collection[int]:
-        """Keys of the servers at which any gateway saw a failure lately."""
+        """Keys of the servers at which any gateway saw a failure recently."""
         if self._knows_fleet(now):
             return self._fleet.failing
         loads = (*self._gateways.loads(now), *self._zones.loads(now))
         return {load.key for load in loads if load.failures}
 
     def others_use(self, key: int, now: float) -> float:
-        """What all other gateways spend for a tenant in a second."""
+        """Usage of a tenant by all other gateways, in units per second."""
         if not self._knows_fleet(now):
             return self._gateways.use(key, now) + self._zones.use(key, now)
         total = self._fleet.uses.get(key, TenantUse(key, 0))
@@ -146,7 +146,7 @@
         return total.minus(mine).per_second
 
     def known_gateways(self, now: float) -> int:
-        """How many gateways' load and use is known here, this one included."""
+        """Number of gateways whose load and usage is known here, including this one."""
         if self._knows_fleet(now):
             return self._fleet.gateways
         return 1 + self._gateways.gateways(now) + self._zones.gateways(now)
@@ -154,12 +154,12 @@
     def _knows_fleet(self, now: float) -> bool:
         return bool(self._reader) and now - self._fleet.received_at < STALE_SECONDS
 
-    # -- hearing --------------------------------------------------------------------------------
+    # -- receiving ------------------------------------------------------------------------------
 
     def on_message(self, message: PeerMessage, now: float) -> bool:
-        """Take a message, and pass its notices on; False when a later one was taken.
+        """Applies a message and forwards its notices; returns False for an outdated message.
 
-        What it tells of requests that end servers is taken in any order.
+        Crash reports are applied in any order.
         """
         self.evidence.merge(message.crashes, now, message.scope is not LoadScope.FLEET)
         if self.evidence.has_news:
@@ -171,7 +171,7 @@
         return True
 
     def on_update(self) -> None:
-        """Servers ended under a request, or one said something new of itself: tell it soon."""
+        """Schedules an early message after a server crash or a changed server signal."""
         self._digest_at = float("-inf")
 
     def _take_loads(self, message: PeerMessage, now: float) -> bool:
@@ -203,10 +203,10 @@
         self._fleet = fleet_load(message, now)
         return True
 
-    # -- telling --------------------------------------------------------------------------------
+    # -- sending --------------------------------------------------------------------------------
 
     def notify(self, notice: ServerNotice) -> None:
-        """Tell all gateways a server's state with the next messages; repeated against loss."""
+        """Sends a server's state to all gateways with the next messages, repeated for lost ones."""
         self._notices.add(notice)
         self._digest_at = float("-inf")
 
@@ -217,13 +217,13 @@
         reader: str,
         own_uses: Sequence[TenantUse] = (),
     ) -> list[Outgoing]:
-        """Messages to send now.
+        """Returns the messages to send now.
 
         Args:
             now: Monotonic time.
             own: This gateway's load on each server that has some.
-            reader: The reader of the store that it follows; empty while it reads the store itself.
-            own_uses: What this gateway spends for tenants with a limit.
+            reader: The store reader that it follows; empty while it reads the store itself.
+            own_uses: This gateway's usage of tenants that have a limit.
         """
         uses = list(own_uses)
         if reader != self._reader:
@@ -255,18 +255,20 @@
         return outgoing
 
     def _has_updates(self) -> bool:
-        """Whether something is to be told besides loads and use."""
+        """Whether there are updates to send other than loads and usage."""
         return bool(self._notices) or self.evidence.has_news or self.signals.has_updates
 
     def _digests(
         self, now: float, own: list[InstanceLoad], own_uses: list[TenantUse]
     ) -> list[Outgoing]:
-        """As a reader: the zone's sum to the other readers, the fleet's to the followers."""
+        """A reader's messages: the zone's sum for other readers, the fleet's sum for followers."""
         if now - self._digest_at < self._digest_seconds():
             return []
         self._digest_at = now
         self._followers = {
-            name: heard for name, heard in self._followers.items() if now - heard < STALE_SECONDS
+            name: received_at
+            for name, received_at in self._followers.items()
+            if now - received_at < STALE_SECONDS
         }
         zone = sum_by_key(own, self._gateways.loads(now))
         fleet = sum_by_key(zone, self._zones.loads(now))
@@ -307,7 +309,7 @@
         return [item for item in outgoing if item.receivers]
 
     def _digest_seconds(self) -> float:
-        """Time between two sums."""
+        """Interval between two sums."""
         by_size = len(self._sent_loads) * DIGEST_SECONDS_PER_SERVER
         return min(max(DIGEST_SECONDS, by_size), MAX_DIGEST_SECONDS)
 
@@ -318,7 +320,7 @@
         own_uses: list[TenantUse],
         starts_round: bool,
     ) -> list[Outgoing]:
-        """Tell the next few that haven't heard of the latest change."""
+        """Sends to the next few gateways that haven't received the latest change."""
         if starts_round:
             self._gossip_pending = dict.fromkeys(self._others)
         receivers = list(self._gossip_pending)[:GOSSIP_RECEIVERS]
@@ -347,7 +349,7 @@
         crashes: Sequence[CrashReport] = (),
         signals: Sequence[SignalReport] = (),
     ) -> PeerMessage:
-        # Above that of an earlier process on this machine, whose clock was the same.
+        # Exceeds the sequence numbers of an earlier process on this machine, which used its clock.
         self._sequence = max(self._sequence + 1, int(now * 1000))
         notices = self._notices.due_notices(scope)
         return PeerMessage(
--- a/src/milletcourse/exchange/load/load_sums.py
+++ b/src/milletcourse/exchange/load/load_sums.py
@@ -1,4 +1,4 @@
-"""Sums of the loads that several senders tell, each by its latest message; no input/output."""
+"""Sums of the loads that several senders report, each by its latest message; no input/output."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class LoadSums:
-    """Load of a set of senders on each server, and what they spend for each tenant."""
+    """Total load of a set of senders on each server, and their total usage for each tenant."""
 
     def __init__(self, stale_seconds: float) -> None:
         self.stale_seconds = stale_seconds
-        # In the order of their latest messages, so that stale ones stand in front.
+        # Ordered by their latest messages, so that stale senders come first.
         self._senders: OrderedDict[str, _SenderReport] = OrderedDict()
         self._loads: KeyedSums[InstanceLoad] = KeyedSums()
         self._uses: KeyedSums[TenantUse] = KeyedSums()
@@ -39,15 +39,15 @@
         uses: Sequence[TenantUse] = (),
         gateways: int = 1,
     ) -> bool:
-        """Take what a sender tells; False when something later was taken already.
+        """Replaces a sender's report; returns False when a later one was taken already.
 
         Args:
-            sender: Its name.
-            sequence: Number of its message.
+            sender: Name of the sender.
+            sequence: Sequence number of its message.
             loads: Load on servers.
             now: Monotonic time.
-            uses: What is spent for tenants.
-            gateways: How many gateways it tells of.
+            uses: Usage of tenants.
+            gateways: Number of gateways that the report includes.
         """
         self._forget_stale(now)
         known = self._senders.get(sender)
@@ -61,7 +61,7 @@
         return True
 
     def forget(self, sender: str) -> None:
-        """Take back what a sender told."""
+        """Removes a sender's report from the sums."""
         report = self._senders.pop(sender, None)
         if report is None:
             return
@@ -70,17 +70,17 @@
         self._gateways -= report.gateways
 
     def senders(self, now: float) -> list[str]:
-        """Those that were heard lately."""
+        """Senders whose latest report isn't stale."""
         self._forget_stale(now)
         return list(self._senders)
 
     def gateways(self, now: float) -> int:
-        """How many gateways the senders tell of."""
+        """Number of gateways that the senders' reports include."""
         self._forget_stale(now)
         return self._gateways
 
     def load(self, key: int, now: float) -> InstanceLoad | None:
-        """The sum for one server, None when nobody has load there."""
+        """The sum for one server, None when no sender has load there."""
         self._forget_stale(now)
         return self._loads.get(key)
 
@@ -90,13 +90,13 @@
         return self._loads.all()
 
     def use(self, key: int, now: float) -> int:
-        """What is spent for one tenant in a second."""
+        """Usage of one tenant in units per second."""
         self._forget_stale(now)
         use = self._uses.get(key)
         return use.per_second if use is not None else 0
 
     def uses(self, now: float) -> list[TenantUse]:
-        """What is spent for all tenants."""
+        """Usage of all tenants."""
         self._forget_stale(now)
         return self._uses.all()
 
--- a/src/milletcourse/exchange/load/server_notices.py
+++ b/src/milletcourse/exchange/load/server_notices.py
@@ -1,8 +1,8 @@
-"""Notices of servers' states on their way through the fleet; no input/output.
+"""Propagation of notices of server states through the fleet; no input/output.
 
-A notice is repeated against loss. What begins with a gateway, or with one that follows it, goes to
-the other readers and to its followers; what a reader tells goes to the followers only, so that
-nothing goes in circles.
+A notice is repeated in case messages are lost. A reader sends its own notices and those of its
+followers to the other readers and to its followers; it sends notices from other readers to its
+followers only, which prevents loops.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 )
 
 FORWARDED_TTL_SECONDS = 2.0
-"""A notice that was passed on isn't passed on again this long: its repetitions are over by then."""
+"""A forwarded notice isn't forwarded again for this long; its repetitions end earlier."""
 
 
 class _Notice(msgspec.Struct):
@@ -27,22 +27,22 @@
 
 
 class ServerNotices:
-    """Notices that one gateway still has to tell."""
+    """Notices that one gateway still has to send."""
 
     def __init__(self) -> None:
         self._pending: list[_Notice] = []
         self._forwarded_at: dict[ServerNotice, float] = {}
 
     def __bool__(self) -> bool:
-        """Whether there are some."""
+        """Whether there are notices to send."""
         return bool(self._pending)
 
     def add(self, notice: ServerNotice, to_readers: bool = True) -> None:
-        """Tell a notice; with `to_readers` false to followers only."""
+        """Queues a notice for sending; to followers only unless `to_readers` is set."""
         self._pending.append(_Notice(notice, NOTICE_REPEATS, to_readers))
 
     def forward(self, message: PeerMessage, now: float) -> bool:
-        """Tell others what a message says of servers; True when there is something new in it."""
+        """Queues a message's notices for sending; returns True when some of them are new."""
         if message.scope is LoadScope.FLEET:
             return False
         self._forwarded_at = {
@@ -57,7 +57,7 @@
         return bool(new)
 
     def due_notices(self, scope: LoadScope) -> list[ServerNotice]:
-        """What belongs in a message of a scope."""
+        """Notices to include in a message of a scope."""
         return [
             pending.notice
             for pending in self._pending
@@ -65,7 +65,7 @@
         ]
 
     def on_sent(self) -> None:
-        """They were told once more."""
+        """Records that all pending notices were sent once more."""
         for pending in self._pending:
             pending.repeats_left -= 1
         self._pending = [pending for pending in self._pending if pending.repeats_left > 0]
--- a/src/milletcourse/exchange/load/server_signals.py
+++ b/src/milletcourse/exchange/load/server_signals.py
@@ -1,9 +1,10 @@
-"""What servers say of themselves, from answers here and what other gateways tell; no I/O.
+"""Servers' self-reported state, from answers to this gateway and reports of other gateways; no I/O.
 
-One record by incarnation: how many requests a server takes, that it leaves, that it rests. What a
-server said last of its limit holds. That it leaves holds until another incarnation takes its place.
-Both are facts of the server, and are told with the messages about load, so that a gateway knows
-them of a server that it hasn't used yet. A rest is asked of one gateway, and is kept by it alone.
+Each incarnation has one record of its request limit, its shutdown and its back-off. The limit that
+a server reported last applies. A shutdown applies until another incarnation replaces the server.
+Both concern the server as a whole and are sent with the load reports, so that a gateway knows them
+of a server that it hasn't used yet. A back-off is requested from one gateway and applies only
+there.
 """
 
 from __future__ import annotations
@@ -24,50 +25,50 @@
 from milletcourse.exchange.messages.peer_messages import MAX_AGE_MS, SignalReport
 
 REPORT_REPEATS = 3
-"""What has changed is told so often, against loss."""
+"""Number of times that a changed record is sent, in case messages are lost."""
 MAX_REPORTS_PER_MESSAGE = 64
-"""Reports in one message; a datagram holds some thousand bytes."""
+"""Maximum number of reports in one message; a datagram holds a few thousand bytes."""
 LEAVING_RETENTION_SECONDS = 600.0
-"""That a server leaves which is on no list is remembered this long: a list that is read again after
-an outage of the store may be older than the word."""
+"""The shutdown of an unlisted server is remembered this long: a list that is read after a store
+outage may be older than the shutdown report."""
 PROBE_INTERVAL_SECONDS = 20.0
-"""A server that takes nothing is still asked once in this time: only its answers tell that it takes
-requests again."""
+"""A server with a limit of zero still gets one request per this interval: only its answers show
+that it accepts requests again."""
 MAX_RECORDS = 4096
 
 
 class ServerSignals:
-    """What all servers say of themselves, or said lately."""
+    """Current and recent self-reported state of all servers."""
 
     def __init__(self) -> None:
         self._records: dict[int, SignalRecord] = {}
         self._signalling: set[int] = set()
-        """Servers that leave, or had a rest a moment ago; each request looks at them."""
+        """Servers that are shutting down or backed off recently; checked for each request."""
         self._has_updates = False
 
     # -- limits ---------------------------------------------------------------------------------
 
     def per_second(self, key: int) -> float | None:
-        """Limit of a server, None when it names none.
+        """Limit of a server in requests per second, None for no limit.
 
         Args:
-            key: Identity of the incarnation in messages.
+            key: Key of the incarnation.
         """
         record = self._records.get(key)
         return record.per_second if record is not None else None
 
     def send_rate(self, key: int) -> float | None:
-        """Requests a second that may be sent to a server; None for as many as there are."""
+        """Requests per second that may be sent to a server; None for no limit."""
         per_second = self.per_second(key)
         return None if per_second is None else max(per_second, 1.0 / PROBE_INTERVAL_SECONDS)
 
     def limit_age(self, key: int, now: float) -> float:
-        """Seconds since the server spoke of a limit; infinite when it didn't."""
+        """Seconds since the server last reported a limit; infinite when it didn't."""
         record = self._records.get(key)
         return now - record.limit_seen_at if record is not None else float("inf")
 
     def limited(self) -> dict[int, SignalRecord]:
-        """All servers that name a limit."""
+        """Records of all servers that have a limit, by key."""
         return {
             key: record for key, record in self._records.items() if record.per_second is not None
         }
@@ -75,11 +76,11 @@
     def on_answer(
         self, key: int, per_second: float | None, sent_at: float, now: float
     ) -> LimitChange | None:
-        """An answer said what the server takes; what that changes.
+        """Applies the limit that an answer reports; returns the change, None for none.
 
         Args:
-            key: Identity of the incarnation.
-            per_second: Its limit, None when the answer named none.
+            key: Key of the incarnation.
+            per_second: Its limit, None when the answer reports none.
             sent_at: Monotonic time of the request's send.
             now: Monotonic time.
         """
@@ -88,7 +89,7 @@
         if per_second is None and not has_reported:
             return None
         if per_second is None and record is not None and sent_at <= record.limit_seen_at:
-            # The answer may have been on its way before the limit was named.
+            # The server may have sent this answer before it first reported the limit.
             return None
         return self._take_limit(key, per_second, now, relay=True)
 
@@ -104,18 +105,18 @@
             return LimitChange.ADDED
         return LimitChange.REMOVED if per_second is None else LimitChange.CHANGED
 
-    # -- leaving and rest -----------------------------------------------------------------------
+    # -- shutdown and back-off ------------------------------------------------------------------
 
     def on_leaving(
         self, key: int, seen_at: float, relay: bool = True, source: str = SOURCE_ANSWER
     ) -> bool:
-        """An answer said that its server leaves; True when this is news.
+        """Records that an answer reported its server's shutdown; returns True when this is new.
 
         Args:
-            key: Identity of the incarnation.
-            said_at: Monotonic time of the answer.
-            passes_on: Others depend on this gateway to hear of it.
-            told_by: Whose answer it was: one here, or at another gateway.
+            key: Key of the incarnation.
+            seen_at: Monotonic time of the answer.
+            relay: Other gateways depend on this one to forward it.
+            source: Whether this gateway or another one received the answer.
         """
         record = self._record_for(key)
         is_new = record.leaving_at == float("inf")
@@ -127,7 +128,7 @@
         return is_new
 
     def on_entry_leaving(self, key: int, now: float) -> bool:
-        """A server's entry says that it leaves; True when it didn't before."""
+        """Records that a server's entry reports its shutdown; returns True when this is new."""
         record = self._record_for(key)
         is_new = record.entry_leaving_at == float("inf")
         self._signalling.add(key)
@@ -136,11 +137,11 @@
         return is_new
 
     def on_back_off(self, key: int, seconds: float, now: float) -> bool:
-        """A server wants nothing from this gateway for a while; True when it had no rest before.
+        """Records a requested back-off; returns True when the server wasn't backing off before.
 
         Args:
-            key: Identity of the incarnation.
-            seconds: For how long.
+            key: Key of the incarnation.
+            seconds: Duration of the back-off.
             now: Monotonic time.
         """
         record = self._record_for(key)
@@ -152,7 +153,7 @@
         return is_new
 
     def back_off(self, key: int, now: float) -> CurrentBackOff | None:
-        """The rest that a server has, None when it has none, or leaves."""
+        """Current back-off of a server, None when it has none or is shutting down."""
         record = self._records.get(key)
         if record is None or record.signal(now) is not Signal.BACKING_OFF:
             return None
@@ -161,16 +162,16 @@
         )
 
     def record(self, key: int) -> SignalRecord | None:
-        """All that a server said, None when it said nothing."""
+        """Record of a server, None when it has reported nothing."""
         return self._records.get(key)
 
     def state(self, key: int, instance: str, service: str, now: float) -> ServerSignalState | None:
-        """What a server said that keeps requests from it, None for nothing.
+        """The state that keeps requests away from a server, None for none.
 
         Args:
-            key: Identity of the incarnation.
-            instance: Its name.
-            service: Its service.
+            key: Key of the incarnation.
+            instance: Name of the server.
+            service: Name of its service.
             now: Monotonic time.
         """
         record = self._records.get(key)
@@ -190,14 +191,14 @@
 
     @property
     def has_signals(self) -> bool:
-        """Whether some server may have said that it leaves or rests; mostly none has."""
+        """Whether some server may be shutting down or backing off; usually none is."""
         return bool(self._signalling)
 
     def active_signals(self, keys: Iterable[int], now: float) -> Mapping[int, Signal]:
-        """Which of some servers said that they leave, or have their rest; mostly none.
+        """Signals of those of some servers that are shutting down or backing off; usually none.
 
         Args:
-            keys: Identities of the incarnations.
+            keys: Keys of the incarnations.
             now: Monotonic time.
         """
         if not self._signalling:
@@ -206,20 +207,20 @@
         return {key: signal for key, signal in found.items() if signal is not None}
 
     def on_kept_away(self, key: int) -> None:
-        """A request went elsewhere, or nowhere, for what a server said."""
+        """Counts a request that was sent elsewhere, or refused, because of a server's signal."""
         record = self._records.get(key)
         if record is not None:
             record.kept_away += 1
 
     def signal(self, key: int, now: float) -> Signal | None:
-        """What a server said that keeps requests from it now, None for nothing."""
+        """The signal that keeps requests away from a server now, None for none."""
         record = self._records.get(key)
         return record.signal(now) if record is not None else None
 
     # -- incarnations ---------------------------------------------------------------------------
 
     def on_renamed(self, before: int, key: int) -> None:
-        """A server's start is known now, and with it another identity of the same incarnation."""
+        """Moves a record when the server's start becomes known, which changes its key."""
         record = self._records.pop(before, None)
         if record is not None:
             self._records.setdefault(key, record).merge_from(record)
@@ -228,11 +229,11 @@
             self._signalling.add(key)
 
     def expire(self, now: float, servers: Callable[[], Collection[int]]) -> None:
-        """Forget what ended long ago, and what servers said that are gone.
+        """Removes outdated records, and records of departed servers.
 
         Args:
             now: Monotonic time.
-            servers: Tells the identities of the incarnations that there are.
+            servers: Returns the keys of the present incarnations.
         """
         self._signalling = {key for key in self._signalling if self.signal(key, now) is not None}
         old = [key for key, record in self._records.items() if record.is_expired(now)]
@@ -250,22 +251,22 @@
             return record.per_second is None and not record.is_leaving
         return not record.is_leaving or now - record.first_leaving_at > LEAVING_RETENTION_SECONDS
 
-    # -- what gateways tell each other ----------------------------------------------------------
+    # -- reports between gateways ---------------------------------------------------------------
 
     @property
     def has_updates(self) -> bool:
-        """Whether something is to be told that others may not know."""
+        """Whether there are changes still to be sent to other gateways."""
         return self._has_updates
 
     def merge(
         self, reports: Iterable[SignalReport], now: float, relay: bool
     ) -> list[ChangedSignal]:
-        """Take what another gateway tells; what that changes.
+        """Merges the reports of another gateway; returns the resulting changes.
 
         Args:
-            reports: What it heard of servers.
+            reports: Reports on servers.
             now: Monotonic time.
-            passes_on: Others depend on this gateway to hear of it.
+            relay: Other gateways depend on this one to forward them.
         """
         changes = []
         for report in reports:
@@ -279,7 +280,7 @@
 
     def _merge_limit(self, report: SignalReport, now: float, relay: bool) -> LimitChange | None:
         if report.per_second is None and report.limit_age_ms >= MAX_AGE_MS:
-            # It never spoke of a limit.
+            # The server never reported a limit.
             return None
         seen_at = now - report.limit_age_ms / 1000.0
         record = self._records.get(report.key)
@@ -287,13 +288,13 @@
             return None
         return self._take_limit(report.key, report.per_second, seen_at, relay)
 
-    def due_reports(self, now: float, retell_seconds: float) -> list[SignalReport]:
-        """What belongs in a message now: changes, and from time to time what holds.
+    def due_reports(self, now: float, resend_seconds: float) -> list[SignalReport]:
+        """Returns the reports for a message now: changes, and periodically all current records.
 
         Args:
             now: Monotonic time.
-            retell_seconds: What holds is told again after this time, to those who missed it or
-                have started since.
+            resend_seconds: Interval at which current records are sent again, for gateways that
+                missed them or have started since.
         """
         if not self._records:
             return []
@@ -301,9 +302,9 @@
             (key, record)
             for key, record in self._records.items()
             if record.reports_left > 0
-            or (now - record.reported_at >= retell_seconds and record.is_reported(now))
+            or (now - record.reported_at >= resend_seconds and record.is_reported(now))
         ]
-        due.sort(key=lambda item: (-item[1].reports_left, item[1].reported_at, item[0]))
+        due.sort(key=lambda entry: (-entry[1].reports_left, entry[1].reported_at, entry[0]))
         for _, record in due[:MAX_REPORTS_PER_MESSAGE]:
             record.reports_left = max(record.reports_left - 1, 0)
             record.reported_at = now
@@ -311,17 +312,19 @@
         return [record.report(key, now) for key, record in due[:MAX_REPORTS_PER_MESSAGE]]
 
     def resend_all(self) -> None:
-        """Somebody has come who may know nothing."""
+        """Schedules all records for sending, for a new follower that may know none of them."""
         for record in self._records.values():
             record.reported_at = float("-inf")
 
     def latest_reports(self, now: float) -> list[SignalReport]:
-        """What was said last, of all servers."""
-        told = [(key, record) for key, record in self._records.items() if record.is_reported(now)]
-        told.sort(key=lambda item: (-item[1].last_signal_at, item[0]))
-        return [record.report(key, now) for key, record in told[:MAX_REPORTS_PER_MESSAGE]]
+        """Reports of the latest signals of all servers."""
+        reported = [
+            (key, record) for key, record in self._records.items() if record.is_reported(now)
+        ]
+        reported.sort(key=lambda entry: (-entry[1].last_signal_at, entry[0]))
+        return [record.report(key, now) for key, record in reported[:MAX_REPORTS_PER_MESSAGE]]
 
-    # -- inside ---------------------------------------------------------------------------------
+    # -- internals ------------------------------------------------------------------------------
 
     def _record_for(self, key: int) -> SignalRecord:
         record = self._records.get(key)
--- a/src/milletcourse/exchange/load/signal_record.py
+++ b/src/milletcourse/exchange/load/signal_record.py
@@ -1,4 +1,4 @@
-"""What one server said of itself, and what follows from it; no input/output."""
+"""Record of one server's self-reported state; no input/output."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 from milletcourse.exchange.messages.peer_messages import MAX_AGE_MS, SignalReport
 
 TOMBSTONE_SECONDS = 60.0
-"""That a limit has ended, or what a server that is gone said, is remembered this long, so that
-older reports don't bring it back."""
+"""A removed limit, or the state of a departed server, is remembered this long, so that older
+reports don't restore it."""
 LEAVING_REPORT_SECONDS = 120.0
-"""That a server leaves is told this long: few take longer to end."""
+"""A server's shutdown is reported for this long; few servers take longer to exit."""
 SOURCE_ANSWER = "answer"
 SOURCE_PEER = "peer"
 SOURCE_ENTRY = "entry"
-"""Who told that a server leaves: its answer here, another gateway, the discovery."""
+"""Source of the information that a server is shutting down: an answer to this gateway, a report of
+another gateway, or the server's discovery entry."""
 
 
 class Signal(Enum):
-    """Why a server's own word keeps requests from it."""
+    """Why a server's self-reported state keeps requests away from it."""
 
     LEAVING = "leaving"
-    """It is about to end."""
+    """It is shutting down."""
     BACKING_OFF = "resting"
-    """It turned a request away, and wants nothing from this gateway for a while."""
+    """It rejected a request and wants no requests from this gateway for some time."""
 
 
 class LimitChange(Enum):
-    """What an answer of a server, or another gateway's report of one, changes here."""
+    """How an answer of a server, or another gateway's report, changes the known limit."""
 
     ADDED = "named"
     CHANGED = "changed"
@@ -37,13 +38,13 @@
 
 
 class ChangedSignal(msgspec.Struct, frozen=True):
-    """News of a server that another gateway told.
+    """A change of a server's state that another gateway reported.
 
     Attributes:
-        key: Identity of the server's incarnation.
-        change: What is new of its limit, None for nothing.
-        per_second: Its limit, None for none.
-        is_leaving: That it leaves is new.
+        key: Key of the server's incarnation.
+        change: Change of its limit, None for no change.
+        per_second: Its limit in requests per second, None for none.
+        is_leaving: Its shutdown is newly reported.
     """
 
     key: int
@@ -53,11 +54,11 @@
 
 
 class CurrentBackOff(msgspec.Struct, frozen=True):
-    """The rest that a server has now.
+    """The current back-off of a server.
 
     Attributes:
-        remaining_seconds: Seconds until its end.
-        total_seconds: How long it takes as a whole.
+        remaining_seconds: Time until its end.
+        total_seconds: Its total duration.
     """
 
     remaining_seconds: float
@@ -65,19 +66,21 @@
 
 
 class SignalRecord(msgspec.Struct):
-    """What one server said last.
+    """Latest self-reported state of one server.
 
     Attributes:
-        per_second: Its limit, None for none, or none any more.
-        limit_seen_at: Monotonic time of the answer that said so; minus infinity when none did.
-        leaving_at: When an answer first said that it leaves; infinite when none did.
-        entry_leaving_at: When its entry first did so; infinite when it didn't.
-        leaving_source: Who told that first: `answer`, `peer` or `entry`; empty when nobody did.
-        kept_away: Requests for which it was no candidate for its leaving or its rest.
-        back_off_since: When it asked this gateway for the rest that it has now, or had last.
-        back_off_until: End of that rest.
-        reports_left: How often it is still to be told.
-        reported_at: When it was told last.
+        per_second: Its limit in requests per second, None for no limit or a removed one.
+        limit_seen_at: Monotonic time of the answer that reported the limit or its removal; minus
+            infinity when none did.
+        leaving_at: When an answer first reported its shutdown; infinite when none did.
+        entry_leaving_at: When its discovery entry first reported its shutdown; infinite when it
+            didn't.
+        leaving_source: First source of its shutdown: `answer`, `peer` or `entry`; empty for none.
+        kept_away: Requests for which its shutdown or back-off excluded it as a candidate.
+        back_off_since: When it requested its current or last back-off from this gateway.
+        back_off_until: End of that back-off.
+        reports_left: Number of repetitions of a changed report that are still to be sent.
+        reported_at: When it was last reported to other gateways.
     """
 
     per_second: float | None = None
@@ -93,27 +96,27 @@
 
     @property
     def first_leaving_at(self) -> float:
-        """When it first said in any way that it leaves; infinite when it didn't."""
+        """When its shutdown was first reported by any source; infinite when it wasn't."""
         return min(self.leaving_at, self.entry_leaving_at)
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it said in any way that it leaves."""
+        """Whether any source reported its shutdown."""
         return self.first_leaving_at < float("inf")
 
     @property
     def last_signal_at(self) -> float:
-        """When it spoke of a limit last, or of leaving first; minus infinity for neither."""
+        """Time of its last limit report or first shutdown report; minus infinity for neither."""
         return max(self.limit_seen_at, self.first_leaving_at if self.is_leaving else float("-inf"))
 
     def signal(self, now: float) -> Signal | None:
-        """What keeps requests from it now, None for nothing."""
+        """The signal that keeps requests away from it now, None for none."""
         if self.is_leaving:
             return Signal.LEAVING
         return Signal.BACKING_OFF if now < self.back_off_until else None
 
     def merge_from(self, other: SignalRecord) -> None:
-        """What was known of the same server under another identity holds as well."""
+        """Merges the record of the same server under another key into this one."""
         self.leaving_at = min(self.leaving_at, other.leaving_at)
         self.entry_leaving_at = min(self.entry_leaving_at, other.entry_leaving_at)
         self.leaving_source = self.leaving_source or other.leaving_source
@@ -121,29 +124,29 @@
             self.back_off_since, self.back_off_until = other.back_off_since, other.back_off_until
 
     def report(self, key: int, now: float) -> SignalReport:
-        """What other gateways are told of it."""
+        """The report on this server for other gateways."""
         leaving_ms = _age_ms(self.leaving_at, now) if self.leaving_at < float("inf") else None
         return SignalReport(key, self.per_second, _age_ms(self.limit_seen_at, now), leaving_ms)
 
     def is_reported(self, now: float) -> bool:
-        """Whether others are to hear of it: not of a rest, which is asked of one gateway alone."""
+        """Whether it is reported to others; a back-off isn't, as it concerns one gateway only."""
         is_leaving_told = 0.0 <= now - self.leaving_at < LEAVING_REPORT_SECONDS
         return self.limit_seen_at > float("-inf") or is_leaving_told
 
     def is_expired(self, now: float) -> bool:
-        """Whether nothing of it has held for a while."""
+        """Whether its latest signal and back-off ended longer ago than `TOMBSTONE_SECONDS`."""
         return now - max(self.last_signal_at, self.back_off_until) > TOMBSTONE_SECONDS
 
 
 class ServerLimitState(msgspec.Struct, frozen=True):
-    """What a gateway knows of a server's limit, for operators.
+    """A gateway's view of a server's limit, for operators.
 
     Attributes:
-        instance: The server.
-        per_second: Requests a second that it takes from all gateways together.
-        said: Seconds since an answer, here or at another gateway, said so last.
-        lender: Gateway that is asked for each request to it.
-        standing: As what that one lends: home, deputy or alone.
+        instance: Name of the server.
+        per_second: Requests per second that it accepts from all gateways together.
+        said: Seconds since an answer, here or at another gateway, last reported the limit.
+        lender: Gateway that grants the permits for the server.
+        standing: Role in which that gateway grants them: home, deputy or alone.
     """
 
     instance: str
@@ -154,16 +157,16 @@
 
 
 class ServerSignalState(msgspec.Struct, frozen=True):
-    """What a server said that keeps requests from it, for operators.
+    """A server's self-reported state that keeps requests away from it, for operators.
 
     Attributes:
-        instance: The server.
-        service: Its service.
-        signal: That it leaves, or rests.
-        told_by: Who told it: `answer` of the server here, `peer` or `entry`.
-        said: Seconds since it was first said.
-        left: Seconds until it is over; None for a server that leaves.
-        kept_away: Requests of this gateway that went elsewhere, or nowhere, for it.
+        instance: Name of the server.
+        service: Name of its service.
+        signal: The server is shutting down (`leaving`) or backing off (`resting`).
+        told_by: Source: `answer` of the server to this gateway, `peer` or `entry`.
+        said: Seconds since it was first reported.
+        left: Seconds until it ends; None for a server that is shutting down.
+        kept_away: Requests of this gateway that were sent elsewhere, or refused, because of it.
     """
 
     instance: str
--- a/src/milletcourse/exchange/messages/__init__.py
+++ b/src/milletcourse/exchange/messages/__init__.py
@@ -1,4 +1,5 @@
-"""What is said: requests, answers, records of the configuration, and messages between gateways.
+"""Message types: requests, answers, configuration records and messages between gateways.
 
-Typed messages and their formats; no state and no decision. It imports nothing of the other rooms.
+Holds typed messages and their encodings, no state and no decisions. It imports no other package of
+the exchange.
 """
--- a/src/milletcourse/exchange/messages/compression.py
+++ b/src/milletcourse/exchange/messages/compression.py
@@ -1,4 +1,4 @@
-"""Compressed bytes between gateways."""
+"""Compression of bytes sent between gateways."""
 
 from __future__ import annotations
 
@@ -8,17 +8,21 @@
 
 
 def deflate(data: bytes) -> bytes:
-    """Bytes, compressed."""
+    """Compresses bytes with zlib."""
     return zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def inflate(data: bytes, max_bytes: int) -> bytes:
-    """Compressed bytes as they were; raises `ValueError` for what is none, or is larger."""
+    """Decompresses zlib data.
+
+    Raises:
+        ValueError: The data is not zlib data, is truncated, or exceeds `max_bytes`.
+    """
     decompressor = zlib.decompressobj()
     try:
         inflated = decompressor.decompress(data, max_bytes)
     except zlib.error as error:
-        raise ValueError("not compressed") from error
+        raise ValueError("data is not zlib-compressed") from error
     if not decompressor.eof:
-        raise ValueError("too large, or broken off")
+        raise ValueError("decompressed data is too large, or the input is truncated")
     return inflated
--- a/src/milletcourse/exchange/messages/configuration_effect.py
+++ b/src/milletcourse/exchange/messages/configuration_effect.py
@@ -1,4 +1,4 @@
-"""What a configuration changes for requests, as gateways tell each other."""
+"""Summary of what a configuration version changes for requests, as sent between gateways."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class ConfigurationEffect(msgspec.Struct, array_like=True, frozen=True):
-    """Sums of four bytes each of what is concerned, one behind the other.
+    """Affected routes and keys, each field as concatenated four-byte hashes.
 
     Attributes:
-        routes: Routes that are new, gone or other than before, by host and path prefix.
-        revoked: Keys that are taken away.
-        keys: Keys that are new, or whose tenant is treated otherwise.
+        routes: Added, removed or changed routes, by host and path prefix.
+        revoked: Revoked keys.
+        keys: New keys, and keys whose tenant has changed settings.
     """
 
     routes: bytes
--- a/src/milletcourse/exchange/messages/content_patch.py
+++ b/src/milletcourse/exchange/messages/content_patch.py
@@ -1,9 +1,9 @@
-"""A changed content as the difference to the one before; no input/output.
+"""Patches that turn the previous content of an object into its next content; no input/output.
 
-A content is cut behind each end of an object in a list of objects, so that a change of one entry is
-a change of one piece, wherever the entry stands. A patch names pieces of the content before and
-brings the bytes that are new; both contents are told by their sums, so whoever has the one before
-can tell whether a patch fits, and whether what comes out is what was meant.
+A content is split into chunks after the end of each object in a list of objects, so that a change
+of one entry changes one chunk, wherever the entry stands. A patch refers to chunks of the previous
+content (the base) and carries the new bytes. Base and result are identified by checksums, so the
+receiver can verify that a patch applies to its content and that the result is the intended one.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 CHUNK_END = b"},"
 MAX_CONTENT_BYTES = 16 * 1024 * 1024
 NO_CONTENT_CHECKSUM = 0
-"""Stands for no content before: the patch brings all of it."""
+"""Checksum that stands for an absent base: the patch carries the whole content."""
 
 
 class Run(msgspec.Struct, array_like=True, frozen=True):
-    """Pieces of the content before, one behind the other."""
+    """Consecutive chunks of the base."""
 
     first: int
     count: int
 
 
 _Step = Run | bytes
-"""What a content is put together from: known pieces, or new bytes."""
+"""One part of a result: chunks of the base, or new bytes."""
 
 
 class ContentPatch(msgspec.Struct, array_like=True, frozen=True):
-    """How to make a content from the one before.
+    """Steps that build a content from its base.
 
     Attributes:
-        base: Sum of the content before, `NO_CONTENT_CHECKSUM` for none.
-        result: Sum of the content.
-        size: Bytes of the content.
-        steps: Compressed steps; empty when they are to be asked for.
+        base: Checksum of the base, `NO_CONTENT_CHECKSUM` for none.
+        result: Checksum of the result.
+        size: Size of the result in bytes.
+        steps: Compressed steps; empty when the receiver has to request them.
     """
 
     base: int
@@ -50,29 +50,29 @@
 
     @property
     def is_announcement(self) -> bool:
-        """Whether it tells of a content without bringing it."""
+        """Whether it announces a content without carrying the steps."""
         return not self.steps
 
     def announcement(self) -> ContentPatch:
-        """The same without what it brings."""
+        """The same patch without its steps."""
         return ContentPatch(self.base, self.result, self.size, b"")
 
 
 class PatchProblem(Enum):
-    """Why a patch gives no content."""
+    """Why a patch can't be applied."""
 
     BASE_MISMATCH = "other-base"
-    """It is for another content than the one at hand."""
+    """The patch is for another base than the given one."""
     MALFORMED = "malformed"
     RESULT_MISMATCH = "other-result"
-    """What comes out isn't what was announced."""
+    """The result has another size or checksum than announced."""
 
 
 class PatchError(Exception):
-    """A patch that gives no content.
+    """A patch can't be applied.
 
     Attributes:
-        problem: What is wrong.
+        problem: The reason.
     """
 
     def __init__(self, problem: PatchProblem) -> None:
@@ -81,31 +81,32 @@
 
 
 def content_checksum(content: bytes) -> int:
-    """What tells a content; never `NO_CONTENT_CHECKSUM`."""
+    """Checksum of a content; never `NO_CONTENT_CHECKSUM`."""
     return xxhash.xxh3_64_intdigest(content) or 1
 
 
 def full_patch(content: bytes) -> ContentPatch:
-    """A patch that brings all of a content."""
+    """A patch without a base that carries the whole content."""
     return _patch(NO_CONTENT_CHECKSUM, content, [content])
 
 
 def make_patch(base: bytes, content: bytes) -> ContentPatch:
-    """A patch from one content to the next."""
+    """A patch from `base` to `content`."""
     return _patch(
         content_checksum(base), content, list(_steps(_split_chunks(base), _split_chunks(content)))
     )
 
 
 def apply_patch(patch: ContentPatch, base: bytes | None) -> bytes:
-    """The content that a patch makes.
+    """Applies a patch and returns the resulting content.
 
     Args:
         patch: The patch.
-        base: The content before, None for none.
+        base: The previous content, None for none.
 
     Raises:
-        PatchError: It doesn't fit, can't be read, or something else comes out than was announced.
+        PatchError: The patch is for another base, is malformed, or the result doesn't match the
+            announced size and checksum.
     """
     if patch.base != NO_CONTENT_CHECKSUM and (base is None or content_checksum(base) != patch.base):
         raise PatchError(PatchProblem.BASE_MISMATCH)
@@ -122,7 +123,7 @@
 
 
 def _split_chunks(content: bytes) -> list[bytes]:
-    """The content in pieces; together they are the content and one more `CHUNK_END`."""
+    """Splits a content into chunks; joined, they are the content and one extra `CHUNK_END`."""
     return [chunk + CHUNK_END for chunk in content.split(CHUNK_END)]
 
 
@@ -163,7 +164,7 @@
 
 
 def _join_steps(steps: list[_Step], chunks: list[bytes], size: int) -> bytes:
-    """All steps in a row; raises once it becomes larger than announced."""
+    """Joins all steps; raises as soon as the result exceeds the announced size."""
     found: list[bytes] = []
     length = 0
     for step in steps:
--- a/src/milletcourse/exchange/messages/dialect.py
+++ b/src/milletcourse/exchange/messages/dialect.py
@@ -1,7 +1,7 @@
-"""Reads and writes the header fields of exchanges under configurable names.
+"""Parses and writes the header fields of exchanges under configurable names.
 
-The product has names of its own; an adapter for a platform hands in others. Only the names differ,
-never what is decided by them.
+The product has default names; a platform adapter may supply others. Only the names differ, not
+their meaning.
 """
 
 from __future__ import annotations
@@ -42,16 +42,16 @@
         b"expect",
     }
 )
-"""Fields that concern one connection only (RFC 9110, 7.6.1), and the body's framing."""
+"""Hop-by-hop fields (RFC 9110, 7.6.1) and fields of the body's framing."""
 RETRY_AFTER = b"retry-after"
 BACK_OFF_STATUSES = frozenset({429, 503})
-"""Statuses with which a server that refuses may say for how long it wants nothing more."""
+"""Statuses of refusals in which a server may request a back-off."""
 MAX_PROMPT_PARTS = 256
 MAX_DEADLINE_SECONDS = 24 * 3600.0
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
-    """Names of the header fields that an exchange is steered by."""
+    """Names of the header fields that control an exchange."""
 
     request_id: str = "Milletcourse-Request-Id"
     key: str = "Milletcourse-Key"
@@ -67,22 +67,23 @@
     cache_source: str = "Milletcourse-Cache-Source"
     cache_target: str = "Milletcourse-Cache-Target"
     priority: str = "Milletcourse-Priority"
-    """Dropped from what clients send, and never set: a server that knows ranks lets urgent requests
-    displace running ones, which are then read anew. What is less urgent is refused sooner."""
+    """Dropped from client requests and never set: a server that supports priorities lets urgent
+    requests preempt running ones, whose prompts are then processed again. Less urgent requests are
+    refused earlier instead."""
     signature: str = "Milletcourse-Signature"
     not_executed: str = "Milletcourse-Not-Executed"
     answer_instance: str = "Milletcourse-Answer-Instance"
     answer_weight_version: str = "Milletcourse-Answer-Weight-Version"
     request_limit: str = "Milletcourse-Request-Limit"
-    """Requests a second that a server takes from all gateways together, in its answers."""
+    """In answers: requests per second that the server accepts from all gateways together."""
     leaving: str = "Milletcourse-Leaving"
-    """Whether a server is about to end, in its answers."""
+    """In answers: whether the server is shutting down."""
     router_only: tuple[str, ...] = ()
-    """Further fields that only a router may set; dropped from what a client sends."""
+    """Further fields that only a router may set; dropped from client requests."""
 
 
 class HeaderDialect:
-    """Reads requests and answers, and writes dispatches, under one set of names."""
+    """Parses requests and answers, and writes dispatches, under one set of names."""
 
     def __init__(self, names: HeaderNames) -> None:
         self.names = names
@@ -119,10 +120,10 @@
     def read_request(
         self, method: bytes, target: bytes, fields: list[HeaderField], received_at: float
     ) -> ExchangeRequest:
-        """Understand the head of a client's request; the body is added later.
+        """Parses the head of a client's request; the body is added later.
 
         Raises:
-            FailureError: `MalformedRequest` that names the wrong field.
+            FailureError: `MalformedRequest` that names the invalid field.
         """
         values = _single_values(fields)
         listed = _connection_options(values)
@@ -155,7 +156,7 @@
         )
 
     def request_id_of(self, fields: list[HeaderField]) -> str:
-        """A request's identity, for the logs of requests that can't be understood."""
+        """A request's id, for logs of requests that can't be parsed."""
         return _text(_single_values(fields).get(self._request_id))
 
     def _read_deadline(self, value: bytes | None) -> float | None:
@@ -166,7 +167,7 @@
         except ValueError:
             seconds = math.nan
         if not 0.0 <= seconds <= MAX_DEADLINE_SECONDS:
-            raise FailureError(MalformedRequest(f"{self.names.deadline_ms} is no time"))
+            raise FailureError(MalformedRequest(f"{self.names.deadline_ms} is not a valid time"))
         return seconds
 
     def _read_usage(self, value: bytes | None) -> tuple[int, int]:
@@ -174,7 +175,9 @@
             return 0, 0
         numbers = value.split(b",")
         if len(numbers) != 2 or not all(number.strip().isdigit() for number in numbers):
-            raise FailureError(MalformedRequest(f"{self.names.token_usage} is not two numbers"))
+            raise FailureError(
+                MalformedRequest(f"{self.names.token_usage} does not hold two numbers")
+            )
         return int(numbers[0]), int(numbers[1])
 
     def _read_parts(self, value: bytes | None) -> tuple[PromptPart, ...]:
@@ -194,7 +197,7 @@
     # -- requests to servers --------------------------------------------------------------------
 
     def request_head(self, request: ExchangeRequest, dispatch: Dispatch) -> bytes:
-        """The head of a request as it goes to a server, body framing included."""
+        """The head of a request as sent to a server, including body framing."""
         lines = [request.method + b" " + request.target + b" HTTP/1.1\r\n"]
         lines.extend(field.name + b": " + field.value + b"\r\n" for field in request.fields)
         lines.extend(
@@ -226,7 +229,7 @@
     # -- answers of servers ---------------------------------------------------------------------
 
     def read_answer(self, status: int, reason: bytes, fields: list[HeaderField]) -> AnswerHead:
-        """Understand the head of a server's answer."""
+        """Parses the head of a server's answer."""
         values = _single_values(fields)
         options = _connection_options(values)
         kept = [
@@ -282,7 +285,7 @@
 def _all_values(
     name: bytes, values: dict[bytes, bytes], fields: list[HeaderField]
 ) -> Sequence[bytes]:
-    """Values of all fields of a name, which most answers don't have."""
+    """Values of all fields of a name; empty for most answers."""
     if name not in values:
         return ()
     return [field.value for field in fields if field.name.lower() == name]
--- a/src/milletcourse/exchange/messages/event_stream.py
+++ b/src/milletcourse/exchange/messages/event_stream.py
@@ -6,7 +6,7 @@
 
 
 class EventSplitter:
-    """Holds back a partial event until its blank line has arrived.
+    """Buffers a partial event until the blank line that ends it has arrived.
 
     Attributes:
         last_event_id: Id of the latest whole event; empty before the first.
@@ -17,7 +17,7 @@
         self.last_event_id = ""
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes of the body; returns the whole events that are complete now."""
+        """Adds bytes of the body and returns the events that are now complete."""
         pending = self._partial + data if self._partial else data
         end = self._last_boundary(pending)
         if end == 0:
@@ -29,7 +29,7 @@
         return whole
 
     def take_remainder(self) -> bytes:
-        """Bytes after the last blank line, once the stream has ended as complete."""
+        """Removes and returns the bytes after the last blank line of a stream that ended regularly."""
         remainder = self._partial
         self._partial = b""
         return remainder
--- a/src/milletcourse/exchange/messages/feed_messages.py
+++ b/src/milletcourse/exchange/messages/feed_messages.py
@@ -1,10 +1,11 @@
-"""What a gateway that reads the object store tells those that follow it; no input/output.
-
-A follower asks with the places in the store's history that it knows, and is answered when there is
-more, or after a while. A proof travels as a difference on the reader's clock: the time of the
-proven call to the store less the time at which the question came in. The question was sent no later
-than it came in, so the follower counts the proof from when it asked plus that difference, however
-long the answer was under way, and whatever the two clocks show.
+"""Messages of the feed from a gateway that reads the object store to its followers; no I/O.
+
+A follower sends a long-poll request with the store positions that it has, and gets a response when
+there are later changes, or after a timeout. A freshness proof is sent as a difference on the
+reader's clock: the send time of the proven store call minus the arrival time of the feed request.
+Since a request is sent no later than it arrives, the follower dates the proof at its own send time
+plus that difference; neither the response's transit time nor the offset between the two clocks
+matters.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 
 COMPRESSED_FROM_BYTES = 4096
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
-"""Of an answer as it was before it was compressed."""
+"""Largest size of a response before compression."""
 _JSON_ARRAY = b"["
 
 
 class FeedPosition(msgspec.Struct, array_like=True, frozen=True):
-    """How far a follower knows one kind of objects.
+    """A follower's position in the changes of one kind of objects.
 
     Attributes:
         kind: Kind of the objects.
-        position: State of the store up to which it knows them, None when it knows nothing.
+        position: Store position up to which the follower has them, None when it has none.
     """
 
     kind: str
@@ -37,14 +38,14 @@
 
 
 class FeedRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Asks for what came since some positions.
+    """Requests the changes after some positions.
 
     Attributes:
-        positions: What the follower knows, kind by kind.
-        hold_seconds: Longest time that the reader waits for something to tell.
-        takes_patches: The follower understands patches and compressed answers.
+        positions: The follower's position for each kind.
+        hold_seconds: Longest time that the reader waits for a change before it responds.
+        accepts_patches: The follower supports patches and compressed responses.
         configuration: Version of the configuration that is in force at the follower, 0 for none.
-        confirmed_era: Latest era of the store that the follower knows to be confirmed.
+        confirmed_era: Latest store era that the follower knows to be confirmed.
     """
 
     positions: list[FeedPosition]
@@ -55,15 +56,15 @@
 
 
 class FeedObject(msgspec.Struct, array_like=True, frozen=True):
-    """An object that is there, or one that went, whose content isn't told.
+    """A present object, or a deleted one without its content.
 
     Attributes:
         name: Unique within its kind.
-        position: Its last change.
-        spec: Its content as JSON; null for one that went, and beside a patch.
-        deleted: It went.
-        patch: Makes its content from the one before; an announcement when it is large, to be asked
-            for with a `ContentRequest`.
+        position: Position of its last change.
+        spec: Its content as JSON; null for a deleted object, and when a patch is given.
+        deleted: The object was deleted.
+        patch: Builds the content from the previous one; for a large patch only an announcement,
+            which the follower fetches with a `ContentRequest`.
     """
 
     name: str
@@ -74,17 +75,17 @@
 
     @property
     def is_announced(self) -> bool:
-        """Whether its content is still to come."""
+        """Whether its content is announced and has to be fetched."""
         return self.patch is not None and self.patch.is_announcement
 
 
 class FeedKind(msgspec.Struct, array_like=True, frozen=True):
-    """What came of one kind.
+    """Changes of one kind of objects.
 
     Attributes:
         kind: Kind of the objects.
-        position: State of the store up to which they are told.
-        is_snapshot: They are all objects of the kind, not just the changes.
+        position: Store position up to which the changes are included.
+        is_snapshot: `objects` holds all objects of the kind, not only the changes.
         objects: Objects in the order of their changes.
     """
 
@@ -95,25 +96,26 @@
 
     @property
     def is_announced(self) -> bool:
-        """Whether some content is still to come."""
+        """Whether the content of some object is announced and has to be fetched."""
         return any(item.is_announced for item in self.objects)
 
 
 class FeedResponse(msgspec.Struct, array_like=True, frozen=True):
-    """What came since the positions of a question.
+    """Changes after the positions of a request.
 
     Attributes:
-        kinds: Kinds with something to tell.
-        proof_offset: Time at which the reader's latest proven call to the store was sent, less the
-            time at which the question came in, in seconds; negative when the proof is older.
-        is_receiving: A change is on its way from the store to the reader, which has it in part, or
-            has it and asks what came after it: an old proof will soon be followed by another one.
-        effect: What the announced configuration changes from the follower's; None when none is
-            announced, or that isn't known.
-        not_out_offset: Time at which the change that is on its way, or announced, wasn't out yet,
-            as `proof_offset` tells times; None when none is, or that isn't known.
+        kinds: Kinds that have changes.
+        proof_offset: Send time of the reader's latest proven call to the store minus the arrival
+            time of the request, in seconds; negative when the proof is older.
+        is_receiving: A change is in transit from the store to the reader, which has received it in
+            part, or has it and asks for what follows; a newer proof will follow soon.
+        effect: What the announced configuration changes compared to the follower's; None when
+            none is announced, or the effect isn't known.
+        unpublished_offset: Latest time at which the change that is in transit or announced was
+            not yet published, in the form of `proof_offset`; None when there is no such change,
+            or the time isn't known.
         configuration: Version of the configuration that is in force at the reader, 0 for none.
-        confirmed_era: Latest era of the store that the reader knows to be confirmed.
+        confirmed_era: Latest store era that the reader knows to be confirmed.
     """
 
     kinds: list[FeedKind]
@@ -126,13 +128,13 @@
 
 
 class ContentRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Asks for a content that was announced.
+    """Requests the patch of an announced content.
 
     Attributes:
         kind: Kind of the object.
         name: Its name.
-        base: Sum of the content that the follower has, as announced.
-        result: Sum of the content.
+        base: Checksum of the content that the follower has, as announced.
+        result: Checksum of the announced content.
     """
 
     kind: str
@@ -141,26 +143,26 @@
     result: int
 
 
-def encode_feed_request(question: FeedRequest) -> bytes:
-    """Bytes of a question."""
-    return msgspec.json.encode(question)
+def encode_feed_request(request: FeedRequest) -> bytes:
+    """Encodes a feed request as JSON."""
+    return msgspec.json.encode(request)
 
 
 def decode_feed_request(data: bytes) -> FeedRequest | None:
-    """Understand a question; None when it is none."""
+    """Decodes a feed request; returns None when it is malformed."""
     return _decode(data, FeedRequest)
 
 
-def encode_feed_response(answer: FeedResponse, may_compress: bool) -> bytes:
-    """Bytes of an answer."""
-    data = msgspec.json.encode(answer)
+def encode_feed_response(response: FeedResponse, may_compress: bool) -> bytes:
+    """Encodes a feed response as JSON, compressed when it is large and `may_compress` is set."""
+    data = msgspec.json.encode(response)
     if not may_compress or len(data) < COMPRESSED_FROM_BYTES:
         return data
     return deflate(data)
 
 
 def decode_feed_response(data: bytes) -> FeedResponse | None:
-    """Understand an answer; None when it is none."""
+    """Decodes a plain or compressed feed response; returns None when it is malformed."""
     if data.startswith(_JSON_ARRAY):
         return _decode(data, FeedResponse)
     try:
@@ -169,23 +171,23 @@
         return None
 
 
-def encode_content_request(question: ContentRequest) -> bytes:
-    """Bytes of a question."""
-    return msgspec.json.encode(question)
+def encode_content_request(request: ContentRequest) -> bytes:
+    """Encodes a content request as JSON."""
+    return msgspec.json.encode(request)
 
 
 def decode_content_request(data: bytes) -> ContentRequest | None:
-    """Understand a question; None when it is none."""
+    """Decodes a content request; returns None when it is malformed."""
     return _decode(data, ContentRequest)
 
 
 def encode_patch(patch: ContentPatch) -> bytes:
-    """Bytes of the answer to a `ContentRequest`."""
+    """Encodes the response to a `ContentRequest`."""
     return msgspec.msgpack.encode(patch)
 
 
 def decode_patch(data: bytes) -> ContentPatch | None:
-    """Understand an answer; None when it is none."""
+    """Decodes the response to a `ContentRequest`; returns None when it is malformed."""
     try:
         return msgspec.msgpack.decode(data, type=ContentPatch)
     except msgspec.MsgspecError:
--- a/src/milletcourse/exchange/messages/messages.py
+++ b/src/milletcourse/exchange/messages/messages.py
@@ -29,7 +29,7 @@
 
 
 class HeaderField(msgspec.Struct, frozen=True):
-    """One header field as it was received; the name keeps its case."""
+    """One header field as received; the name keeps its case."""
 
     name: bytes
     value: bytes
@@ -44,16 +44,16 @@
         host: Value of the Host header.
         fields: Header fields that are passed on unchanged.
         body: Whole body.
-        request_id: Identity of this client attempt; empty when it has none.
-        key: The tenant's key; empty when there is none.
-        deadline_seconds: How long the client waits, None when it does not say.
+        request_id: Id of this attempt of the client; empty for none.
+        key: The tenant's API key; empty for none.
+        deadline_seconds: How long the client waits, None when it doesn't declare it.
         last_event_id: Event after which the client resumes a stream; empty for none.
         model: Declared model; empty for none.
         prompt_parts: Declared parts of the prompt.
         prompt_tokens: Declared length of the prompt.
-        output_tokens: Most tokens that are generated.
+        output_tokens: Maximum number of generated tokens.
         received_at: Monotonic time of the first byte.
-        declares_tokens: Whether both numbers of tokens are the client's.
+        declares_tokens: Whether the client declared both token counts.
     """
 
     method: bytes
@@ -89,17 +89,17 @@
 
 
 class Dispatch(msgspec.Struct):
-    """What a gateway itself says to a server about one attempt.
+    """Header values that a gateway adds to one attempt at a server.
 
     Attributes:
-        instance: Incarnation that must run it.
-        deadline_seconds: What is left of the client's time.
+        instance: Incarnation that must run the request.
+        deadline_seconds: Remaining time of the client.
         tenant: Name of the tenant; empty for public routes.
         weight_version: Version of the weights that must run it, None for plain applications.
-        cache_salt: Scope of the kept prompt state; empty for none.
-        cache_source: `host:port` to take kept state from; empty for none.
-        cache_target: `host:port` to send kept state to; empty for none.
-        last_event_id: Event after which the stream goes on; empty for none.
+        cache_salt: Scope of the cached prompt state; empty for none.
+        cache_source: `host:port` to fetch cached state from; empty for none.
+        cache_target: `host:port` to send cached state to; empty for none.
+        last_event_id: Event after which the stream resumes; empty for none.
     """
 
     instance: str
@@ -119,20 +119,21 @@
         status: HTTP status.
         reason: Reason phrase.
         fields: Header fields that may be passed on.
-        request_id: Identity of the request that it answers; empty when missing.
+        request_id: Id of the request that it answers; empty when missing.
         signed: It carries the server's signature.
-        instance: Incarnation that answers; empty when it isn't told.
-        not_executed: The server says that the request has not run and will not.
-        weight_version: Version of the weights that it tells, None when missing.
-        keep_alive_seconds: Idle time after which the server closes, None when not told.
-        content_length: Length of the body, None when not told.
+        instance: Incarnation that answers; empty when not given.
+        not_executed: The server reports that the request has not run and will not run.
+        weight_version: Version of the weights that ran the request, None when missing.
+        keep_alive_seconds: Idle time after which the server closes the connection, None when not
+            given.
+        content_length: Length of the body in bytes, None when not given.
         chunked: The body is sent in chunks.
-        closing: The server closes the connection after it.
-        encoded: The body has a content encoding, so it isn't the server's own.
-        event_stream: The body is a series of events.
-        limit: Requests a second that the server takes, as it says now.
-        leaving: Whether the server leaves, as it says.
-        back_off: Time for which a server that refuses wants no more.
+        closing: The server closes the connection after this answer.
+        encoded: The body has a content encoding, so the server itself did not produce it.
+        event_stream: The body is an event stream.
+        limit: Request limit that the server reports.
+        leaving: Whether the server reports that it is shutting down.
+        back_off: Back-off that a refusing server requests.
     """
 
     status: int
@@ -155,56 +156,57 @@
 
     @property
     def framed(self) -> bool:
-        """Whether the end of the body shows without the end of the connection."""
+        """Whether the end of the body is known without the end of the connection."""
         return self.chunked or self.content_length is not None or self.status in (204, 304)
 
     @property
     def successful(self) -> bool:
-        """Whether it is a 2xx."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 class AbortCause(Enum):
-    """Why a gateway itself gave up an attempt."""
+    """Why a gateway aborted an attempt."""
 
     CLIENT_DISCONNECTED = "client-gone"
     DEADLINE_EXCEEDED = "time-up"
     SERVER_SILENT = "silent"
-    """Nothing came from the server for too long."""
+    """The server sent nothing for too long."""
     HANDED_OVER = "handed-over"
-    """Another server goes on with its stream."""
+    """Another server continues the stream."""
     FIRST_CONTINUED = "first-went-on"
-    """It was asked to go on with a stream, and the server that had it did."""
+    """This attempt was to take over a stream, but the first server continued it."""
     OVERLAP_TIMEOUT = "overlap-over"
-    """It was asked to go on with a stream, and didn't begin soon enough."""
+    """This attempt was to take over a stream, but didn't start within the overlap time."""
     SERVER_LIMIT = "server-limit"
-    """The server named a limit, or the permit became old, before the request went out."""
+    """Before the request was sent, the server reported a limit or the permit expired."""
     SERVER_LEAVING = "server-leaving"
-    """The server said that it leaves before the request went out."""
+    """Before the request was sent, the server reported that it is shutting down."""
     SERVER_BACKING_OFF = "server-resting"
-    """The server asked for rest before the request went out."""
+    """Before the request was sent, the server requested a back-off."""
     LOCAL_RESOURCES = "own-means"
-    """This gateway has no descriptor for a connection."""
+    """This gateway has no file descriptor left for a connection."""
     VERSION_BOUND = "version-bound"
-    """The server's weights are too old for work that begins now."""
+    """The server's weights are too old for work that starts now."""
 
 
 class AttemptResult(Enum):
     """How an attempt at one server ended."""
 
     NOT_SENT = "not-sent"
-    """No connection came up."""
+    """No connection was established."""
     REJECTED = "turned-away"
-    """The server said that it did not run."""
+    """The server reported that it did not run."""
     WRONG_INSTANCE = "wrong-instance"
     """Another incarnation answered; it did not run."""
     WRONG_VERSION = "wrong-version"
     """The incarnation has another weight version; it did not run."""
     LOST = "lost"
-    """The connection ended, was silent or garbled after the request was sent; it may have run."""
+    """The connection was closed, idle too long or garbled after the request was sent; it may have
+    run."""
     FAILED = "failed"
-    """A whole answer with a failure."""
+    """The server gave a complete answer that reports a failure."""
     ANSWERED = "answered"
-    """A whole answer was passed on."""
+    """A complete answer was relayed."""
     TRUNCATED = "cut"
-    """A stream that was partly passed on broke off."""
+    """A partly relayed stream was interrupted."""
--- a/src/milletcourse/exchange/messages/peer_messages.py
+++ b/src/milletcourse/exchange/messages/peer_messages.py
@@ -1,8 +1,8 @@
-"""What gateways tell each other: their load on servers and the state of servers; no input/output.
+"""Messages between gateways about load on servers and the state of servers; no input/output.
 
-Messages are small and may be lost: each carries a whole current load, and a notice is repeated for
-a while. Nothing depends on them but speed: what they don't tell is learnt from servers' answers and
-from the discovery.
+Messages are small and may be lost: each carries a complete current load, and a notice is repeated a
+few times. They only speed things up: servers' answers and service discovery provide the same
+information later.
 """
 
 from __future__ import annotations
@@ -16,40 +16,40 @@
 from milletcourse.exchange.messages.signal_headers import MAX_LIMIT_PER_SECOND
 
 NOTICE_REPEATS = 3
-"""Times that a notice is sent, against loss."""
+"""Number of times that a notice is sent, in case messages are lost."""
 MAX_REPORTED_CRASHES = 6
-"""Ends of servers that are kept and told of one request; three are enough to contain it."""
+"""Maximum number of server crashes kept and reported per request; three suffice to contain it."""
 MAX_AGE_MS = 4 * 3600 * 1000
-"""Nothing that is told is older: a greater age is an error of the sender."""
+"""Maximum age in messages; a greater one is an error of the sender."""
 
 AgeMs = Annotated[int, msgspec.Meta(ge=0, le=MAX_AGE_MS)]
-"""Milliseconds before the message was sent: clocks of gateways differ, ages don't."""
+"""Milliseconds before the message was sent; ages are used since the gateways' clocks differ."""
 
 
 class ServerState(IntEnum):
-    """What a notice says of a server."""
+    """State of a server or cache store in a notice."""
 
     LOADING = 1
-    """It takes a weight version."""
+    """The server loads a weight version."""
     READY = 2
-    """It has a weight version."""
+    """The server has loaded a weight version."""
     TERMINATED = 3
-    """Another incarnation answers at its address."""
+    """Another incarnation answers at the server's address."""
     STORE_UNREACHABLE = 4
-    """A store of kept prompt state doesn't answer."""
+    """A store of cached prompt state doesn't answer."""
     STORE_REACHABLE = 5
-    """A store of kept prompt state answers again."""
+    """A store of cached prompt state answers again."""
 
 
 class LoadScope(IntEnum):
-    """Whose load a message tells."""
+    """Which gateways' load a message reports."""
 
     GATEWAY = 1
-    """The sender's own."""
+    """The sender's own load."""
     ZONE = 2
-    """That of a reader of the store and of all gateways that follow it."""
+    """Load of a store reader and of all gateways that follow it."""
     FLEET = 3
-    """That of all gateways, the receiver included."""
+    """Load of all gateways, including the receiver."""
 
 
 class InstanceLoad(msgspec.Struct, array_like=True, frozen=True):
@@ -57,11 +57,11 @@
 
     Attributes:
         key: Hash of the server's name.
-        waiting_tokens: Prompt tokens to be read for requests without a first event.
+        waiting_tokens: Prompt tokens still to be processed, of requests without a first event.
         running: Requests that the server works on.
-        failures: Attempts that failed there lately, weighed by what they say of the server.
-        successes: Attempts that were answered there lately.
-        memory_tokens: Memory that the requests there take, in tokens.
+        failures: Recent failed attempts, weighted by how likely the server is at fault.
+        successes: Recent attempts that the server answered.
+        memory_tokens: Memory that the requests take at the server, in tokens.
     """
 
     key: int
@@ -83,7 +83,7 @@
         )
 
     def minus(self, other: InstanceLoad) -> InstanceLoad:
-        """What is left of a sum without one of its parts, as far as that is still in it."""
+        """The sum without one of its parts, floored at zero if the part is no longer included."""
         return InstanceLoad(
             self.key,
             max(self.waiting_tokens - other.waiting_tokens, 0),
@@ -95,48 +95,48 @@
 
     @property
     def is_zero(self) -> bool:
-        """Whether there is neither load nor news."""
+        """Whether there is no load and no recent result."""
         return not (self.waiting_tokens or self.running or self.failures or self.successes)
 
 
 class TenantUse(msgspec.Struct, array_like=True, frozen=True):
-    """What a tenant with a limit spends.
+    """Usage of a tenant that has a limit.
 
     Attributes:
-        key: Identity of the tenant in messages.
-        per_second: Units of its limit that are spent in a second.
+        key: Key of the tenant in messages.
+        per_second: Usage in units of its limit per second.
     """
 
     key: int
     per_second: int
 
     def plus(self, other: TenantUse) -> TenantUse:
-        """The sum of what two senders spend for the same tenant."""
+        """The sum of the usage that two senders report for the same tenant."""
         return TenantUse(self.key, self.per_second + other.per_second)
 
     def minus(self, other: TenantUse) -> TenantUse:
-        """What is left of a sum without one of its parts.
+        """The sum without one of its parts.
 
-        Below zero while the sum doesn't hold the part yet: it counts in full some moments later, so
-        that over time nothing is counted twice.
+        Negative while the sum doesn't include the part yet; the sum includes it fully some moments
+        later, so over time nothing is counted twice.
         """
         return TenantUse(self.key, self.per_second - other.per_second)
 
     @property
     def is_zero(self) -> bool:
-        """Whether nothing is spent."""
+        """Whether there is no usage."""
         return not self.per_second
 
 
 class ServerNotice(msgspec.Struct, array_like=True, frozen=True):
-    """The state of one incarnation of a server, or of a store of kept prompt state.
+    """The state of one incarnation of a server, or of a store of cached prompt state.
 
     Attributes:
         subject: Name of the incarnation, or `host:port` of the store.
-        model: Model whose weights it takes; empty when the notice isn't about weights.
+        model: Model whose weights it loads; empty when the notice isn't about weights.
         version: Version of the weights; 0 when the notice isn't about weights.
-        state: What it does, or did.
-        started_ms: Start of the incarnation, 0 when it isn't known.
+        state: Its new state.
+        started_ms: Start of the incarnation in Unix milliseconds, 0 when it isn't known.
     """
 
     subject: str
@@ -147,11 +147,11 @@
 
 
 class ServerCrash(msgspec.Struct, array_like=True, frozen=True):
-    """A server that ended while it had a request.
+    """A server that crashed while it processed a request.
 
     Attributes:
         server: Key of the incarnation.
-        sent_ms: Age of the send of the request to it.
+        sent_ms: Age of the request's send to the server.
         crashed_ms: Age of its end.
     """
 
@@ -161,12 +161,12 @@
 
 
 class CrashReport(msgspec.Struct, array_like=True, frozen=True):
-    """What a gateway knows of a request under which servers ended.
+    """Crashes of servers that a gateway associates with a request.
 
     Attributes:
-        identity: Identity of its content.
-        crashes: Servers that ended under it since the latest answer.
-        cleared_ms: Age of the latest answer to it, None when there was none.
+        identity: Identity of the request's content.
+        crashes: Servers that crashed while they processed it, since the latest answer.
+        cleared_ms: Age of the latest answer to the request, None when there was none.
     """
 
     identity: int
@@ -175,13 +175,14 @@
 
 
 class SignalReport(msgspec.Struct, array_like=True, frozen=True):
-    """What a server said of itself.
+    """Self-reported state of a server.
 
     Attributes:
         key: Key of the incarnation.
-        per_second: Requests a second that it takes from all gateways together, None for no limit.
-        limit_age_ms: Age of the answer that said so.
-        leaving_age_ms: Age of the first answer that said that it leaves, None when none did.
+        per_second: Requests per second that it accepts from all gateways together, None for no
+            limit.
+        limit_age_ms: Age of the answer that reported this limit.
+        leaving_age_ms: Age of the first answer that reported a shutdown, None when none did.
     """
 
     key: int
@@ -195,15 +196,15 @@
 
     Attributes:
         sender: Name of the gateway.
-        sequence: Rises with each message of a process.
-        loads: Servers with load; others have none.
-        notices: States of servers that changed in the last moments.
-        scope: Whose load it is.
-        is_follower: The sender follows the receiver, and wants to be told the fleet's load.
-        uses: What is spent for tenants with a limit; nothing for others.
-        gateways: How many gateways' load and use it tells.
-        crashes: Requests under which servers ended.
-        signals: What servers say of themselves, or said lately.
+        sequence: Increases with each message of a process.
+        loads: Load on each server that has some.
+        notices: States of servers that changed recently.
+        scope: Which gateways' load it is.
+        is_follower: The sender follows the receiver, and wants to receive the fleet's load.
+        uses: Usage of tenants that have a limit.
+        gateways: Number of gateways whose load and usage it includes.
+        crashes: Requests associated with server crashes.
+        signals: Recent self-reported states of servers.
     """
 
     sender: str
@@ -223,12 +224,12 @@
 
 
 def encode_message(message: PeerMessage) -> bytes:
-    """Bytes of a datagram."""
+    """Encodes a message as a datagram."""
     return _ENCODER.encode(message)
 
 
 def decode_message(data: bytes) -> PeerMessage | None:
-    """Understand a datagram; None when it is none of ours."""
+    """Decodes a datagram; returns None when it is malformed."""
     try:
         return _DECODER.decode(data)
     except msgspec.MsgspecError:
@@ -236,14 +237,14 @@
 
 
 def incarnation_key(name: str, started_ms: int) -> int:
-    """Short identity of one start of a server: what is told of another start doesn't mix with it.
+    """Short key of one incarnation of a server, so that reports about incarnations don't mix.
 
-    The start is a part of the key rather than a field beside it: no byte more is told for a server,
-    and gateways that have seen another start just know nothing of this one.
+    The start time is part of the key rather than a separate field: this adds no bytes per server,
+    and for a gateway that has seen another start this incarnation is simply unknown.
     """
     return short_key(f"{name}@{started_ms}" if started_ms else name)
 
 
 def short_key(name: str) -> int:
-    """Short identity of a server or a tenant in messages; a collision only blurs what is told."""
+    """Short key of a server or tenant in messages; a collision only makes reports less precise."""
     return xxhash.xxh32_intdigest(name.encode())
--- a/src/milletcourse/exchange/messages/quota_messages.py
+++ b/src/milletcourse/exchange/messages/quota_messages.py
@@ -1,6 +1,7 @@
-"""Messages by which gateways lend each other units of a shared allowance; no input/output.
+"""Messages by which gateways request and grant permits of a shared server quota; no input/output.
 
-They travel beside the messages about load, in datagrams of their own, since requests wait for them.
+They are sent in their own datagrams, separate from load reports, because client requests wait for
+them.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 from milletcourse.exchange.messages.signal_headers import MAX_LIMIT_PER_SECOND
 
 _MARK = b"\xc1"
-"""First byte of these datagrams: one with which no message about load begins (msgpack)."""
+"""First byte of these datagrams; no load report (msgpack) starts with it."""
 MAX_MS = 60_000
-"""Longest time that is told."""
+"""Longest duration that a message carries."""
 
 Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=MAX_MS)]
 
 
 class PermitStep(IntEnum):
-    """What a message is."""
+    """Kind of a permit message."""
 
     ASK = 1
     GRANT = 2
@@ -30,19 +31,19 @@
 
 
 class PermitMessage(msgspec.Struct, array_like=True, frozen=True):
-    """One unit is asked for, lent or denied.
+    """A request for one permit, or its grant or denial.
 
     Attributes:
-        step: Which of them.
-        sender: Name of the gateway that sends it.
-        key: Identity of the allowance.
-        request_number: The asker's number of its ask, repeated by the reply.
-        per_second: Units a second, as the asker knows it; None in replies.
-        limit_age_ms: Age of that knowledge.
-        priority: Rank of the request, 0 for the most urgent.
-        unit_ms: Time until there may be a unit for the asker.
-        pause_ms: Time after which it may ask again.
-        requesters: Gateways that asked lately.
+        step: Kind of the message.
+        sender: Name of the sending gateway.
+        key: Key of the server quota.
+        request_number: Number that the requester gave its request; the reply repeats it.
+        per_second: Quota in permits per second, as known to the requester; None in replies.
+        limit_age_ms: Age of `per_second`.
+        priority: Priority of the client request, 0 for the most urgent.
+        permit_wait_ms: Time until a permit may be available for the requester.
+        retry_after_ms: Time after which the requester may ask again.
+        requesters: Number of gateways that asked recently.
     """
 
     step: PermitStep
@@ -62,17 +63,17 @@
 
 
 def is_permit_message(data: bytes) -> bool:
-    """Whether a datagram is one of these messages, as far as its first byte tells."""
+    """Whether the first byte marks a datagram as a permit message."""
     return data.startswith(_MARK)
 
 
 def encode_permit_message(message: PermitMessage) -> bytes:
-    """Bytes of a datagram."""
+    """Encodes a message as a datagram."""
     return _MARK + _ENCODER.encode(message)
 
 
 def decode_permit_message(data: bytes) -> PermitMessage | None:
-    """Understand a datagram; None when it is none of ours."""
+    """Decodes a datagram; returns None when it is malformed."""
     try:
         return _DECODER.decode(memoryview(data)[len(_MARK) :])
     except msgspec.MsgspecError:
@@ -80,5 +81,5 @@
 
 
 def wire_ms(seconds: float) -> int:
-    """A time as messages tell it."""
+    """Converts seconds to the milliseconds of a message, clamped to 0 and `MAX_MS`."""
     return min(max(round(seconds * 1000.0), 0), MAX_MS)
--- a/src/milletcourse/exchange/messages/records.py
+++ b/src/milletcourse/exchange/messages/records.py
@@ -1,7 +1,7 @@
-"""Records that a gateway works by: configuration, instances, weight versions.
+"""Records of a gateway's configuration, of server instances and of weight versions.
 
-All of them come from an object store through an adapter; times are in seconds, sizes in bytes,
-cache sizes in tokens.
+An adapter reads all of them from an object store. Times are in seconds, sizes in bytes, cache sizes
+in tokens.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RouteKind(Enum):
-    """What a route says about repeating its requests."""
+    """Whether requests of a route may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -20,28 +20,29 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service with its share of a route's requests."""
+    """A service with its weight among the backends of a route."""
 
     service: str
     weight: float = 1.0
 
 
 class RouteRecord(msgspec.Struct, frozen=True):
-    """Requests of one host below one path prefix.
+    """A route: requests for one host below one path prefix.
 
     Attributes:
         name: Unique name.
         host: Value of the Host header.
         path_prefix: Begins and ends with a slash.
         kind: Whether requests may run more than once.
-        timeout_seconds: Longest time a request is held.
-        target_latency_seconds: Time within which an answer earns its full worth.
-        priority: Rank, 0 the highest.
+        timeout_seconds: Longest time that the gateway keeps a request.
+        target_latency_seconds: Target for the time to the first byte; later answers count as late.
+        priority: Priority, 0 the highest.
         backends: Services with weights, at least one.
-        max_attempts: Most servers that one request may run on.
-        public: No key is asked for.
-        resumable: A stream may go on at another server.
-        gap_seconds: Longest pause between events at which a stream is in time; 0 if none is set.
+        max_attempts: Maximum number of servers that one request may run on.
+        public: No API key is required.
+        resumable: Another server may resume a stream.
+        gap_seconds: Longest pause between events of a stream that still counts as in time; 0 for
+            no target.
     """
 
     name: str
@@ -64,23 +65,23 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether answers are series of events."""
+        """Whether answers are event streams."""
         return self.kind is RouteKind.STREAMING
 
 
 class ServiceRecord(msgspec.Struct, frozen=True):
-    """A service: servers of requests, or one store of kept prompt state.
+    """A service: servers of requests, or one store of cached prompt state.
 
     Attributes:
         name: Unique name.
         models: Models that its servers run; empty for plain applications.
-        store_address: `host:port` of the store of kept prompt state; empty for servers.
+        store_address: `host:port` of the store of cached prompt state; empty for servers.
         zone: Zone of the store.
-        capacity_tokens: Tokens of prompt state that the store, or each server, has room for; 0 when
-            it isn't told.
-        slots: Requests that each server works on at the same time; 0 when it isn't told.
-        max_connections: Connections that each server takes from all gateways together; 0 when it
-            isn't told.
+        capacity_tokens: Capacity of the store, or of each server, in tokens of prompt state; 0 when
+            not given.
+        slots: Requests that each server processes concurrently; 0 when not given.
+        max_connections: Connections that each server accepts from all gateways together; 0 when not
+            given.
     """
 
     name: str
@@ -93,7 +94,7 @@
 
 
 class EdgeLimits(msgspec.Struct, frozen=True):
-    """Bounds on what a client may send, and how long it may take or stay idle."""
+    """Limits on the size of client requests, and on the time to send headers and to stay idle."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -102,21 +103,21 @@
 
 
 class LimitUnit(Enum):
-    """What a tenant's limit counts."""
+    """Unit of a tenant's limit."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
-    """Prompt tokens and the most that may be generated."""
+    """Prompt tokens plus the maximum number of generated tokens."""
 
 
 class TenantLimit(msgspec.Struct, frozen=True):
-    """What a tenant may use, over all gateways together.
+    """A tenant's rate limit, over all gateways together.
 
     Attributes:
-        per_second: Units a second, above 0.
-        burst: Units that may be saved up beside that.
-        unit: What is counted.
-        undeclared_tokens: Tokens of a request that doesn't declare its own.
+        per_second: Units per second, above 0.
+        burst: Burst capacity in units.
+        unit: Unit that is counted.
+        undeclared_tokens: Tokens charged for a request that doesn't declare its own.
     """
 
     per_second: float
@@ -126,12 +127,12 @@
 
 
 class LimitTolerance(msgspec.Struct, frozen=True):
-    """How far all gateways together may go beyond a limit.
+    """How far all gateways together may exceed a limit.
 
     Attributes:
-        window_seconds: What is used is judged in each window of this length.
-        overage: Share of a window's limit by which it may be exceeded.
-        slack: Units beyond that.
+        window_seconds: Length of the windows in which usage is compared with the limit.
+        overage: Fraction of a window's limit by which it may be exceeded.
+        slack: Additional units by which it may be exceeded.
     """
 
     window_seconds: float = 8.0
@@ -144,11 +145,11 @@
 
     Attributes:
         name: Unique name.
-        keys: Keys that are valid now.
-        priority: Rank, 0 the highest; goes before a route's.
-        isolated: Shares no kept prompt state with other tenants.
-        limit: What it may use, None for no limit.
-        limit_problem: Why a limit that the operator gave can't be kept; empty for none.
+        keys: API keys that are currently valid.
+        priority: Priority, 0 the highest; overrides a route's.
+        isolated: Shares no cached prompt state with other tenants.
+        limit: Rate limit, None for no limit.
+        limit_problem: Why the operator's limit can't be enforced; empty for none.
     """
 
     name: str
@@ -160,7 +161,7 @@
 
 
 class ExchangeConfiguration(msgspec.Struct, frozen=True):
-    """One version of the operator's configuration, whole."""
+    """One complete version of the operator's configuration."""
 
     version: int
     routes: tuple[RouteRecord, ...] = ()
@@ -170,17 +171,17 @@
 
 
 class InstanceRecord(msgspec.Struct, frozen=True):
-    """One incarnation of a server as the discovery shows it.
+    """One incarnation of a server as reported by service discovery.
 
     Attributes:
-        name: Name of the server; it may start again under it.
+        name: Name of the server; a restarted server may have the same one.
         service: Service that it belongs to.
         address: `host:port`.
         zone: Zone of its machine.
-        draining: It is about to leave.
-        weight_versions: Model -> version of the weights that it has.
-        started_ms: Moment of its start by its own clock, in Unix milliseconds; 0 when it isn't
-            told. A later one is another incarnation, which knows nothing of the one before.
+        draining: It is about to shut down.
+        weight_versions: Model -> version of the weights that it has loaded.
+        started_ms: Start time by its own clock, in Unix milliseconds; 0 when not given. A later
+            start is another incarnation, which has no state of the previous one.
     """
 
     name: str
@@ -193,7 +194,7 @@
 
 
 class ModelTarget(msgspec.Struct, frozen=True):
-    """The newest named version of a model's weights."""
+    """The latest released version of a model's weights."""
 
     model: str
     version: int
--- a/src/milletcourse/exchange/messages/signal_headers.py
+++ b/src/milletcourse/exchange/messages/signal_headers.py
@@ -1,4 +1,4 @@
-"""Reads what servers say of themselves in the heads of their answers; no input/output."""
+"""Parses the header fields by which servers report their own state; no input/output."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 import msgspec
 
 MAX_LIMIT_PER_SECOND = 1e6
-"""A greater limit is read as this one: no server gets more."""
+"""A greater limit is read as this one; no server receives more requests."""
 MAX_NUMBER_CHARACTERS = 32
-"""A longer number is none that a server could mean."""
+"""A longer number is treated as malformed."""
 MAX_LOGGED_BYTES = 64
-"""Of a field that can't be read, logs show no more."""
+"""Logs show at most this much of a field that can't be parsed."""
 MAX_BACK_OFF_SECONDS = 24 * 3600.0
-"""A longer rest is read as this one."""
+"""A longer back-off is read as this one."""
 LEAVING_VALUE = b"1"
 STAYING_VALUE = b"0"
 _DECIMAL = re.compile(rb"\d+(\.\d*)?|\.\d+")
 
 
 class LimitHeader(msgspec.Struct, frozen=True):
-    """What the head of an answer says of its server's limit.
+    """The request limit that a server reports in an answer.
 
     Attributes:
-        per_second: Requests a second that it takes from all gateways together, None for no limit.
-        unreadable: Beginning of what it says when that is no limit; empty otherwise.
+        per_second: Requests per second that the server accepts from all gateways together, None
+            for no limit.
+        unreadable: Beginning of a value that can't be parsed as a limit; empty otherwise.
     """
 
     per_second: float | None = None
@@ -36,10 +37,10 @@
 
 
 def read_limit(values: Sequence[bytes]) -> LimitHeader:
-    """Understand a limit.
+    """Parses a request limit.
 
     Args:
-        values: Values of all fields of that name; servers that agree with themselves send one.
+        values: Values of all fields of that name; more than one distinct value is malformed.
     """
     distinct = sorted({value.strip() for value in values})
     if not distinct:
@@ -50,11 +51,11 @@
 
 
 class BackOffHeader(msgspec.Struct, frozen=True):
-    """What the head of a refusal says of the rest that its server wants.
+    """The back-off that a server requests in a refusal.
 
     Attributes:
-        seconds: For how long it wants nothing more, None when it doesn't say.
-        unreadable: Beginning of what it says when that is no time; empty otherwise.
+        seconds: Time for which the server wants no requests, None when it requests no back-off.
+        unreadable: Beginning of a value that can't be parsed as a time; empty otherwise.
     """
 
     seconds: float | None = None
@@ -65,11 +66,11 @@
 
 
 def read_back_off(values: Sequence[bytes]) -> BackOffHeader:
-    """Understand a rest in seconds; dates are no use between clocks that differ.
+    """Parses a back-off in seconds; dates are not supported, since clocks differ.
 
     Args:
-        values: Values of all fields of that name; of several times the longest is meant, which
-            keeps to all of them.
+        values: Values of all fields of that name; of several times the longest applies, which
+            satisfies all of them.
     """
     distinct = sorted({value.strip() for value in values})
     if not distinct:
@@ -81,11 +82,11 @@
 
 
 class LeavingHeader(msgspec.Struct, frozen=True):
-    """Whether the head of an answer says that its server leaves.
+    """Whether a server reports in an answer that it is shutting down.
 
     Attributes:
-        is_leaving: It does.
-        unreadable: Beginning of what it says when that is neither yes nor no; empty otherwise.
+        is_leaving: The server is shutting down.
+        unreadable: Beginning of a value that is neither yes nor no; empty otherwise.
     """
 
     is_leaving: bool = False
@@ -96,10 +97,10 @@
 
 
 def read_leaving(values: Sequence[bytes]) -> LeavingHeader:
-    """Understand whether a server leaves.
+    """Parses whether a server is shutting down.
 
     Args:
-        values: Values of all fields of that name; one that says so is enough.
+        values: Values of all fields of that name; a single positive value is enough.
     """
     distinct = sorted({value.strip() for value in values})
     if LEAVING_VALUE in distinct:
--- a/src/milletcourse/exchange/messages/store_position.py
+++ b/src/milletcourse/exchange/messages/store_position.py
@@ -1,8 +1,8 @@
-"""Places in the history of the object store; no input/output.
+"""Positions in the history of the object store; no input/output.
 
-The store may come back from a copy that is some seconds old. What it had acknowledged since then is
-gone, and its revisions are given out again, so a revision alone doesn't tell which of two states is
-the later one. Each time its era rises, and era and revision together do.
+The store may be restored from a snapshot that is some seconds old. Writes acknowledged since that
+snapshot are lost and their revisions are assigned again, so a revision alone doesn't order two
+states. Each restore increments the era; era and revision together order all states.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 import msgspec
 
 UNKNOWN_ERA = -1
-"""Of a store that doesn't tell its era; it counts as a former one of any that is told."""
+"""Era of a store that doesn't report one; it is ordered before every reported era."""
 
 
 class StorePosition(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """A state of the store, or a change of an object; ordered as the store went through them.
+    """Position of a store state or of an object change; ordered by the store's history.
 
     Attributes:
-        era: How often the store has come back from an older copy, as it counts.
-        revision: Its counter of changes, which goes back with it.
+        era: The store's count of restores from an older snapshot.
+        revision: The store's change counter, which a restore sets back.
     """
 
     era: int
--- a/src/milletcourse/exchange/rollout/__init__.py
+++ b/src/milletcourse/exchange/rollout/__init__.py
@@ -1,5 +1,5 @@
-"""When servers take new weights, and which versions may start work.
+"""Rollout of model weights: when servers load new versions, and which versions may start work.
 
-Named versions and reports come in; orders and permissions go out. It may import servers and what is
-below it.
+Inputs are released versions and server reports, outputs are orders and permissions. It may import
+servers and the layers below.
 """
--- a/src/milletcourse/exchange/rollout/rollout_timing.py
+++ b/src/milletcourse/exchange/rollout/rollout_timing.py
@@ -1,9 +1,9 @@
-"""Whether a server takes named weights now or waits for a version that may follow; no input/output.
+"""Decides whether a server loads released weights now or waits for the next version; no I/O.
 
-Waiting saves a load, and the kept prompt state that it drops, when another version is named soon:
-both are then taken at once. Meanwhile the server's requests are answered by superseded weights. The
-two are weighed by what is observed: requests that the server answers, and how often versions are
-named.
+A load drops the server's cached prompt state. When another version is released soon, waiting saves
+one load, since a single load then covers both versions. Meanwhile superseded weights answer the
+server's requests. The decision compares the two costs from the server's observed request rate and
+the observed interval between releases.
 """
 
 from __future__ import annotations
@@ -11,40 +11,40 @@
 from collections import deque
 
 SUPERSEDED_COST = 0.2
-"""Loss, in requests, by one that is answered by superseded weights: a fifth of its worth."""
+"""Cost, in requests, of one request answered by superseded weights: a fifth of its value."""
 LOAD_COST_REQUESTS = 2.0
-"""What a load costs, in requests: the load itself, and shared prompts that are read again after it.
-Two whole requests stand against ten that are answered by superseded weights."""
+"""Cost of a load, in requests: the load itself, and shared prompts that are processed again after
+it. Two whole requests weigh as much as ten that are answered by superseded weights."""
 GRACE_SECONDS = 1.5
-"""An answer by weights that were superseded more recently than this is as good as any."""
+"""An answer by weights that were superseded more recently than this counts as current."""
 REMEMBERED_RELEASES = 4
-"""Versions whose intervals count."""
+"""Number of latest releases whose intervals are averaged."""
 
 
 class ReleaseCadence:
-    """Tells from the moments at which versions were named when the next one is to be expected."""
+    """Estimates from past release times when the next version is released."""
 
     def __init__(self) -> None:
         self._released_at: deque[float] = deque(maxlen=REMEMBERED_RELEASES)
 
     def on_release(self, now: float) -> None:
-        """A version was named."""
+        """Records the release of a version."""
         self._released_at.append(now)
 
     def seconds_to_next(self, now: float, usual_seconds: float) -> float:
-        """Expected time until the next version is named; 0 before the first.
+        """Expected time until the next release; 0 before the first one.
 
         Args:
             now: Monotonic time.
-            usual_seconds: Interval that is assumed beside the observed ones, and while there are
-                none.
+            usual_seconds: Default interval; it is averaged with the observed intervals, and is the
+                estimate while there are none.
         """
         if not self._released_at:
             return 0.0
         observed = self._released_at[-1] - self._released_at[0]
         interval = (observed + usual_seconds) / len(self._released_at)
         elapsed = now - self._released_at[-1]
-        # Once the rhythm is broken, the pause goes on for as long as it has lasted already.
+        # An overdue release is expected after as much time again as has already elapsed.
         return interval - elapsed if elapsed < interval else elapsed
 
 
@@ -54,13 +54,13 @@
     seconds_since_superseded: float,
     load_seconds: float,
 ) -> bool:
-    """Whether a load now costs less than the superseded answers that waiting would give.
+    """Whether a load now costs less than the superseded answers that waiting would produce.
 
     Args:
-        requests_per_second: What the server answers.
-        seconds_to_next: Expected time until the next version is named.
-        seconds_since_named: Time since the server's version was superseded.
-        load_seconds: Time of a load.
+        requests_per_second: Request rate of the server.
+        seconds_to_next: Expected time until the next version is released.
+        seconds_since_superseded: Time since the server's version was superseded.
+        load_seconds: Duration of a load.
     """
     grace_left = GRACE_SECONDS - seconds_since_superseded - load_seconds
     superseded_seconds = seconds_to_next - max(grace_left, 0.0)
--- a/src/milletcourse/exchange/rollout/weight_rollout.py
+++ b/src/milletcourse/exchange/rollout/weight_rollout.py
@@ -1,10 +1,10 @@
-"""Moves servers onto named weight versions by fenced orders; no input/output.
+"""Moves servers to released weight versions by fenced orders; no input/output.
 
-Each load is priced and drops what a server kept, so an order is given only when it is worth more
-than waiting for a version that may follow, or when waiting longer could miss a bound; a version
-named meanwhile is then taken in the same load. Orders that got no
-answer may be carried out late: they carry the expected number of orders taken, so that a late one
-is refused by the server once another was taken.
+Each load has a cost and drops the server's cached prompt state. An order is therefore given only
+when a load now is worth more than waiting for the next version, or when waiting longer could miss a
+deadline; a version released in the meantime is included in the same load. A server may carry out an
+unanswered order late. Each order therefore carries the expected number of orders that the server
+has accepted, so that the server refuses a late order once it has accepted another one.
 """
 
 from __future__ import annotations
@@ -20,41 +20,41 @@
 from milletcourse.exchange.servers.instance_table import Instance
 
 SAFETY_SECONDS = 1.6
-"""The last load is planned to end this long before the bound."""
+"""The last load is planned to end this long before the deadline."""
 INITIAL_LOAD_SECONDS = 0.8
-"""Assumed time of one load with its order, until one was measured."""
+"""Assumed duration of one load including its order, until one has been measured."""
 LOAD_TIME_SMOOTHING = 0.3
 MAX_LOAD_SECONDS = 2.5
-"""Longer loads were held up by something else, and don't count fully."""
+"""Longer loads were delayed by something else and count as this long."""
 FIRST_POLL_FRACTION = 0.85
-"""A load is first looked at after this share of its usual time."""
+"""A load is first polled after this fraction of its usual duration."""
 POLL_INTERVAL_SECONDS = 0.12
 UNANSWERED_SECONDS = 0.4
-"""An order without an answer is looked into after this time."""
+"""The server is polled about an unanswered order after this time."""
 STUCK_SECONDS = 3.0
-"""A taken order that did not end by now is given up and looked into again."""
+"""An accepted order that has not completed after this time is abandoned, and polled again."""
 RETRY_PAUSE_SECONDS = 0.4
-"""A server that refused an order or did not answer is asked again after this time."""
+"""A server that refused an order or did not answer is retried after this time."""
 
 
 class RunningWork(Enum):
-    """What happens to requests that run when a server takes new weights."""
+    """What happens to running requests when a server loads new weights."""
 
     WAIT = "wait"
-    """They end first; new ones are turned away meanwhile."""
+    """The server lets them finish first and rejects new ones meanwhile."""
     ABORT = "cut"
-    """Their streams are cut."""
+    """The server aborts their streams."""
     KEEP = "keep"
-    """They go on under the new weights."""
+    """They continue under the new weights."""
 
 
 RUNNING_WORK = RunningWork.KEEP
-"""Measured best on both of the users' fleets. What such a request leaves behind stands under the
-salt of the older version, which no later request of that server names."""
+"""`KEEP` gives the best results on both of the users' fleets. Prompt state that such a request adds
+to the cache has the salt of the older version, which no later request at that server uses."""
 
 
 class OrderReply(Enum):
-    """What a server said to an order."""
+    """A server's reply to an order."""
 
     ACCEPTED = "taken"
     ALREADY_LOADED = "holds"
@@ -67,16 +67,16 @@
 
 
 class WeightOrder(msgspec.Struct, frozen=True):
-    """An order to one server to take a version of a model's weights.
+    """An order to one server to load a version of a model's weights.
 
     Attributes:
-        instance: Incarnation that must take it.
+        instance: Incarnation that must carry it out.
         address: Its `host:port`.
         model: Model.
-        version: Version to take.
+        version: Version to load.
         holder: Name of the lease holder.
         fencing_token: Token of the holder's term.
-        expected_sequence: Orders that the server must have taken before.
+        expected_sequence: Number of orders that the server must have accepted before.
         running_work: What happens to running requests.
     """
 
@@ -91,13 +91,13 @@
 
 
 class ServerReport(msgspec.Struct, frozen=True):
-    """A server's own state.
+    """A server's self-reported state.
 
     Attributes:
         weight_versions: Model -> version.
-        busy: An order is under way.
-        sequence: Orders taken since its start.
-        started_ms: Its start by its own clock, in Unix milliseconds; 0 when it isn't told.
+        busy: An order is in progress.
+        sequence: Number of orders accepted since its start.
+        started_ms: Its start by its own clock, in Unix milliseconds; 0 when not given.
     """
 
     weight_versions: dict[str, int]
@@ -107,16 +107,16 @@
 
 
 class _Phase(Enum):
-    """How far a load has come."""
+    """Progress of a load."""
 
     POLLING = "looking"
-    """The server's report is wanted before the order: it tells the orders taken so far."""
+    """The server's report is required before the order; it gives the number of accepted orders."""
     READY = "ready"
-    """The report is there; the order may be given."""
+    """The report has arrived; the order may be given."""
     ORDERED = "ordered"
-    """The order was sent; its answer is not known, or is lost."""
+    """The order was sent; its answer is outstanding or lost."""
     LOADING = "taken"
-    """The server takes the weights."""
+    """The server loads the weights."""
 
 
 class _Load(msgspec.Struct):
@@ -129,7 +129,7 @@
 
 
 RequestRate = Callable[[Instance], float]
-"""Requests that all gateways together send to a server in a second."""
+"""Returns the requests per second that all gateways together send to a server."""
 
 
 class WeightRollout:
@@ -140,17 +140,18 @@
         gate: VersionGate,
         request_rate: RequestRate,
         is_leaving: Callable[[Instance], bool],
-        is_resting: Callable[[Instance], bool],
+        is_backing_off: Callable[[Instance], bool],
     ) -> None:
-        """No load under way.
+        """Starts without any load in progress.
 
         Args:
-            gate: What versions are named.
-            request_rate: Tells what a server is worth while others load.
-            is_leaving: Whether a server is about to end, so that it needs no weights.
-            is_resting: Whether a server wants no work from here: only a bound makes it load then.
+            gate: Released versions.
+            request_rate: Request rate of a server, by which a load is weighed against waiting.
+            is_leaving: Whether a server is about to shut down, so that it needs no weights.
+            is_backing_off: Whether a server wants no requests from this gateway; it then loads
+                only to meet a deadline.
         """
-        self._is_resting = is_resting
+        self._is_backing_off = is_backing_off
         self._is_leaving = is_leaving
         self._gate = gate
         self._request_rate = request_rate
@@ -160,13 +161,13 @@
         self.load_seconds = INITIAL_LOAD_SECONDS
 
     def has_work(self, instances: Iterable[Instance]) -> bool:
-        """Whether a server has an older version than the newest."""
+        """Whether a load is in progress or some server lacks the latest version."""
         return bool(self._loads) or any(self._pending_model(item) for item in instances)
 
     def next_orders(
         self, instances: Iterable[Instance], now: float, holder: str, fencing_token: int
     ) -> list[WeightOrder]:
-        """Orders to give now."""
+        """Starts due loads and returns the orders to send now."""
         known = list(instances)
         names = {instance.name for instance in known}
         for name in [name for name in self._loads if name not in names]:
@@ -189,7 +190,7 @@
         return load is not None and load.phase is _Phase.READY
 
     def _waiting(self, instances: list[Instance], now: float) -> list[tuple[float, Instance, str]]:
-        """Servers that need an order, by the bound of the version that they have."""
+        """Servers that need an order, sorted by the deadline of the version that they have."""
         waiting = []
         for instance in instances:
             model = self._pending_model(instance)
@@ -197,43 +198,43 @@
                 continue
             if now < self._not_before.get(instance.name, float("-inf")):
                 continue
-            bound = self._gate.bound_of(model, instance.version(model) or 0)
-            waiting.append((bound if bound is not None else now, instance, model))
+            deadline = self._gate.deadline_of(model, instance.version(model) or 0)
+            waiting.append((deadline if deadline is not None else now, instance, model))
         waiting.sort(key=lambda item: (item[0], item[1].name))
         return waiting
 
     def _next_load(
         self, waiting: list[tuple[float, Instance, str]], servers: int, now: float
     ) -> int | None:
-        """Index of the server that takes weights next, None when none does now.
+        """Index of the server that loads weights next, None when none does now.
 
-        What a bound asks for keeps to the number that is sure not to slow loads down; only where
-        there is time left are more tried.
+        Loads that a deadline requires stay within the concurrency that is known not to slow loads
+        down; higher concurrency is tried only when time remains.
         """
         base = self._window.base_size(servers)
-        if len(self._loads) < base and self._is_due(waiting, base, now):
+        if len(self._loads) < base and self._is_deadline_near(waiting, base, now):
             return 0
         if len(self._loads) < self._window.size(servers):
             return self._first_worth_loading(waiting, now)
         return None
 
-    def _is_due(
+    def _is_deadline_near(
         self, waiting: list[tuple[float, Instance, str]], parallel: int, now: float
     ) -> bool:
-        """Whether some server would miss its bound if no order were given now."""
+        """Whether some server would miss its deadline if no order were given now."""
         rounds_running = 1 if self._loads else 0
-        for index, (bound, _, _) in enumerate(waiting):
+        for index, (deadline, _, _) in enumerate(waiting):
             rounds = index // parallel + 1 + rounds_running
-            if bound - rounds * self.load_seconds - SAFETY_SECONDS <= now:
+            if deadline - rounds * self.load_seconds - SAFETY_SECONDS <= now:
                 return True
         return False
 
     def _first_worth_loading(
         self, waiting: list[tuple[float, Instance, str]], now: float
     ) -> int | None:
-        """Index of the first server that had better not wait for a version that may follow."""
+        """Index of the first server for which a load now is worth more than waiting."""
         for index, (_, instance, model) in enumerate(waiting):
-            if self._is_resting(instance):
+            if self._is_backing_off(instance):
                 continue
             superseded_at = self._gate.superseded_at(model, instance.version(model) or 0)
             if superseded_at is not None and is_worth_loading(
@@ -274,7 +275,7 @@
     # -- what servers answer --------------------------------------------------------------------
 
     def on_reply(self, instance: Instance, reply: OrderReply, now: float) -> None:
-        """A server answered an order, or did not."""
+        """Handles a server's reply to an order, or the lack of one."""
         load = self._loads.get(instance.name)
         if load is None:
             return
@@ -292,7 +293,7 @@
             self._give_up(instance, now)
 
     def due_polls(self, instances: Iterable[Instance], now: float) -> list[Instance]:
-        """Servers whose report is wanted now."""
+        """Servers to poll for a report now."""
         wanted = []
         for instance in instances:
             load = self._loads.get(instance.name)
@@ -306,7 +307,7 @@
         return wanted
 
     def on_report(self, instance: Instance, report: ServerReport | None, now: float) -> None:
-        """A server's report arrived, or None when it did not."""
+        """Handles a server's report; `report` is None when the poll failed."""
         load = self._loads.get(instance.name)
         if report is not None:
             for model, version in report.weight_versions.items():
@@ -337,12 +338,12 @@
         self._window.on_load(spent)
 
     def on_restarted(self, before: Instance) -> None:
-        """A server has started again: it knows nothing of its order, and counts anew."""
+        """Handles a server's restart: its order is lost, and its order count starts again at 0."""
         self._loads.pop(before.name, None)
         self._not_before.pop(before.name, None)
 
     def reset(self) -> None:
-        """The lease was lost: forget what was ordered."""
+        """Discards all loads after the lease was lost."""
         self._loads.clear()
         self._not_before.clear()
 
