--- a/src/milletcourse/exchange/counting/recent_use.py
+++ b/src/milletcourse/exchange/counting/recent_use.py
@@ -13,18 +13,18 @@
     """Units used within a sliding window."""
 
     def __init__(self) -> None:
-        self._spent: deque[tuple[float, float]] = deque()
+        self._used: deque[tuple[float, float]] = deque()
         self._sum = 0.0
 
     def add(self, units: float, now: float) -> None:
         """Records used units; a negative number is a refund."""
-        self._spent.append((now, units))
+        self._used.append((now, units))
         self._sum += units
 
     def per_second(self, now: float) -> float:
         """Units per second; each unit counts fully for `RATE_WINDOW_SECONDS`, then not at all."""
-        while self._spent and now - self._spent[0][0] >= RATE_WINDOW_SECONDS:
-            self._sum -= self._spent.popleft()[1]
-        if not self._spent:
+        while self._used and now - self._used[0][0] >= RATE_WINDOW_SECONDS:
+            self._sum -= self._used.popleft()[1]
+        if not self._used:
             self._sum = 0.0
         return self._sum / RATE_WINDOW_SECONDS
--- a/src/milletcourse/exchange/load/signal_record.py
+++ b/src/milletcourse/exchange/load/signal_record.py
@@ -130,8 +130,8 @@
 
     def is_reported(self, now: float) -> bool:
         """Whether it is reported to others; a back-off isn't, as it concerns one gateway only."""
-        is_leaving_told = 0.0 <= now - self.leaving_at < LEAVING_REPORT_SECONDS
-        return self.limit_seen_at > float("-inf") or is_leaving_told
+        is_shutdown_reported = 0.0 <= now - self.leaving_at < LEAVING_REPORT_SECONDS
+        return self.limit_seen_at > float("-inf") or is_shutdown_reported
 
     def is_expired(self, now: float) -> bool:
         """Whether its latest signal and back-off ended longer ago than `TOMBSTONE_SECONDS`."""
@@ -178,5 +178,5 @@
     kept_away: int
 
 
-def _age_ms(said_at: float, now: float) -> int:
-    return round(min(max((now - said_at) * 1000.0, 0.0), float(MAX_AGE_MS)))
+def _age_ms(seen_at: float, now: float) -> int:
+    return round(min(max((now - seen_at) * 1000.0, 0.0), float(MAX_AGE_MS)))
--- a/src/milletcourse/exchange/messages/event_stream.py
+++ b/src/milletcourse/exchange/messages/event_stream.py
@@ -29,7 +29,7 @@
         return whole
 
     def take_remainder(self) -> bytes:
-        """Removes and returns the bytes after the last blank line of a stream that ended regularly."""
+        """Removes and returns the bytes after the last blank line of a complete stream."""
         remainder = self._partial
         self._partial = b""
         return remainder
--- a/src/milletcourse/exchange/rollout/weight_rollout.py
+++ b/src/milletcourse/exchange/rollout/weight_rollout.py
@@ -173,9 +173,9 @@
         for name in [name for name in self._loads if name not in names]:
             del self._loads[name]
         served = [instance for instance in known if instance.record.weight_versions]
-        waiting = self._waiting(served, now)
-        while (chosen := self._next_load(waiting, len(served), now)) is not None:
-            _, instance, model = waiting.pop(chosen)
+        pending = self._pending_servers(served, now)
+        while (chosen := self._next_load(pending, len(served), now)) is not None:
+            _, instance, model = pending.pop(chosen)
             version = self._gate.newest(model)
             assert version is not None
             self._loads[instance.name] = _Load(model, version, now, now)
@@ -189,9 +189,11 @@
         load = self._loads.get(instance.name)
         return load is not None and load.phase is _Phase.READY
 
-    def _waiting(self, instances: list[Instance], now: float) -> list[tuple[float, Instance, str]]:
+    def _pending_servers(
+        self, instances: list[Instance], now: float
+    ) -> list[tuple[float, Instance, str]]:
         """Servers that need an order, sorted by the deadline of the version that they have."""
-        waiting = []
+        pending = []
         for instance in instances:
             model = self._pending_model(instance)
             if model is None or instance.name in self._loads or self._is_leaving(instance):
@@ -199,12 +201,12 @@
             if now < self._not_before.get(instance.name, float("-inf")):
                 continue
             deadline = self._gate.deadline_of(model, instance.version(model) or 0)
-            waiting.append((deadline if deadline is not None else now, instance, model))
-        waiting.sort(key=lambda item: (item[0], item[1].name))
-        return waiting
+            pending.append((deadline if deadline is not None else now, instance, model))
+        pending.sort(key=lambda item: (item[0], item[1].name))
+        return pending
 
     def _next_load(
-        self, waiting: list[tuple[float, Instance, str]], servers: int, now: float
+        self, pending: list[tuple[float, Instance, str]], servers: int, now: float
     ) -> int | None:
         """Index of the server that loads weights next, None when none does now.
 
@@ -212,28 +214,28 @@
         down; higher concurrency is tried only when time remains.
         """
         base = self._window.base_size(servers)
-        if len(self._loads) < base and self._is_deadline_near(waiting, base, now):
+        if len(self._loads) < base and self._is_deadline_near(pending, base, now):
             return 0
         if len(self._loads) < self._window.size(servers):
-            return self._first_worth_loading(waiting, now)
+            return self._first_worth_loading(pending, now)
         return None
 
     def _is_deadline_near(
-        self, waiting: list[tuple[float, Instance, str]], parallel: int, now: float
+        self, pending: list[tuple[float, Instance, str]], parallel: int, now: float
     ) -> bool:
         """Whether some server would miss its deadline if no order were given now."""
         rounds_running = 1 if self._loads else 0
-        for index, (deadline, _, _) in enumerate(waiting):
+        for index, (deadline, _, _) in enumerate(pending):
             rounds = index // parallel + 1 + rounds_running
             if deadline - rounds * self.load_seconds - SAFETY_SECONDS <= now:
                 return True
         return False
 
     def _first_worth_loading(
-        self, waiting: list[tuple[float, Instance, str]], now: float
+        self, pending: list[tuple[float, Instance, str]], now: float
     ) -> int | None:
         """Index of the first server for which a load now is worth more than waiting."""
-        for index, (_, instance, model) in enumerate(waiting):
+        for index, (_, instance, model) in enumerate(pending):
             if self._is_backing_off(instance):
                 continue
             superseded_at = self._gate.superseded_at(model, instance.version(model) or 0)
@@ -272,7 +274,7 @@
             expected_sequence=load.sequence,
         )
 
-    # -- what servers answer --------------------------------------------------------------------
+    # -- replies and reports of servers ---------------------------------------------------------
 
     def on_reply(self, instance: Instance, reply: OrderReply, now: float) -> None:
         """Handles a server's reply to an order, or the lack of one."""
@@ -333,9 +335,9 @@
     def _record_load_time(self, load: _Load, now: float) -> None:
         if load.phase is not _Phase.LOADING:
             return
-        spent = min(now - load.started_at, MAX_LOAD_SECONDS)
-        self.load_seconds += LOAD_TIME_SMOOTHING * (spent - self.load_seconds)
-        self._window.on_load(spent)
+        elapsed = min(now - load.started_at, MAX_LOAD_SECONDS)
+        self.load_seconds += LOAD_TIME_SMOOTHING * (elapsed - self.load_seconds)
+        self._window.on_load(elapsed)
 
     def on_restarted(self, before: Instance) -> None:
         """Handles a server's restart: its order is lost, and its order count starts again at 0."""
--- a/tests/exchange/load/test_load_exchange.py
+++ b/tests/exchange/load/test_load_exchange.py
@@ -1,4 +1,4 @@
-"""Gateways that tell each other their load: what they know, how much they send, what is lost."""
+"""Load exchange between gateways: knowledge of the fleet, message counts, and message loss."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("size", [1, 3, 7, 30])
 def test_each_gateway_knows_the_load_of_all_others(size: int) -> None:
-    """Exactly, a few ticks after it changed; also where a zone has its reader only."""
+    """Each gateway knows the exact load a few ticks after a change, also in zones of one gateway."""
     fleet = Fleet(size, size)
     for _ in range(4):
         fleet.shuffle_loads()
@@ -62,8 +62,8 @@
 
 
 @pytest.mark.parametrize(("servers", "sums"), [(45, 20), (300, 20), (1_000, 7), (3_000, 5)])
-def test_sums_of_many_servers_are_told_less_often(servers: int, sums: int) -> None:
-    """What a follower hears in a second doesn't grow with the servers without bound."""
+def test_sums_of_many_servers_are_sent_less_often(servers: int, sums: int) -> None:
+    """The traffic to a follower doesn't grow without bound with the number of servers."""
     reader = LoadExchange("reader")
     reader.set_gateways(["follower"], [])
     now, sent = 100.0, 0
@@ -77,8 +77,8 @@
     assert sent == pytest.approx(sums, abs=1)
 
 
-def test_without_a_reader_load_is_told_to_all_in_turn() -> None:
-    """And what a dead gateway told counts no longer."""
+def test_without_a_reader_load_is_gossiped_to_all() -> None:
+    """The load of a stopped gateway expires."""
     fleet = Fleet(9, 5)
     fleet.shuffle_loads()
     fleet.run(0.5)
@@ -86,9 +86,9 @@
     fleet.run(2 * STALE_SECONDS + 1.0)
     followers = [name for name in fleet.names if fleet.reader_of(name) == fleet.readers[0]]
     for name in followers:
-        for mine in followers:
-            if mine != name:
-                for load in fleet.loads[mine]:
+        for own in followers:
+            if own != name:
+                for load in fleet.loads[own]:
                     assert (
                         fleet.exchanges[name].others_load(load.key, fleet.now).running
                         >= load.running
@@ -99,17 +99,17 @@
         assert fleet.known(name) == fleet.expected(name)
 
 
-@pytest.mark.parametrize("teller", [0, 5])
-def test_notices_reach_every_gateway_and_go_in_no_circles(teller: int) -> None:
-    """Told by a reader or by a follower, also while a third of the messages is lost."""
-    fleet = Fleet(12, teller)
+@pytest.mark.parametrize("origin", [0, 5])
+def test_notices_reach_every_gateway_and_do_not_loop(origin: int) -> None:
+    """Notices of a reader or of a follower arrive even while a third of the messages is lost."""
+    fleet = Fleet(12, origin)
     fleet.loss = 0.3
     fleet.run(1.0)
     notice = ServerNotice("e-1", "model-1", 2, ServerState.LOADING)
-    fleet.exchanges[fleet.names[teller]].notify(notice)
+    fleet.exchanges[fleet.names[origin]].notify(notice)
     fleet.run(1.0)
     for name in fleet.names:
-        if name != fleet.names[teller]:
+        if name != fleet.names[origin]:
             assert any(notice in message.notices for message in fleet.heard[name])
     for name in fleet.names:
         fleet.heard[name].clear()
@@ -118,21 +118,21 @@
 
 
 def test_a_digest_of_another_reader_is_dropped() -> None:
-    """Only the reader that a gateway follows counts it in once."""
+    """Otherwise the load of a gateway could count twice: only its own reader includes it once."""
     fleet = Fleet(6, 2)
     fleet.shuffle_loads()
     fleet.run(0.5)
     follower = fleet.names[3]
     before = fleet.known(follower)
-    stranger = fleet.exchanges[fleet.readers[1]]
+    other_reader = fleet.exchanges[fleet.readers[1]]
     fleet.loads[fleet.readers[1]] = [InstanceLoad(1, 1, 1)]
-    for outgoing in stranger.tick(fleet.now + 1.0, fleet.loads[fleet.readers[1]], ""):
+    for outgoing in other_reader.tick(fleet.now + 1.0, fleet.loads[fleet.readers[1]], ""):
         if outgoing.message.scope.name == "FLEET":
             assert not fleet.exchanges[follower].on_message(outgoing.message, fleet.now)
     assert fleet.known(follower) == before
 
 
-# -- choices by many gateways with the same sums ------------------------------------------------
+# -- choices of many gateways with the same sums ------------------------------------------------
 
 
 def _selector(
@@ -158,7 +158,7 @@
 
 
 def test_gateways_with_the_same_sums_choose_different_servers() -> None:
-    """The least loaded server of all doesn't get the requests of all."""
+    """The least loaded server doesn't receive the requests of all gateways."""
     service = ServiceRecord("s", ("m",))
     chosen: dict[str, int] = {}
     for seed in range(60):
@@ -173,7 +173,7 @@
 
 
 def test_a_server_that_fails_several_gateways_gets_no_work_from_any() -> None:
-    """Each of them saw it fail once; none of them would eject it for that."""
+    """Each gateway sees a single failure, which alone doesn't eject the server."""
     fleet = Fleet(9, 3)
     key = short_key("e00")
     for name in fleet.names[3:6]:
@@ -183,18 +183,18 @@
     fleet.run(0.5)
     for seed, name in enumerate(fleet.names):
         selector, table = _selector(seed, 2, fleet.exchanges[name])
-        sick, other = table.get("e00"), table.get("e01")
-        assert sick is not None and other is not None
+        failing_server, other = table.get("e00"), table.get("e01")
+        assert failing_server is not None and other is not None
         if name in fleet.names[3:6]:
-            sick.health.on_result(AttemptResult.LOST, fleet.now)
-            assert not sick.health.is_ejected(fleet.now)
+            failing_server.health.on_result(AttemptResult.LOST, fleet.now)
+            assert not failing_server.health.is_ejected(fleet.now)
         other.in_flight = 30
         choice = selector.choose(ServiceRecord("s", ("m",)), _prompt(60), "scope", (), fleet.now)
         assert choice is not None and choice.instance is other
 
 
-def test_one_gateway_alone_makes_nobody_suspect_a_server() -> None:
-    """Its own link may be what is sick; nor do failures among many answers."""
+def test_failures_at_one_gateway_alone_cause_no_suspicion() -> None:
+    """The gateway's own link may be at fault. Failures among many answers cause none either."""
     health = ServerHealth()
     assert not health.is_suspected(ServerTally(MAX_TOLD_BAD, 0), 0.0)
     assert health.is_suspected(ServerTally(SUSPICION_BAD, 0), 0.0)
@@ -206,7 +206,8 @@
 
 
 def test_long_shared_parts_go_to_their_home_from_every_gateway() -> None:
-    """Whatever the sample; and a server that is believed to hold a prompt is compared."""
+    """The home server is chosen for any random sample; a server assumed to have the prompt cached
+    is compared with it."""
     service = ServiceRecord("s", ("m",))
     request = _prompt(8000)
     names = set()
--- a/tests/exchange/load/test_server_signals.py
+++ b/tests/exchange/load/test_server_signals.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves: how it is read, and how long it holds."""
+"""Self-reported state of servers: parsing of header fields, and how long signals apply."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 KEY = 7
 
 
-# -- reading --------------------------------------------------------------------------------------
+# -- parsing --------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -48,8 +48,8 @@
         ([b"9" * 30], MAX_BACK_OFF_SECONDS),
     ],
 )
-def test_a_rest_is_a_decimal_number_of_seconds(values: list[bytes], seconds: float) -> None:
-    """Of several the longest keeps to all."""
+def test_a_back_off_is_a_decimal_number_of_seconds(values: list[bytes], seconds: float) -> None:
+    """Of several values the longest applies, which satisfies all of them."""
     reading = read_back_off(values)
     assert reading.seconds == seconds
     assert not reading.unreadable
@@ -59,54 +59,52 @@
     "value",
     [b"", b"nan", b"-1", b"inf", b"1e308", b"9" * 300, b"Wed, 21 Oct 2026 07:28:00 GMT", b"\xff"],
 )
-def test_what_is_no_rest_is_not_believed(value: bytes) -> None:
-    """It is shown to operators in a few bytes."""
+def test_a_malformed_back_off_is_ignored(value: bytes) -> None:
+    """A short excerpt of it is kept for logs."""
     reading = read_back_off([value])
     assert reading.seconds is None
     assert 0 < len(reading.unreadable) <= MAX_LOGGED_BYTES
 
 
 @pytest.mark.parametrize(
-    ("values", "leaves"),
+    ("values", "is_leaving"),
     [([], False), ([b"1"], True), ([b" 1"], True), ([b"0"], False), ([b"0", b"1"], True)],
 )
-def test_one_field_that_says_that_a_server_leaves_is_enough(
-    values: list[bytes], leaves: bool
-) -> None:
-    """As no field at all says that it stays."""
+def test_one_positive_leaving_field_is_enough(values: list[bytes], is_leaving: bool) -> None:
+    """Without any field the server is not leaving."""
     reading = read_leaving(values)
-    assert reading.is_leaving is leaves
+    assert reading.is_leaving is is_leaving
     assert not reading.unreadable
 
 
 @pytest.mark.parametrize("value", [b"", b"yes", b"-1", b"1" * 300])
-def test_what_neither_says_leaving_nor_staying_is_shown(value: bytes) -> None:
-    """And changes nothing."""
+def test_a_malformed_leaving_field_is_logged(value: bytes) -> None:
+    """It doesn't mark the server as leaving."""
     reading = read_leaving([value])
     assert not reading.is_leaving
     assert 0 < len(reading.unreadable) <= MAX_LOGGED_BYTES
 
 
 @pytest.mark.parametrize(("status", "seconds"), [(503, 2.0), (429, 2.0), (200, None), (500, None)])
-def test_only_a_refusal_asks_for_rest(status: int, seconds: float | None) -> None:
-    """Elsewhere the field isn't about the server."""
+def test_only_a_refusal_requests_a_back_off(status: int, seconds: float | None) -> None:
+    """With other statuses the field doesn't describe the server."""
     fields = [HeaderField(b"Retry-After", b"2")]
     head = HeaderDialect(HeaderNames()).read_answer(status, b"", fields)
     assert head.back_off.seconds == seconds
 
 
-def test_an_answer_without_fields_says_nothing() -> None:
-    """As most do."""
+def test_an_answer_without_fields_has_no_signals() -> None:
+    """Most answers carry none of the fields."""
     head = HeaderDialect(HeaderNames()).read_answer(503, b"", [])
     assert head.back_off == NO_BACK_OFF
     assert head.leaving == NOT_LEAVING
 
 
-# -- how long it holds ----------------------------------------------------------------------------
+# -- lifetime of signals --------------------------------------------------------------------------
 
 
-def test_a_rest_ends_by_time_and_is_not_told_to_others() -> None:
-    """It was asked of one gateway."""
+def test_a_back_off_expires_and_is_not_reported_to_others() -> None:
+    """The server requested it from one gateway only."""
     signals = ServerSignals()
     assert signals.on_back_off(KEY, 3.0, 10.0)
     assert not signals.on_back_off(KEY, 1.0, 11.0)
@@ -117,8 +115,8 @@
     assert not signals.has_updates
 
 
-def test_that_a_server_leaves_holds_whatever_it_says_afterwards() -> None:
-    """Answers without the word may have been on their way."""
+def test_a_shutdown_applies_whatever_later_answers_report() -> None:
+    """Answers without the field may have been sent before the shutdown was reported."""
     signals = ServerSignals()
     assert signals.on_leaving(KEY, 1.0)
     assert not signals.on_leaving(KEY, 2.0)
@@ -128,8 +126,8 @@
     assert signals.signal(KEY, 1000.0) is Signal.LEAVING
 
 
-def test_a_leaving_server_that_is_on_no_list_is_remembered() -> None:
-    """A list that is read after an outage may be older than the word, and show it again."""
+def test_the_shutdown_of_an_unlisted_server_is_remembered() -> None:
+    """A list that is read after a store outage may be older than the report and list it again."""
     signals = ServerSignals()
     signals.on_leaving(KEY, 0.0)
     signals.expire(LEAVING_RETENTION_SECONDS - 1.0, set)
@@ -138,8 +136,8 @@
     assert signals.record(KEY) is None
 
 
-def test_gateways_tell_each_other_that_a_server_leaves() -> None:
-    """With the age of the first answer that said so, and for as long as it may be there."""
+def test_gateways_report_shutdowns_to_each_other() -> None:
+    """Reports carry the age of the first answer, and are sent for as long as the server may run."""
     here, there = ServerSignals(), ServerSignals()
     here.on_leaving(KEY, 10.0)
     assert here.has_updates
@@ -156,8 +154,8 @@
     assert not here.due_reports(10.0 + LEAVING_REPORT_SECONDS + 1.0, 1.0)
 
 
-def test_what_a_server_said_holds_when_its_start_becomes_known() -> None:
-    """An entry of another writer lacked it, and the identity in messages is another one then."""
+def test_signals_stay_when_the_start_of_a_server_becomes_known() -> None:
+    """An entry of another writer may lack the start time; the key changes when it becomes known."""
     table, signals = InstanceTable(), ServerSignals()
     table.on_renamed = signals.on_renamed
     record = InstanceRecord("s-1", "app", "127.0.0.1:1", "zone-1")
@@ -169,8 +167,8 @@
     assert signals.signal(instance.key, 2.0) is Signal.LEAVING
 
 
-def test_another_start_under_the_same_name_has_said_nothing() -> None:
-    """It took the place of the one that left."""
+def test_a_restart_under_the_same_name_has_no_signals() -> None:
+    """The new incarnation replaces the one that was shutting down."""
     table, signals = InstanceTable(), ServerSignals()
     table.on_renamed = signals.on_renamed
     table.upsert(InstanceRecord("s-1", "app", "127.0.0.1:1", "zone-1", started_ms=1700))
@@ -184,7 +182,7 @@
 
 
 @pytest.mark.parametrize("age", [-1, MAX_AGE_MS + 1])
-def test_absurd_ages_of_peers_are_refused(age: int) -> None:
-    """As bytes that are no message."""
+def test_out_of_range_ages_of_peers_are_rejected(age: int) -> None:
+    """They are rejected like bytes that are no message."""
     message = PeerMessage("g1", 1, signals=[SignalReport(KEY, None, 0, age)])
     assert decode_message(encode_message(message)) is None
