--- a/tests/exchange/load/test_load_exchange.py
+++ b/tests/exchange/load/test_load_exchange.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("size", [1, 3, 7, 30])
 def test_each_gateway_knows_the_load_of_all_others(size: int) -> None:
-    """Each gateway knows the exact load a few ticks after a change, also in zones of one gateway."""
+    """Each gateway knows the exact load a few ticks after a change, also in a zone of one."""
     fleet = Fleet(size, size)
     for _ in range(4):
         fleet.shuffle_loads()
