--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -211,7 +211,10 @@
         if message.step is PermitStep.GRANT:
             return GRANTED
         return UnitReply(
-            False, message.permit_wait_ms / 1000.0, message.retry_after_ms / 1000.0, message.askers
+            False,
+            message.permit_wait_ms / 1000.0,
+            message.retry_after_ms / 1000.0,
+            message.requesters,
         )
 
     # -- messages -------------------------------------------------------------------------------
