--- a/src/milletcourse/exchange/attempts/answer_rules.py
+++ b/src/milletcourse/exchange/attempts/answer_rules.py
@@ -22,7 +22,7 @@
             return AttemptResult.WRONG_INSTANCE
         return AttemptResult.WRONG_VERSION
     if head.not_executed:
-        return AttemptResult.TURNED_AWAY
+        return AttemptResult.REJECTED
     if head.encoded or head.status in NEVER_RUN_STATUSES:
         # Without the explicit not-executed marker the server may have run the request, so that the
         # status can't be forwarded as a guarantee.
--- a/src/milletcourse/exchange/attempts/attempt_plan.py
+++ b/src/milletcourse/exchange/attempts/attempt_plan.py
@@ -14,7 +14,7 @@
 """With less time left than this, another attempt could not answer in time."""
 MAX_SENDS = 4
 """Maximum number of servers tried for one request, including those that rejected it."""
-_POSSIBLE_RUNS = frozenset({AttemptResult.LOST, AttemptResult.FAILED, AttemptResult.CUT})
+_POSSIBLE_RUNS = frozenset({AttemptResult.LOST, AttemptResult.FAILED, AttemptResult.TRUNCATED})
 
 
 class NextStep(Enum):
--- a/src/milletcourse/exchange/limits/peer_usage.py
+++ b/src/milletcourse/exchange/limits/peer_usage.py
@@ -55,5 +55,5 @@
 
     def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
         """See `UsageSource`."""
-        limit_share = min(self._loads.heard_gateways(now) / self._gateways(), 1.0)
+        limit_share = min(self._loads.known_gateways(now) / self._gateways(), 1.0)
         return PeerUsage(self._loads.others_use(key, now), limit_share)
--- a/src/milletcourse/exchange/load/fleet_load.py
+++ b/src/milletcourse/exchange/load/fleet_load.py
@@ -1,4 +1,4 @@
-"""What a follower was told of the fleet by its reader, ready for look-ups; no input/output."""
+"""The fleet's load as a follower received it from its reader, indexed by key; no input/output."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class FleetLoad(msgspec.Struct, frozen=True):
-    """One message about the fleet.
+    """The fleet's load from one message.
 
     Attributes:
-        sequence: Number of the message.
-        heard_at: Monotonic time at which it came.
+        sequence: Sequence number of the message.
+        received_at: Monotonic time of its receipt.
         loads: Key of a server -> its load.
-        failing: Keys of the servers at which some gateway saw a failure lately.
-        uses: Key of a tenant -> what is spent for it.
-        gateways: How many gateways it tells of, the receiver included.
+        failing: Keys of the servers at which some gateway saw a failure recently.
+        uses: Key of a tenant -> its usage.
+        gateways: Number of gateways that it includes, counting the receiver.
     """
 
     sequence: int = 0
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
     loads: dict[int, InstanceLoad] = {}
     failing: frozenset[int] = frozenset()
     uses: dict[int, TenantUse] = {}
@@ -28,12 +28,12 @@
 
 
 def fleet_load(message: PeerMessage, now: float) -> FleetLoad:
-    """The fleet as a message tells it."""
+    """Indexes the load in a message with the scope of the fleet."""
     return FleetLoad(
         sequence=message.sequence,
-        heard_at=now,
+        received_at=now,
         loads={load.key: load for load in message.loads},
-        failing=frozenset(load.key for load in message.loads if load.bad),
+        failing=frozenset(load.key for load in message.loads if load.failures),
         uses={use.key: use for use in message.uses},
         gateways=message.gateways,
     )
--- a/src/milletcourse/exchange/load/server_notices.py
+++ b/src/milletcourse/exchange/load/server_notices.py
@@ -1,8 +1,8 @@
-"""Notices of servers' states on their way through the fleet; no input/output.
+"""Propagation of notices of server states through the fleet; no input/output.
 
-A notice is repeated against loss. What begins with a gateway, or with one that follows it, goes to
-the other readers and to its followers; what a reader tells goes to the followers only, so that
-nothing goes in circles.
+A notice is repeated in case messages are lost. A reader sends its own notices and those of its
+followers to the other readers and to its followers; it sends notices from other readers to its
+followers only, which prevents loops.
 """
 
 from __future__ import annotations
@@ -16,52 +16,56 @@
     ServerNotice,
 )
 
-PASSED_ON_SECONDS = 2.0
-"""A notice that was passed on isn't passed on again this long: its repetitions are over by then."""
+FORWARDED_TTL_SECONDS = 2.0
+"""A forwarded notice isn't forwarded again for this long; its repetitions end earlier."""
 
 
 class _Notice(msgspec.Struct):
     notice: ServerNotice
-    left: int
+    repeats_left: int
     to_readers: bool
 
 
 class ServerNotices:
-    """Notices that one gateway still has to tell."""
+    """Notices that one gateway still has to send."""
 
     def __init__(self) -> None:
-        self._waiting: list[_Notice] = []
-        self._passed_on: dict[ServerNotice, float] = {}
+        self._pending: list[_Notice] = []
+        self._forwarded_at: dict[ServerNotice, float] = {}
 
     def __bool__(self) -> bool:
-        """Whether there are some."""
-        return bool(self._waiting)
+        """Whether there are notices to send."""
+        return bool(self._pending)
 
     def add(self, notice: ServerNotice, to_readers: bool = True) -> None:
-        """Tell a notice; with `to_readers` false to followers only."""
-        self._waiting.append(_Notice(notice, NOTICE_REPEATS, to_readers))
+        """Queues a notice for sending; to followers only unless `to_readers` is set."""
+        self._pending.append(_Notice(notice, NOTICE_REPEATS, to_readers))
 
-    def pass_on(self, message: PeerMessage, now: float) -> bool:
-        """Tell others what a message says of servers; True when there is something new in it."""
+    def forward(self, message: PeerMessage, now: float) -> bool:
+        """Queues a message's notices for sending; returns True when some of them are new."""
         if message.scope is LoadScope.FLEET:
             return False
-        self._passed_on = {
-            notice: at for notice, at in self._passed_on.items() if now - at < PASSED_ON_SECONDS
+        self._forwarded_at = {
+            notice: forwarded_at
+            for notice, forwarded_at in self._forwarded_at.items()
+            if now - forwarded_at < FORWARDED_TTL_SECONDS
         }
-        new = [notice for notice in message.notices if notice not in self._passed_on]
+        new = [notice for notice in message.notices if notice not in self._forwarded_at]
         for notice in new:
-            self._passed_on[notice] = now
-            self.add(notice, to_readers=message.follows)
+            self._forwarded_at[notice] = now
+            self.add(notice, to_readers=message.is_follower)
         return bool(new)
 
-    def to_tell(self, scope: LoadScope) -> list[ServerNotice]:
-        """What belongs in a message of a scope."""
+    def due_notices(self, scope: LoadScope) -> list[ServerNotice]:
+        """Notices to include in a message of a scope."""
         return [
-            kept.notice for kept in self._waiting if kept.to_readers or scope is LoadScope.FLEET
+            pending.notice
+            for pending in self._pending
+            if pending.to_readers or scope is LoadScope.FLEET
         ]
 
-    def on_told(self) -> None:
-        """They were told once more."""
-        for kept in self._waiting:
-            kept.left -= 1
-        self._waiting = [kept for kept in self._waiting if kept.left > 0]
+    def on_sent(self) -> None:
+        """Records that all pending notices were sent once more."""
+        for pending in self._pending:
+            pending.repeats_left -= 1
+        self._pending = [pending for pending in self._pending if pending.repeats_left > 0]
--- /dev/null
+++ b/src/milletcourse/exchange/load/signal_record.py
@@ -0,0 +1,182 @@
+"""Record of one server's self-reported state; no input/output."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+import msgspec
+
+from milletcourse.exchange.messages.peer_messages import MAX_AGE_MS, SignalReport
+
+TOMBSTONE_SECONDS = 60.0
+"""A removed limit, or the state of a departed server, is remembered this long, so that older
+reports don't restore it."""
+LEAVING_REPORT_SECONDS = 120.0
+"""A server's shutdown is reported for this long; few servers take longer to exit."""
+SOURCE_ANSWER = "answer"
+SOURCE_PEER = "peer"
+SOURCE_ENTRY = "entry"
+"""Source of the information that a server is shutting down: an answer to this gateway, a report of
+another gateway, or the server's discovery entry."""
+
+
+class Signal(Enum):
+    """Why a server's self-reported state keeps requests away from it."""
+
+    LEAVING = "leaving"
+    """It is shutting down."""
+    BACKING_OFF = "resting"
+    """It rejected a request and wants no requests from this gateway for some time."""
+
+
+class LimitChange(Enum):
+    """How an answer of a server, or another gateway's report, changes the known limit."""
+
+    ADDED = "named"
+    CHANGED = "changed"
+    REMOVED = "ended"
+
+
+class ChangedSignal(msgspec.Struct, frozen=True):
+    """A change of a server's state that another gateway reported.
+
+    Attributes:
+        key: Key of the server's incarnation.
+        change: Change of its limit, None for no change.
+        per_second: Its limit in requests per second, None for none.
+        is_leaving: Its shutdown is newly reported.
+    """
+
+    key: int
+    change: LimitChange | None
+    per_second: float | None
+    is_leaving: bool
+
+
+class CurrentBackOff(msgspec.Struct, frozen=True):
+    """The current back-off of a server.
+
+    Attributes:
+        remaining_seconds: Time until its end.
+        total_seconds: Its total duration.
+    """
+
+    remaining_seconds: float
+    total_seconds: float
+
+
+class SignalRecord(msgspec.Struct):
+    """Latest self-reported state of one server.
+
+    Attributes:
+        per_second: Its limit in requests per second, None for no limit or a removed one.
+        limit_seen_at: Monotonic time of the answer that reported the limit or its removal; minus
+            infinity when none did.
+        leaving_at: When an answer first reported its shutdown; infinite when none did.
+        entry_leaving_at: When its discovery entry first reported its shutdown; infinite when it
+            didn't.
+        leaving_source: First source of its shutdown: `answer`, `peer` or `entry`; empty for none.
+        kept_away: Requests for which its shutdown or back-off excluded it as a candidate.
+        back_off_since: When it requested its current or last back-off from this gateway.
+        back_off_until: End of that back-off.
+        reports_left: Number of repetitions of a changed report that are still to be sent.
+        reported_at: When it was last reported to other gateways.
+    """
+
+    per_second: float | None = None
+    limit_seen_at: float = float("-inf")
+    leaving_at: float = float("inf")
+    entry_leaving_at: float = float("inf")
+    leaving_source: str = ""
+    kept_away: int = 0
+    back_off_since: float = float("-inf")
+    back_off_until: float = float("-inf")
+    reports_left: int = 0
+    reported_at: float = float("-inf")
+
+    @property
+    def first_leaving_at(self) -> float:
+        """When its shutdown was first reported by any source; infinite when it wasn't."""
+        return min(self.leaving_at, self.entry_leaving_at)
+
+    @property
+    def is_leaving(self) -> bool:
+        """Whether any source reported its shutdown."""
+        return self.first_leaving_at < float("inf")
+
+    @property
+    def last_signal_at(self) -> float:
+        """Time of its last limit report or first shutdown report; minus infinity for neither."""
+        return max(self.limit_seen_at, self.first_leaving_at if self.is_leaving else float("-inf"))
+
+    def signal(self, now: float) -> Signal | None:
+        """The signal that keeps requests away from it now, None for none."""
+        if self.is_leaving:
+            return Signal.LEAVING
+        return Signal.BACKING_OFF if now < self.back_off_until else None
+
+    def merge_from(self, other: SignalRecord) -> None:
+        """Merges the record of the same server under another key into this one."""
+        self.leaving_at = min(self.leaving_at, other.leaving_at)
+        self.entry_leaving_at = min(self.entry_leaving_at, other.entry_leaving_at)
+        self.leaving_source = self.leaving_source or other.leaving_source
+        if other.back_off_until > self.back_off_until:
+            self.back_off_since, self.back_off_until = other.back_off_since, other.back_off_until
+
+    def report(self, key: int, now: float) -> SignalReport:
+        """The report on this server for other gateways."""
+        leaving_ms = _age_ms(self.leaving_at, now) if self.leaving_at < float("inf") else None
+        return SignalReport(key, self.per_second, _age_ms(self.limit_seen_at, now), leaving_ms)
+
+    def is_reported(self, now: float) -> bool:
+        """Whether it is reported to others; a back-off isn't, as it concerns one gateway only."""
+        is_shutdown_reported = 0.0 <= now - self.leaving_at < LEAVING_REPORT_SECONDS
+        return self.limit_seen_at > float("-inf") or is_shutdown_reported
+
+    def is_expired(self, now: float) -> bool:
+        """Whether its latest signal and back-off ended longer ago than `TOMBSTONE_SECONDS`."""
+        return now - max(self.last_signal_at, self.back_off_until) > TOMBSTONE_SECONDS
+
+
+class ServerLimitState(msgspec.Struct, frozen=True):
+    """A gateway's view of a server's limit, for operators.
+
+    Attributes:
+        instance: Name of the server.
+        per_second: Requests per second that it accepts from all gateways together.
+        said: Seconds since an answer, here or at another gateway, last reported the limit.
+        lender: Gateway that grants the permits for the server.
+        standing: Role in which that gateway grants them: home, deputy or alone.
+    """
+
+    instance: str
+    per_second: float
+    said: float
+    lender: str
+    standing: str
+
+
+class ServerSignalState(msgspec.Struct, frozen=True):
+    """A server's self-reported state that keeps requests away from it, for operators.
+
+    Attributes:
+        instance: Name of the server.
+        service: Name of its service.
+        signal: The server is shutting down (`leaving`) or backing off (`resting`).
+        told_by: Source: `answer` of the server to this gateway, `peer` or `entry`.
+        said: Seconds since it was first reported.
+        left: Seconds until it ends; None for a server that is shutting down.
+        kept_away: Requests of this gateway that were sent elsewhere, or refused, because of it.
+    """
+
+    instance: str
+    service: str
+    signal: str
+    told_by: str
+    said: float
+    left: float | None
+    kept_away: int
+
+
+def _age_ms(seen_at: float, now: float) -> int:
+    return round(min(max((now - seen_at) * 1000.0, 0.0), float(MAX_AGE_MS)))
--- a/src/milletcourse/exchange/placement/server_candidates.py
+++ b/src/milletcourse/exchange/placement/server_candidates.py
@@ -63,7 +63,7 @@
         if not self._shares_suspicion:
             return False
         others = self._loads.others_load(instance.key, now)
-        return instance.health.is_suspected(ServerTally(others.bad, others.good), now)
+        return instance.health.is_suspected(ServerTally(others.failures, others.successes), now)
 
     def allowed(
         self, service: ServiceRecord, model: str, tried: Collection[str], now: float
@@ -88,7 +88,7 @@
         """Servers that may run it and accept requests according to their own reports."""
         allowed = self.allowed(service, model, tried, now)
         delayed = self._retry_delays.delayed(now)
-        signals = self._loads.signals.in_force((instance.key for instance in allowed), now)
+        signals = self._loads.signals.active_signals((instance.key for instance in allowed), now)
         return [
             instance
             for instance in allowed
--- a/src/milletcourse/gateway/operator_api.py
+++ b/src/milletcourse/gateway/operator_api.py
@@ -13,7 +13,7 @@
 from milletcourse.errors import NotFound
 from milletcourse.exchange.evidence.request_identity import identity_text
 from milletcourse.exchange.limits.tenant_limits import LimitState
-from milletcourse.exchange.load.known_server import ServerLimitState, ServerSignalState
+from milletcourse.exchange.load.signal_record import ServerLimitState, ServerSignalState
 from milletcourse.exchange.messages.messages import HeaderField
 from milletcourse.gateway.clients.client_connection import ClientConnection
 from milletcourse.gateway.clients.refusals import refuse
@@ -160,7 +160,7 @@
     metrics.contained.set(len(context.crash_evidence.containments(now)))
     metrics.limited_servers.set(len(context.server_signals.limited()))
     keys = [instance.key for instance in context.instances]
-    metrics.signalling_servers.set(len(context.server_signals.in_force(keys, now)))
+    metrics.signalling_servers.set(len(context.server_signals.active_signals(keys, now)))
     metrics.log_lines_left_out.set(context.log.left_out)
 
 
--- a/src/milletcourse/platform/orders.py
+++ b/src/milletcourse/platform/orders.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.messages import HeaderField
-from milletcourse.exchange.rollout.roll_out import (
+from milletcourse.exchange.rollout.weight_rollout import (
     OrderReply,
     RunningWork,
     ServerReport,
@@ -16,12 +16,12 @@
 
 _MANNERS = {
     RunningWork.WAIT: "wait",
-    RunningWork.CUT: "truncate",
+    RunningWork.ABORT: "truncate",
     RunningWork.KEEP: "retain",
 }
 _REPLIES = {
-    200: OrderReply.HOLDS,
-    202: OrderReply.TAKEN,
+    200: OrderReply.ALREADY_LOADED,
+    202: OrderReply.ACCEPTED,
     409: OrderReply.BUSY,
     412: OrderReply.FENCED,
     421: OrderReply.WRONG_INSTANCE,
--- a/tests/exchange/limits/test_tenant_limits.py
+++ b/tests/exchange/limits/test_tenant_limits.py
@@ -14,16 +14,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from gateway_harness import Harness, run_with_gateway
-from gateway_standin import (
-    ReceivedRequest,
-    StandinServer,
-    answer,
-    configuration,
-    serve_whole,
-)
+from gateway_standin import ReceivedRequest, StandinServer, answer, configuration, serve_whole
 from milletcourse.cli.experiment import read_sizes
 from milletcourse.errors import FailureError
-from milletcourse.exchange.counting.recent_use import TOLD_SECONDS, RecentUse
+from milletcourse.exchange.counting.recent_use import RATE_WINDOW_SECONDS, RecentUse
 from milletcourse.exchange.limits.peer_usage import SummedPeerUsage, UsageSource
 from milletcourse.exchange.limits.shared_bucket import INITIAL_FILL_SECONDS
 from milletcourse.exchange.limits.tenant_limits import MAX_WAIT_SECONDS, TenantLimits
@@ -36,12 +30,7 @@
     TenantLimit,
     TenantRecord,
 )
-from milletcourse.experiments.limit_model import (
-    LIMIT_PER_SECOND,
-    TOLERANCE,
-    LimitModel,
-    Trouble,
-)
+from milletcourse.experiments.limit_model import LIMIT_PER_SECOND, TOLERANCE, LimitModel, Trouble
 from milletcourse.experiments.limit_ways import EqualParts, Way
 from milletcourse.platform.documents import decode_configuration
 
@@ -110,7 +99,7 @@
     tenant = _tenant(unit)
     limits = _limits(tenant)
     assert limits.try_spend(tenant, _request(700 if declares else 0, declares), 5.0) is None
-    assert limits.tick(5.0)[0].per_second == units / TOLD_SECONDS
+    assert limits.tick(5.0)[0].per_second == units / RATE_WINDOW_SECONDS
 
 
 def test_requests_that_no_server_ran_are_refunded_and_each_further_run_counts() -> None:
@@ -123,7 +112,7 @@
         limits.settle(tenant, request, runs, 0.0)
         reported = limits.tick(0.0)
         assert (
-            sum(use.per_second for use in reported) * TOLD_SECONDS
+            sum(use.per_second for use in reported) * RATE_WINDOW_SECONDS
             == INITIAL_FILL_SECONDS * RATE - left
         )
 
--- a/tests/exchange/placement/test_server_candidates.py
+++ b/tests/exchange/placement/test_server_candidates.py
@@ -34,7 +34,7 @@
         """A server requests a back-off."""
         instance = self.table.get(name)
         assert instance is not None
-        self.loads.signals.on_rest(instance.key, BACKOFF_SECONDS, NOW)
+        self.loads.signals.on_back_off(instance.key, BACKOFF_SECONDS, NOW)
 
     def fail(self, name: str, result: AttemptResult) -> None:
         """Attempts at a server end with a result until it is avoided."""
@@ -50,7 +50,7 @@
         return sorted(instance.name for instance in found)
 
 
-@pytest.mark.parametrize("result", [AttemptResult.LOST, AttemptResult.TURNED_AWAY])
+@pytest.mark.parametrize("result", [AttemptResult.LOST, AttemptResult.REJECTED])
 def test_an_unhealthy_or_busy_server_is_preferred_to_one_in_back_off(result: AttemptResult) -> None:
     """A gateway's own judgement ranks servers; a server's own request excludes it."""
     servers = Servers()
@@ -59,7 +59,7 @@
     assert servers.chosen() == ["s-2"]
 
 
-@pytest.mark.parametrize("result", [AttemptResult.LOST, AttemptResult.TURNED_AWAY])
+@pytest.mark.parametrize("result", [AttemptResult.LOST, AttemptResult.REJECTED])
 def test_no_server_is_chosen_when_all_back_off_whatever_their_health(result: AttemptResult) -> None:
     """The request is then refused at once."""
     servers = Servers()
