--- a/src/milletcourse/experiments/baselines.py
+++ b/src/milletcourse/experiments/baselines.py
@@ -13,7 +13,7 @@
 from milletcourse.errors import Failure, NoEngineAvailable
 from milletcourse.experiments.arrivals import Arrival
 from milletcourse.experiments.cluster_model import ClusterModel, Flight
-from milletcourse.prefix.belief import BeliefIndex
+from milletcourse.prefix.cache_estimate import BeliefIndex
 from milletcourse.prefix.blocks import BLOCK_TOKENS
 from milletcourse.routing.home_ring import HomeRing
 from milletcourse.routing.load import LoadTable
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -19,7 +19,7 @@
     decode_message,
     encode_message,
 )
-from milletcourse.exchange.replication.store_reading import GatewayRecord
+from milletcourse.exchange.replication.reader_selection import GatewayRecord
 from milletcourse.exchange.rollout.roll_out import INITIAL_LOAD_SECONDS
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.state.context import GatewayContext
--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -10,7 +10,7 @@
 
 from milletcourse.exchange.evidence.crash_evidence import MAX_TOLD
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
-from milletcourse.exchange.replication.store_reading import GatewayRecord, ReadingPlan
+from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReadingPlan
 from milletcourse.gateway.adapter import PlatformAdapter
 from milletcourse.gateway.clients.client_connection import Handler
 from milletcourse.gateway.fleet.peers import PeerExchange
--- a/src/milletcourse/gateway/store/directory.py
+++ b/src/milletcourse/gateway/store/directory.py
@@ -10,7 +10,7 @@
 from milletcourse.exchange.evidence.request_identity import identity_text
 from milletcourse.exchange.messages.peer_messages import CrashEnd, CrashReport
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
-from milletcourse.exchange.replication.store_reading import GatewayRecord
+from milletcourse.exchange.replication.reader_selection import GatewayRecord
 from milletcourse.gateway.store.kind_mirror import IgnoringSink
 from milletcourse.gateway.store.object_store import UNREADABLE, ObjectChange, StoredObject
 from milletcourse.gateway.telling.event_log import EventLog
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -20,7 +20,7 @@
 )
 from milletcourse.exchange.messages.store_place import StorePlace
 from milletcourse.exchange.replication.pending_contents import FedUpdate, PendingContents
-from milletcourse.exchange.replication.store_reading import GatewayRecord, ReadingPlan
+from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReadingPlan
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.store.kind_mirror import KindMirror
--- a/src/milletcourse/gateway/store/store_sync.py
+++ b/src/milletcourse/gateway/store/store_sync.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from milletcourse.exchange.mechanisms import Mechanism
-from milletcourse.exchange.replication.store_reading import GatewayRecord, ReadingPlan
+from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReadingPlan
 from milletcourse.gateway.servers.call_client import CallClient
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.store.feed_client import QUICK_SECONDS, FeedClient, FeedOutcome
--- a/src/milletcourse/routing/selector.py
+++ b/src/milletcourse/routing/selector.py
@@ -17,9 +17,9 @@
 
 from milletcourse.errors import Failure, NoEngineAvailable
 from milletcourse.policy.compiled import BackendSet, CompiledPolicy, Permission
-from milletcourse.prefix.belief import DOUBTFUL_WEIGHT, BeliefIndex
+from milletcourse.prefix.cache_estimate import DOUBTFUL_WEIGHT, BeliefIndex
 from milletcourse.prefix.blocks import BLOCK_TOKENS, BlockHash, PromptBlocks
-from milletcourse.prefix.heat import HeatTracker
+from milletcourse.prefix.hot_prefixes import HeatTracker
 from milletcourse.routing.home_ring import HomeRing
 from milletcourse.routing.load import LoadTable
 from milletcourse.routing.parameters import RoutingParameters
--- a/tests/gateway/store/test_store_feed.py
+++ b/tests/gateway/store/test_store_feed.py
@@ -11,7 +11,7 @@
 from gateway_standin import configuration, serve_whole
 from milletcourse.exchange.messages.store_place import StorePlace
 from milletcourse.exchange.replication.pending_contents import FedUpdate
-from milletcourse.exchange.replication.store_reading import (
+from milletcourse.exchange.replication.reader_selection import (
     MAX_STARTING_SECONDS,
     SET_ASIDE_SECONDS,
     GatewayRecord,
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -24,7 +24,7 @@
     PlatformStamp,
 )
 from milletcourse.policy.objects import EngineSpec, ModelSpec
-from milletcourse.prefix.belief import BeliefIndex
+from milletcourse.prefix.cache_estimate import BeliefIndex
 from milletcourse.prefix.blocks import BLOCK_BYTES, block_chain, chain_root
 from milletcourse.routing.load import EngineLoadState
 from milletcourse.routing.load_digest import FOLLOW_ALL_MAX_ENGINES, DigestEntry, followed_engines
