--- a/src/milletcourse/admission/fair_share.py
+++ b/src/milletcourse/admission/fair_share.py
@@ -15,12 +15,12 @@
 """Long enough to average over month-long checks, short enough to follow bursts."""
 SHARE_SLACK = 1.1
 """A tenant may exceed its share by a tenth before it is refused."""
-IDLE_TOKENS = 1.0
+MIN_ACTIVE_TOKENS = 1.0
 """Below this much decayed use a tenant is not active."""
 
 
 @dataclass(slots=True)
-class _Use:
+class _Usage:
     tokens: float
     updated_at: float
 
@@ -32,8 +32,8 @@
     """Recent use by tenant."""
 
     def __init__(self) -> None:
-        self._uses: dict[str, _Use] = {}
-        self._demand: dict[str, _Use] = {}
+        self._usage: dict[str, _Usage] = {}
+        self._demand: dict[str, _Usage] = {}
 
     def on_demand(self, tenant: str, tokens: float, now: float) -> None:
         """A tenant asked, whether or not it will be admitted."""
@@ -41,15 +41,19 @@
 
     def on_admitted(self, tenant: str, tokens: float, now: float) -> None:
         """A tenant's request was admitted."""
-        self._add(self._uses, tenant, tokens, now)
+        self._add(self._usage, tenant, tokens, now)
 
-    def _add(self, table: dict[str, _Use], tenant: str, tokens: float, now: float) -> None:
-        use = table.get(tenant)
-        former = use.decayed(now) if use is not None else 0.0
-        table[tenant] = _Use(former + tokens, now)
+    def _add(self, table: dict[str, _Usage], tenant: str, tokens: float, now: float) -> None:
+        usage = table.get(tenant)
+        previous = usage.decayed(now) if usage is not None else 0.0
+        table[tenant] = _Usage(previous + tokens, now)
 
     def exceeds_share(
-        self, tenant: str, weight_of: Callable[[str], float], now: float, allowed: float = 1.0
+        self,
+        tenant: str,
+        weight_of: Callable[[str], float],
+        now: float,
+        allowed_fraction: float = 1.0,
     ) -> bool:
         """Whether a tenant has used more than its weighted share.
 
@@ -60,23 +64,25 @@
             allowed: Part of the recent total that tenants may use together from now on.
         """
         active = self._active(now)
-        total = sum(self._used(name, now) for name in active)
+        total = sum(self._recent_tokens(name, now) for name in active)
         if total <= 0:
             return False
         demand = {name: self._demand[name].decayed(now) for name in active}
         weights = {name: weight_of(name) for name in active}
-        fair = fair_shares(total * allowed, demand, weights)
-        return self._used(tenant, now) > fair.get(tenant, 0.0) * SHARE_SLACK
+        fair = fair_shares(total * allowed_fraction, demand, weights)
+        return self._recent_tokens(tenant, now) > fair.get(tenant, 0.0) * SHARE_SLACK
 
-    def _used(self, tenant: str, now: float) -> float:
-        use = self._uses.get(tenant)
-        return use.decayed(now) if use is not None else 0.0
+    def _recent_tokens(self, tenant: str, now: float) -> float:
+        usage = self._usage.get(tenant)
+        return usage.decayed(now) if usage is not None else 0.0
 
     def _active(self, now: float) -> dict[str, None]:
-        idle = [name for name, use in self._demand.items() if use.decayed(now) < IDLE_TOKENS]
+        idle = [
+            name for name, usage in self._demand.items() if usage.decayed(now) < MIN_ACTIVE_TOKENS
+        ]
         for name in idle:
             del self._demand[name]
-            self._uses.pop(name, None)
+            self._usage.pop(name, None)
         return dict.fromkeys(self._demand)
 
 
@@ -92,15 +98,15 @@
     """
     shares: dict[str, float] = {}
     unfilled = sorted(demand)
-    left = float(total)
+    remaining = float(total)
     while unfilled:
-        unit = left / sum(weights[name] for name in unfilled)
-        filled = [name for name in unfilled if demand[name] <= unit * weights[name]]
+        share_per_weight = remaining / sum(weights[name] for name in unfilled)
+        filled = [name for name in unfilled if demand[name] <= share_per_weight * weights[name]]
         if not filled:
-            shares.update({name: unit * weights[name] for name in unfilled})
+            shares.update({name: share_per_weight * weights[name] for name in unfilled})
             break
         for name in filled:
             shares[name] = float(demand[name])
-            left -= demand[name]
+            remaining -= demand[name]
         unfilled = [name for name in unfilled if name not in filled]
     return shares
--- a/src/milletcourse/admission/retry_budget.py
+++ b/src/milletcourse/admission/retry_budget.py
@@ -58,13 +58,13 @@
         window_seconds: The window.
         members: How many share it.
     """
-    own_slack = slack / members
-    part = own_slack / SLACK_PARTS
-    if part >= 1.0:
-        return RetryBudget(now, ratio, part / window_seconds, part, part)
+    member_slack = slack / members
+    slack_part = member_slack / SLACK_PARTS
+    if slack_part >= 1.0:
+        return RetryBudget(now, ratio, slack_part / window_seconds, slack_part, slack_part)
     # Parts of less than one retry could never be spent. Only what requests earned is kept then,
     # up to the own slack, but one retry at least: where members have less slack than that, they
     # have so many requests together that what they leave of the ratio covers it.
-    saved = min(own_slack, 1.0)
-    max_saved = max(own_slack, 1.0) if slack > 0.0 else 0.0
+    saved = min(member_slack, 1.0)
+    max_saved = max(member_slack, 1.0) if slack > 0.0 else 0.0
     return RetryBudget(now, ratio, 0.0, 0.0, max_saved, saved)
--- a/src/milletcourse/benchmarks/decision.py
+++ b/src/milletcourse/benchmarks/decision.py
@@ -76,7 +76,7 @@
     for index in range(engines):
         load = EngineLoad("1", 100 * index % 5000, 1, 0, 100, 12_000.0, {"m": "1"})
         selector.loads.on_report(f"engine-{index}", load, 0.0)
-        selector.beliefs.observe_incarnation(f"engine-{index}", "1")
+        selector.cache_estimates.observe_incarnation(f"engine-{index}", "1")
     return selector, RequestFactory(policy, blocks)
 
 
--- a/src/milletcourse/exchange/evidence/crash_record.py
+++ b/src/milletcourse/exchange/evidence/crash_record.py
@@ -16,29 +16,29 @@
 
 from milletcourse.exchange.messages.peer_messages import MAX_TOLD_ENDS
 
-CONTAINING_ENDS = 3
+CONTAINMENT_CRASHES = 3
 """Servers that must have ended under a request before it is contained. With two, work that is sent
 again once, and meets two servers that end for other reasons, would be refused."""
-ENDS_DESPITE_ANSWERS = 6
+CONTAINMENT_CRASHES_AFTER_ANSWER = 6
 """The same for a request that servers have answered before, which speaks for it. Without this, two
 requests that ended all of four servers within half a second brought a popular third one to three
 ends, with no server left to clear it (`make soak`)."""
-ROUNDS_DESPITE_ANSWERS = 3
+CRASH_ROUNDS_AFTER_ANSWER = 3
 """And so many of them must have come after each other, each begun after the one before: popular
 work that a server's crash and then a rack's crash cut was begun anew in between, but only once."""
-BEGUN_SLACK_SECONDS = 0.05
+START_SLACK_SECONDS = 0.05
 """What was begun this long before an end still counts as begun after it: a caller that repeats at
 once is some milliseconds behind the end, as long as the news of it takes to another gateway."""
-CONTAINED_SECONDS = 600.0
+CONTAINMENT_SECONDS = 600.0
 """A contained request is tried again this long after the latest end: a release or new weights may
 have mended what it met. One more end contains it again, so it costs one server in this time."""
-KEPT_SECONDS = 2 * CONTAINED_SECONDS
+RECORD_RETENTION_SECONDS = 2 * CONTAINMENT_SECONDS
 """Ends older than this are forgotten."""
-CLEARED_KEPT_SECONDS = 10.0
+ANSWER_RETENTION_SECONDS = 10.0
 """An answer is remembered this long, so that late news of ends before it doesn't come in again."""
 
 
-class ServerEnd(msgspec.Struct, frozen=True):
+class ServerCrash(msgspec.Struct, frozen=True):
     """A server that ended while it had a request.
 
     Attributes:
@@ -50,12 +50,12 @@
     ended_at: float
 
 
-ProofRule = Callable[[Collection[ServerEnd], bool], bool]
+ContainmentRule = Callable[[Collection[ServerCrash], bool], bool]
 """Whether the servers that ended under a request since its latest answer are proof enough; with
 whether there ever was an answer."""
 
 
-def ended_in_turn(ends: Collection[ServerEnd], was_answered: bool) -> bool:
+def sequential_crashes(crashes: Collection[ServerCrash], was_answered: bool) -> bool:
     """The product's rule: enough ends, and all but one of them begun after the first one.
 
     A popular request that ran on the servers of a crashed rack had begun before. Without this,
@@ -63,22 +63,25 @@
     0.3 (`milletcourse experiment containment`, 79 gateways).
     """
     if was_answered:
-        return len(ends) >= ENDS_DESPITE_ANSWERS and _rounds(ends) >= ROUNDS_DESPITE_ANSWERS
-    if len(ends) < CONTAINING_ENDS:
+        return (
+            len(crashes) >= CONTAINMENT_CRASHES_AFTER_ANSWER
+            and _rounds(crashes) >= CRASH_ROUNDS_AFTER_ANSWER
+        )
+    if len(crashes) < CONTAINMENT_CRASHES:
         return False
-    begun_from = min(end.ended_at for end in ends) - BEGUN_SLACK_SECONDS
-    begun_later = sum(end.sent_at > begun_from for end in ends)
-    return begun_later >= CONTAINING_ENDS - 1
+    started_after = min(crash.ended_at for crash in crashes) - START_SLACK_SECONDS
+    started_later = sum(crash.sent_at > started_after for crash in crashes)
+    return started_later >= CONTAINMENT_CRASHES - 1
 
 
-def _rounds(ends: Collection[ServerEnd]) -> int:
+def _rounds(crashes: Collection[ServerCrash]) -> int:
     """Most ends of which each was begun after the one before."""
     rounds = 0
-    begun_from = float("-inf")
-    for end in sorted(ends, key=lambda end: end.ended_at):
-        if end.sent_at > begun_from:
+    started_after = float("-inf")
+    for crash in sorted(crashes, key=lambda crash: crash.ended_at):
+        if crash.sent_at > started_after:
             rounds += 1
-            begun_from = end.ended_at - BEGUN_SLACK_SECONDS
+            started_after = crash.ended_at - START_SLACK_SECONDS
     return rounds
 
 
@@ -97,21 +100,21 @@
     __slots__ = (
         "_rule",
         "cleared_at",
-        "ends",
-        "is_kept_here",
-        "is_proved",
-        "tells_left",
-        "told_at",
+        "crashes",
+        "is_conclusive",
+        "is_persisted_here",
+        "reported_at",
+        "reports_left",
     )
 
-    def __init__(self, rule: ProofRule) -> None:
+    def __init__(self, rule: ContainmentRule) -> None:
         self._rule = rule
-        self.ends: dict[int, ServerEnd] = {}
-        self.is_proved = False
+        self.crashes: dict[int, ServerCrash] = {}
+        self.is_conclusive = False
         self.cleared_at = float("-inf")
-        self.tells_left = 0
-        self.told_at = float("-inf")
-        self.is_kept_here = False
+        self.reports_left = 0
+        self.reported_at = float("-inf")
+        self.is_persisted_here = False
 
     @property
     def was_answered(self) -> bool:
@@ -119,20 +122,22 @@
         return self.cleared_at != float("-inf")
 
     @property
-    def last_end_at(self) -> float:
+    def last_crash_at(self) -> float:
         """When the latest server ended under it."""
-        return max((end.ended_at for end in self.ends.values()), default=float("-inf"))
+        return max((crash.ended_at for crash in self.crashes.values()), default=float("-inf"))
 
-    def add(self, server: int, end: ServerEnd) -> bool:
+    def add(self, server: int, crash: ServerCrash) -> bool:
         """A server ended under it; False when that was known, or was before an answer."""
-        if server in self.ends or end.ended_at <= self.cleared_at:
+        if server in self.crashes or crash.ended_at <= self.cleared_at:
             return False
-        self.ends[server] = end
-        self.is_proved = self.is_proved or self._rule(self.ends.values(), self.was_answered)
-        if len(self.ends) > MAX_TOLD_ENDS:
+        self.crashes[server] = crash
+        self.is_conclusive = self.is_conclusive or self._rule(
+            self.crashes.values(), self.was_answered
+        )
+        if len(self.crashes) > MAX_TOLD_ENDS:
             # The first one and the latest ones prove that work was begun again after an end.
-            in_order = sorted(self.ends, key=lambda key: self.ends[key].ended_at)
-            del self.ends[in_order[1]]
+            in_order = sorted(self.crashes, key=lambda key: self.crashes[key].ended_at)
+            del self.crashes[in_order[1]]
         return True
 
     def clear(self, at: float) -> bool:
@@ -140,12 +145,12 @@
         if at <= self.cleared_at:
             return False
         self.cleared_at = at
-        self.ends = {key: end for key, end in self.ends.items() if end.ended_at > at}
-        self.is_proved = self._rule(self.ends.values(), self.was_answered)
+        self.crashes = {key: crash for key, crash in self.crashes.items() if crash.ended_at > at}
+        self.is_conclusive = self._rule(self.crashes.values(), self.was_answered)
         return True
 
     def is_over(self, now: float) -> bool:
         """Whether nothing of it is worth keeping."""
-        if self.ends:
-            return now - self.last_end_at > KEPT_SECONDS
-        return now - self.cleared_at > CLEARED_KEPT_SECONDS
+        if self.crashes:
+            return now - self.last_crash_at > RECORD_RETENTION_SECONDS
+        return now - self.cleared_at > ANSWER_RETENTION_SECONDS
--- a/src/milletcourse/exchange/load/load_exchange.py
+++ b/src/milletcourse/exchange/load/load_exchange.py
@@ -162,7 +162,7 @@
         What it tells of requests that end servers is taken in any order.
         """
         self.evidence.merge(message.crashes, now, message.scope is not LoadScope.FLEET)
-        if self.evidence.has_news:
+        if self.evidence.has_updates:
             self._digest_at = float("-inf")
         if not self._take_loads(message, now):
             return False
@@ -184,7 +184,7 @@
         self._zones.forget(sender)
         if message.follows:
             if sender not in self._followers:
-                self.evidence.tell_again()
+                self.evidence.repeat_reports()
                 self.signals.tell_again()
             self._followers[sender] = now
         return self._add_to(self._gateways, message, now)
@@ -245,7 +245,7 @@
                 own,
                 uses,
                 follows=True,
-                crashes=self.evidence.to_tell(now, FOLLOWER_RETELLS_SECONDS),
+                crashes=self.evidence.due_reports(now, FOLLOWER_RETELLS_SECONDS),
                 signals=self.signals.to_tell(now, FOLLOWER_RETELLS_SECONDS),
             )
             outgoing.append(Outgoing(told, [reader]))
@@ -256,7 +256,7 @@
 
     def _has_news(self) -> bool:
         """Whether something is to be told besides loads and use."""
-        return bool(self._notices) or self.evidence.has_news or self.signals.has_news
+        return bool(self._notices) or self.evidence.has_updates or self.signals.has_news
 
     def _digests(
         self, now: float, own: list[InstanceLoad], own_uses: list[TenantUse]
@@ -278,7 +278,7 @@
         if is_news or now - self._told_at >= REPEAT_SECONDS:
             self._told, self._told_uses, self._told_at = fleet, fleet_uses, now
             zone_gateways = 1 + self._gateways.gateways(now)
-            crashes = self.evidence.to_tell(now, READER_RETELLS_SECONDS)
+            crashes = self.evidence.due_reports(now, READER_RETELLS_SECONDS)
             signals = self.signals.to_tell(now, READER_RETELLS_SECONDS)
             to_readers = self._message(
                 now,
@@ -328,7 +328,7 @@
             LoadScope.GATEWAY,
             own,
             own_uses,
-            crashes=self.evidence.gravest(now),
+            crashes=self.evidence.most_severe(now),
             signals=self.signals.newest(now),
         )
         return [Outgoing(told, receivers)]
--- a/src/milletcourse/exchange/replication/answer_progress.py
+++ b/src/milletcourse/exchange/replication/answer_progress.py
@@ -7,13 +7,13 @@
 
 from __future__ import annotations
 
-QUIET_SECONDS = 0.6
+SILENCE_TIMEOUT_SECONDS = 0.6
 """A callee from which nothing came for so long in the middle of its answer is taken as silent."""
-WHOLE_SECONDS = 30.0
+COMPLETION_TIMEOUT_SECONDS = 30.0
 """An answer that will take longer is given up."""
-MEASURED_SECONDS = 1.0
+RATE_SAMPLE_SECONDS = 1.0
 """The rate of an answer is known after so long."""
-CONTENT_BYTES = 4096
+MIN_CONTENT_ANSWER_BYTES = 4096
 """An answer of this size carries content, and not only the word that nothing has changed."""
 
 
@@ -34,7 +34,7 @@
         self.received_bytes = 0
         self._first_byte_seconds = first_byte_seconds
         self._declared_bytes: int | None = None
-        self._began_at: float | None = None
+        self._started_at: float | None = None
 
     def on_head(self, declared_bytes: int | None, now: float) -> None:
         """The head has come.
@@ -43,7 +43,7 @@
             declared_bytes: Length of the body, None when it isn't told.
             now: When it came.
         """
-        self._began_at = now
+        self._started_at = now
         self._declared_bytes = declared_bytes
 
     def on_bytes(self, size: int) -> None:
@@ -51,27 +51,27 @@
         self.received_bytes += size
 
     @property
-    def has_begun(self) -> bool:
+    def has_started(self) -> bool:
         """Whether the head has come."""
-        return self._began_at is not None
+        return self._started_at is not None
 
     @property
     def has_content(self) -> bool:
         """Whether the answer is, or will be, larger than one that tells nothing new."""
-        return max(self.received_bytes, self._declared_bytes or 0) >= CONTENT_BYTES
+        return max(self.received_bytes, self._declared_bytes or 0) >= MIN_CONTENT_ANSWER_BYTES
 
     def wait_seconds(self, now: float) -> float:
         """How long to wait for more; 0 or less when the answer is given up."""
-        if self._began_at is None or not self.received_bytes:
+        if self._started_at is None or not self.received_bytes:
             return self._first_byte_seconds
         if self._will_take_too_long(now):
             return 0.0
-        return min(QUIET_SECONDS, self._began_at + WHOLE_SECONDS - now)
+        return min(SILENCE_TIMEOUT_SECONDS, self._started_at + COMPLETION_TIMEOUT_SECONDS - now)
 
     def _will_take_too_long(self, now: float) -> bool:
-        if self._began_at is None or self._declared_bytes is None:
+        if self._started_at is None or self._declared_bytes is None:
             return False
-        seconds = now - self._began_at
-        if seconds < MEASURED_SECONDS:
+        seconds = now - self._started_at
+        if seconds < RATE_SAMPLE_SECONDS:
             return False
-        return self._declared_bytes * seconds > self.received_bytes * WHOLE_SECONDS
+        return self._declared_bytes * seconds > self.received_bytes * COMPLETION_TIMEOUT_SECONDS
--- a/src/milletcourse/exchange/replication/configuration_effect.py
+++ b/src/milletcourse/exchange/replication/configuration_effect.py
@@ -18,7 +18,7 @@
 MAX_ENTRIES = 16384
 """An effect on more routes or keys isn't told: all requests count as concerned."""
 MAX_STEPS = 16
-_SUM_BYTES = 4
+_DIGEST_BYTES = 4
 
 
 class _Step(msgspec.Struct, frozen=True):
@@ -32,7 +32,7 @@
 
     before: int
     effect: ConfigurationEffect | None
-    not_out_at: float | None
+    not_committed_at: float | None
 
 
 class EffectHistory:
@@ -41,11 +41,11 @@
     def __init__(self) -> None:
         self._steps: deque[_Step] = deque(maxlen=MAX_STEPS)
 
-    def note(
+    def record(
         self,
         before: ExchangeConfiguration,
         after: ExchangeConfiguration,
-        not_out_at: float | None,
+        not_committed_at: float | None,
     ) -> None:
         """A configuration has replaced another one.
 
@@ -54,7 +54,7 @@
             after: The one in force now.
             not_out_at: Monotonic time at which it wasn't out yet, None when none is known.
         """
-        self._steps.append(_Step(before.version, effect_of(before, after), not_out_at))
+        self._steps.append(_Step(before.version, effect_of(before, after), not_committed_at))
 
     def since(self, version: int) -> ConfigurationEffect | None:
         """What has changed since a version; None when that isn't known."""
@@ -67,9 +67,9 @@
             found.append(step.effect)
         return _joined(found) if found else None
 
-    def not_out_at(self, version: int) -> float | None:
+    def not_committed_at(self, version: int) -> float | None:
         """When what replaced a version wasn't out yet; None when that isn't known."""
-        return next((step.not_out_at for step in self._steps if step.before == version), None)
+        return next((step.not_committed_at for step in self._steps if step.before == version), None)
 
 
 def effect_of(
@@ -78,9 +78,9 @@
     """What a configuration changes; None when it is too much to tell."""
     routes = _changed(_only_in(before, after), _only_in(after, before))
     tenants_before, tenants_after = _by_key(before.tenants), _by_key(after.tenants)
-    revoked = [key_sum(key) for key in tenants_before if key not in tenants_after]
+    revoked = [key_digest(key) for key in tenants_before if key not in tenants_after]
     keys = [
-        key_sum(key)
+        key_digest(key)
         for key, tenant in tenants_after.items()
         if key not in tenants_before or not _serves_alike(tenants_before[key], tenant)
     ]
@@ -102,23 +102,23 @@
 
     def revokes(self, key: str) -> bool:
         """Whether a key is taken away."""
-        return bool(self._revoked) and key_sum(key) in self._revoked
+        return bool(self._revoked) and key_digest(key) in self._revoked
 
-    def concerns(self, host: str, path: str, key: str) -> bool:
+    def affects(self, host: str, path: str, key: str) -> bool:
         """Whether a request may be treated otherwise than before."""
-        if self._keys and key_sum(key) in self._keys:
+        if self._keys and key_digest(key) in self._keys:
             return True
         return bool(self._routes) and any(
-            route_sum(host, prefix) in self._routes for prefix in _prefixes(path)
+            route_digest(host, prefix) in self._routes for prefix in _prefixes(path)
         )
 
 
-def route_sum(host: str, path_prefix: str) -> int:
+def route_digest(host: str, path_prefix: str) -> int:
     """Tells a route by what it matches."""
     return xxhash.xxh32_intdigest(f"{host}\n{path_prefix}".encode())
 
 
-def key_sum(key: str) -> int:
+def key_digest(key: str) -> int:
     """Tells a key."""
     return xxhash.xxh32_intdigest(key.encode())
 
@@ -134,7 +134,7 @@
     """Routes whose very records another configuration doesn't have, by their sums."""
     shared = set(map(id, other.routes))
     return {
-        route_sum(route.host, route.path_prefix): route
+        route_digest(route.host, route.path_prefix): route
         for route in one.routes
         if id(route) not in shared
     }
@@ -164,13 +164,13 @@
 
 
 def _packed(sums: Iterable[int]) -> bytes:
-    return b"".join(value.to_bytes(_SUM_BYTES, "big") for value in sorted(set(sums)))
+    return b"".join(value.to_bytes(_DIGEST_BYTES, "big") for value in sorted(set(sums)))
 
 
 def _unpacked(data: bytes) -> list[int]:
-    if len(data) % _SUM_BYTES or len(data) > MAX_STEPS * MAX_ENTRIES * _SUM_BYTES:
+    if len(data) % _DIGEST_BYTES or len(data) > MAX_STEPS * MAX_ENTRIES * _DIGEST_BYTES:
         raise ValueError("no sums")
     return [
-        int.from_bytes(data[begin : begin + _SUM_BYTES], "big")
-        for begin in range(0, len(data), _SUM_BYTES)
+        int.from_bytes(data[begin : begin + _DIGEST_BYTES], "big")
+        for begin in range(0, len(data), _DIGEST_BYTES)
     ]
--- a/src/milletcourse/exchange/replication/configuration_lag.py
+++ b/src/milletcourse/exchange/replication/configuration_lag.py
@@ -20,7 +20,7 @@
 class LagVerdict(Enum):
     """What holds for a request while a change is on its way."""
 
-    AS_BEFORE = "as-before"
+    UNAFFECTED = "as-before"
     REVOKED = "revoked"
     """Its key is taken away by the change."""
     STALE = "stale"
@@ -42,20 +42,20 @@
             apply_seconds: A configuration is due so long after its acknowledgement.
         """
         self.apply_seconds = apply_seconds
-        self.not_out_at: float | None = None
+        self.not_committed_at: float | None = None
         self._effect: EffectView | None = None
 
     @property
     def is_behind(self) -> bool:
         """Whether a change is out that isn't in force here."""
-        return self.not_out_at is not None
+        return self.not_committed_at is not None
 
     @property
     def knows_effect(self) -> bool:
         """Whether it is known what the change concerns."""
         return self._effect is not None
 
-    def on_announced(self, not_out_at: float, effect: ConfigurationEffect | None) -> None:
+    def on_announced(self, not_committed_at: float, effect: ConfigurationEffect | None) -> None:
         """A change is out.
 
         Args:
@@ -63,8 +63,8 @@
             effect: All that is out changes this from what is in force here, None when that isn't
                 known.
         """
-        if self.not_out_at is None:
-            self.not_out_at = not_out_at
+        if self.not_committed_at is None:
+            self.not_committed_at = not_committed_at
         try:
             self._effect = EffectView(effect) if effect is not None else None
         except ValueError:
@@ -73,7 +73,7 @@
 
     def on_current(self) -> None:
         """All that is known to be out is in force."""
-        self.not_out_at = None
+        self.not_committed_at = None
         self._effect = None
 
     def judge(self, now: float, host: str, path: str, key: str) -> LagVerdict:
@@ -85,17 +85,17 @@
             path: Its path.
             key: Its key, empty without one.
         """
-        if self.not_out_at is None:
-            return LagVerdict.AS_BEFORE
+        if self.not_committed_at is None:
+            return LagVerdict.UNAFFECTED
         if key and self._effect is not None and self._effect.revokes(key):
             return LagVerdict.REVOKED
-        due_at = self.not_out_at + self.apply_seconds - LAG_MARGIN_SECONDS
-        if now < due_at or not self.may_concern(host, path, key):
-            return LagVerdict.AS_BEFORE
+        due_at = self.not_committed_at + self.apply_seconds - LAG_MARGIN_SECONDS
+        if now < due_at or not self.may_affect(host, path, key):
+            return LagVerdict.UNAFFECTED
         return LagVerdict.STALE
 
-    def may_concern(self, host: str, path: str, key: str) -> bool:
+    def may_affect(self, host: str, path: str, key: str) -> bool:
         """Whether the change may treat a request otherwise."""
-        if self.not_out_at is None:
+        if self.not_committed_at is None:
             return False
-        return self._effect is None or self._effect.concerns(host, path, key)
+        return self._effect is None or self._effect.affects(host, path, key)
--- a/src/milletcourse/exchange/replication/confirmed_era.py
+++ b/src/milletcourse/exchange/replication/confirmed_era.py
@@ -14,9 +14,9 @@
 
 FIRST_ERA = 0
 """A store in this era, or one that tells none, has never come back."""
-WRITTEN_AGAIN_SECONDS = 5.0
+OPERATOR_REWRITE_SECONDS = 5.0
 """An operator who has lost something writes it again within this time of the return."""
-MAX_TOLD_AHEAD = 16
+MAX_ERAS_AHEAD = 16
 """Eras that were told and not found here yet; a wrong one doesn't keep out the right one."""
 
 
@@ -27,7 +27,7 @@
     """The operator has written in it."""
     TIME = "time"
     """The operator had the time to write."""
-    TOLD = "told"
+    ANNOUNCED = "told"
     """Another gateway knows it to be confirmed."""
 
 
@@ -45,12 +45,12 @@
     def __init__(self, on_confirmed: OnConfirmed) -> None:
         self.latest = UNKNOWN_ERA
         self._on_confirmed = on_confirmed
-        self._found_at = StorePlace(UNKNOWN_ERA, 0)
-        self._ended_at: StorePlace | None = None
+        self._observed_at = StorePlace(UNKNOWN_ERA, 0)
+        self._previous_end: StorePlace | None = None
         self._confirmed_from = float("-inf")
-        self._told_ahead: set[int] = set()
+        self._announced_ahead: set[int] = set()
 
-    def on_era(self, place: StorePlace, before: StorePlace | None, now: float) -> None:
+    def on_era(self, position: StorePlace, before: StorePlace | None, now: float) -> None:
         """The store was found in another era than before.
 
         Args:
@@ -58,41 +58,41 @@
             before: Latest known state of the era that has ended, None for the first era.
             now: Monotonic time.
         """
-        self._found_at = place
-        self._ended_at = before
-        self._confirmed_from = now + WRITTEN_AGAIN_SECONDS
-        if place.era in self._told_ahead:
-            self._confirm(place.era, EraEvidence.TOLD)
-        self._told_ahead = {era for era in self._told_ahead if era > place.era}
-
-    def on_told(self, era: int) -> None:
+        self._observed_at = position
+        self._previous_end = before
+        self._confirmed_from = now + OPERATOR_REWRITE_SECONDS
+        if position.era in self._announced_ahead:
+            self._confirm(position.era, EraEvidence.ANNOUNCED)
+        self._announced_ahead = {era for era in self._announced_ahead if era > position.era}
+
+    def on_peer_confirmed(self, era: int) -> None:
         """Another gateway knows this era to be confirmed, maybe before it was found here."""
-        if era == self._found_at.era:
-            self._confirm(era, EraEvidence.TOLD)
-        elif era > self._found_at.era and len(self._told_ahead) < MAX_TOLD_AHEAD:
-            self._told_ahead.add(era)
+        if era == self._observed_at.era:
+            self._confirm(era, EraEvidence.ANNOUNCED)
+        elif era > self._observed_at.era and len(self._announced_ahead) < MAX_ERAS_AHEAD:
+            self._announced_ahead.add(era)
 
-    def on_configuration(self, place: StorePlace, known: StorePlace | None) -> None:
+    def on_configuration(self, position: StorePlace, known: StorePlace | None) -> None:
         """The configuration's last change, as the store shows it.
 
         Args:
             place: Its place.
             known: Place of the change that was known before, None before the first.
         """
-        is_later = place.era == self._found_at.era and place > self._found_at
-        if is_later or self._is_rewritten(place, known):
-            self._confirm(place.era, EraEvidence.WRITTEN)
+        is_later = position.era == self._observed_at.era and position > self._observed_at
+        if is_later or self._is_rewritten(position, known):
+            self._confirm(position.era, EraEvidence.WRITTEN)
 
-    def _is_rewritten(self, place: StorePlace, known: StorePlace | None) -> bool:
+    def _is_rewritten(self, position: StorePlace, known: StorePlace | None) -> bool:
         """Whether the ended era had no change of the configuration at this revision."""
-        ended_at = self._ended_at
+        ended_at = self._previous_end
         if ended_at is None or known is None or known.era != ended_at.era:
             return False
-        return known < StorePlace(ended_at.era, place.revision) <= ended_at
+        return known < StorePlace(ended_at.era, position.revision) <= ended_at
 
     def confirms(self, now: float) -> bool:
         """Whether the store's present era is confirmed."""
-        era = self._found_at.era
+        era = self._observed_at.era
         if era <= FIRST_ERA:
             return True
         if now >= self._confirmed_from:
--- a/src/milletcourse/exchange/replication/freshness.py
+++ b/src/milletcourse/exchange/replication/freshness.py
@@ -12,21 +12,21 @@
 """Time of a call and its pause, beyond the age that a calm day's proofs reach."""
 PROOF_SLACK_SECONDS = 0.3
 """The same for the age at which a reader of the store stops vouching for what it knows."""
-WAITS_A_PROOF = 2.0
+WAITS_PER_PROOF = 2.0
 """A watch proves the time of its sending, so on a calm day the age goes up to twice its wait."""
 MAX_WAIT_SECONDS = 1.0
-WAITS_WITHIN_BOUND = 5.0
+WAITS_PER_KEY_BOUND = 5.0
 """Waits that fit into the bound on keys, so that one lost answer doesn't end it."""
-WAITS_WITHIN_APPLY = 4.0
+WAITS_PER_APPLY_BOUND = 4.0
 """Waits that fit into the bound on changes: a follower must notice that its reader lost the store,
 and read it itself, before a change that it missed is due."""
 MAX_HOLD_SECONDS = 0.8
-HOLDS_WITHIN_APPLY = 2.5
+HOLDS_PER_APPLY_BOUND = 2.5
 """Questions to a reader that fit into the bound on changes, since one to a dead reader is lost."""
-HOLDS_WITHIN_BOUND = 4.0
+HOLDS_PER_KEY_BOUND = 4.0
 
 
-class ReadingTimes(msgspec.Struct, frozen=True):
+class ReplicationTimes(msgspec.Struct, frozen=True):
     """How often the store's state is asked for, and how old a proof of it may get.
 
     Attributes:
@@ -40,37 +40,45 @@
     watch_wait: float
     feed_hold: float
     max_proof_age: float
-    calm_age: float
+    steady_state_age: float
     max_receiving_age: float
 
 
-def reading_times(bound_seconds: float, config_apply_seconds: float) -> ReadingTimes:
+def replication_times(bound_seconds: float, config_apply_seconds: float) -> ReplicationTimes:
     """Times that keep the bounds on keys and on changes."""
     wait = min(
         MAX_WAIT_SECONDS,
-        bound_seconds / WAITS_WITHIN_BOUND,
-        config_apply_seconds / WAITS_WITHIN_APPLY,
+        bound_seconds / WAITS_PER_KEY_BOUND,
+        config_apply_seconds / WAITS_PER_APPLY_BOUND,
     )
     hold = min(
         MAX_HOLD_SECONDS,
-        bound_seconds / HOLDS_WITHIN_BOUND,
-        config_apply_seconds / HOLDS_WITHIN_APPLY,
+        bound_seconds / HOLDS_PER_KEY_BOUND,
+        config_apply_seconds / HOLDS_PER_APPLY_BOUND,
     )
-    proof_age = WAITS_A_PROOF * wait
-    calm_age = proof_age + hold
-    return ReadingTimes(
-        wait, hold, proof_age + PROOF_SLACK_SECONDS, calm_age, max(bound_seconds, calm_age)
+    proof_age = WAITS_PER_PROOF * wait
+    steady_state_age = proof_age + hold
+    return ReplicationTimes(
+        wait,
+        hold,
+        proof_age + PROOF_SLACK_SECONDS,
+        steady_state_age,
+        max(bound_seconds, steady_state_age),
     )
 
 
 class ProofOfFreshness:
     """Latest proof, on this process's monotonic clock."""
 
-    def __init__(self, bound_seconds: float, fail_closed: bool, calm_age_seconds: float) -> None:
+    def __init__(
+        self, bound_seconds: float, fail_closed: bool, steady_state_age_seconds: float
+    ) -> None:
         self._proved_at = float("-inf")
-        self.set_bound(bound_seconds, fail_closed, calm_age_seconds)
+        self.set_bound(bound_seconds, fail_closed, steady_state_age_seconds)
 
-    def set_bound(self, bound_seconds: float, fail_closed: bool, calm_age_seconds: float) -> None:
+    def set_bound(
+        self, bound_seconds: float, fail_closed: bool, steady_state_age_seconds: float
+    ) -> None:
         """Change the bounds; the proof stays.
 
         Args:
@@ -80,7 +88,7 @@
         """
         self._bound_seconds = bound_seconds
         self._fail_closed = fail_closed
-        self._not_found_seconds = calm_age_seconds + NOT_FOUND_SLACK_SECONDS
+        self._not_found_seconds = steady_state_age_seconds + NOT_FOUND_SLACK_SECONDS
 
     def on_proof(self, sent_at: float) -> None:
         """A call that was sent at this time has completed and its result is in force."""
--- a/src/milletcourse/exchange/replication/lost_configuration.py
+++ b/src/milletcourse/exchange/replication/lost_configuration.py
@@ -24,26 +24,26 @@
         """
         self.stored_version = 0
         self._in_force = in_force
-        self._told_version = 0
+        self._peer_version = 0
 
     @property
     def is_outdated(self) -> bool:
         """Whether another gateway had a later version in force than this one has."""
-        return self._told_version > self._in_force()
+        return self._peer_version > self._in_force()
 
     @property
     def version(self) -> int:
         """Latest version known to have been in force that the store doesn't hold, 0 for none."""
         in_force = self._in_force()
-        known = max(self._told_version, in_force)
+        known = max(self._peer_version, in_force)
         return known if in_force and known > self.stored_version else 0
 
-    def on_told(self, version: int) -> bool:
+    def on_peer_version(self, version: int) -> bool:
         """Another gateway has a version in force that isn't in the store; True when that is news.
 
         This process began after the store came back, or it would have that version itself.
         """
-        if version <= max(self._told_version, self._in_force()):
+        if version <= max(self._peer_version, self._in_force()):
             return False
-        self._told_version = version
+        self._peer_version = version
         return True
--- a/src/milletcourse/exchange/replication/pending_contents.py
+++ b/src/milletcourse/exchange/replication/pending_contents.py
@@ -14,7 +14,7 @@
 from milletcourse.exchange.messages.feed_messages import ContentQuestion, FedKind, FedObject
 from milletcourse.exchange.messages.store_place import StorePlace
 
-MAX_WAITING = 8
+MAX_WAITING_ANSWERS = 8
 """Answers of one kind; when more wait, the reader is asked again for all behind the first one, and
 leaves out what has been overtaken."""
 
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self._waiting: dict[str, deque[FedUpdate]] = {}
-        self._misfits: set[str] = set()
+        self._mismatched: set[str] = set()
         """Kinds whose patches didn't fit: all is asked for, once."""
 
     def __contains__(self, kind: str) -> bool:
@@ -49,7 +49,7 @@
             kind: Kind of the objects.
             known: State up to which its contents are known.
         """
-        if kind in self._misfits:
+        if kind in self._mismatched:
             return None
         waiting = self._waiting.get(kind)
         return waiting[-1].fed.place if waiting else known
@@ -58,15 +58,15 @@
         """What a reader told of a kind from a state on; returns what can be taken at once."""
         waiting = self._waiting.setdefault(fed.kind, deque())
         if fed.whole:
-            self._misfits.discard(fed.kind)
+            self._mismatched.discard(fed.kind)
             waiting.clear()
-        if len(waiting) >= MAX_WAITING:
+        if len(waiting) >= MAX_WAITING_ANSWERS:
             first = waiting.popleft()
             waiting.clear()
             waiting.append(first)
         else:
             waiting.append(FedUpdate(since, fed))
-        return self._settle(fed.kind)
+        return self._take_ready(fed.kind)
 
     def missing(self, kind: str) -> ContentQuestion | None:
         """The first content that a kind waits for, None when it waits for none."""
@@ -83,28 +83,30 @@
             return []
         first = waiting[0].fed
         objects = [
-            msgspec.structs.replace(item, patch=patch) if _is_meant(item, question) else item
+            msgspec.structs.replace(item, patch=patch)
+            if _matches_question(item, question)
+            else item
             for item in first.objects
         ]
         fed = FedKind(first.kind, first.place, first.whole, objects)
         waiting[0] = FedUpdate(waiting[0].since, fed)
-        return self._settle(question.kind)
+        return self._take_ready(question.kind)
 
     def drop(self, kind: str) -> None:
         """What a kind waits for doesn't come."""
         self._waiting.pop(kind, None)
 
-    def on_misfit(self, kind: str) -> None:
+    def on_patch_mismatch(self, kind: str) -> None:
         """A patch gave another content than was announced."""
         self.drop(kind)
-        self._misfits.add(kind)
+        self._mismatched.add(kind)
 
     def clear(self) -> None:
         """The reader that announced is left."""
         self._waiting.clear()
-        self._misfits.clear()
+        self._mismatched.clear()
 
-    def _settle(self, kind: str) -> list[FedUpdate]:
+    def _take_ready(self, kind: str) -> list[FedUpdate]:
         waiting = self._waiting[kind]
         ready = []
         while waiting and not waiting[0].fed.is_announced:
@@ -114,7 +116,7 @@
         return ready
 
 
-def _is_meant(item: FedObject, question: ContentQuestion) -> bool:
+def _matches_question(item: FedObject, question: ContentQuestion) -> bool:
     if not item.is_announced or item.patch is None or item.name != question.name:
         return False
     return item.patch.result == question.result and item.patch.base == question.base
--- a/src/milletcourse/exchange/replication/reader_selection.py
+++ b/src/milletcourse/exchange/replication/reader_selection.py
@@ -13,12 +13,12 @@
 import msgspec
 import xxhash
 
-SET_ASIDE_SECONDS = 4.0
+FAILED_READER_PAUSE_SECONDS = 4.0
 """A reader that failed isn't asked again this long; doubled with each failure in a row."""
-MAX_SET_ASIDE_SECONDS = 32.0
-STARTING_SECONDS = 0.15
+MAX_FAILED_READER_PAUSE_SECONDS = 32.0
+UNREADY_READER_PAUSE_SECONDS = 0.15
 """A reader that answers, but can't vouch for what it knows, is asked again after this time."""
-MAX_STARTING_SECONDS = 0.6
+MAX_UNREADY_READER_PAUSE_SECONDS = 0.6
 """And at least this often: questions to readers are cheap, and calls to the store are not."""
 
 
@@ -41,11 +41,11 @@
 
 
 class _Failures(msgspec.Struct):
-    in_a_row: int = 0
-    until: float = float("-inf")
+    consecutive: int = 0
+    paused_until: float = float("-inf")
 
 
-class ReadingPlan:
+class ReaderSelection:
     """Ranks the gateways, and remembers which readers failed.
 
     Attributes:
@@ -56,10 +56,10 @@
     def __init__(self, own_name: str, zone: str, link_megabits: float = 0.0) -> None:
         self._own = GatewayRecord(own_name, zone, "", "own", link_megabits)
         self._candidates: list[GatewayRecord] = []
-        self._substitutes: list[GatewayRecord] = []
+        self._fallbacks: list[GatewayRecord] = []
         self._failures: dict[str, _Failures] = {}
         self.is_reader = True
-        self.first_readers: list[str] = []
+        self.primary_readers: list[str] = []
 
     def set_gateways(self, gateways: Iterable[GatewayRecord]) -> None:
         """Take the list of gateways; this one counts whether it is listed or not."""
@@ -70,41 +70,43 @@
                 zones.setdefault(gateway.zone, []).append(gateway)
         for members in zones.values():
             # A reader sends each change to all its followers, so a wide link goes first.
-            members.sort(key=lambda item: (-item.link_megabits, _rank(item.name), item.name))
-        self.first_readers = [members[0].name for members in zones.values()]
+            members.sort(key=lambda item: (-item.link_megabits, _rank_hash(item.name), item.name))
+        self.primary_readers = [members[0].name for members in zones.values()]
         order = self._order(zones)
-        place = order.index(own) if own in order else len(order)
-        self._candidates = order[:place]
-        self._substitutes = [gateway for gateway in order if gateway is not own]
+        own_index = order.index(own) if own in order else len(order)
+        self._candidates = order[:own_index]
+        self._fallbacks = [gateway for gateway in order if gateway is not own]
         self.is_reader = not self._candidates
         listed = {gateway.name for gateway in order}
-        self._failures = {name: kept for name, kept in self._failures.items() if name in listed}
+        self._failures = {
+            name: failures for name, failures in self._failures.items() if name in listed
+        }
 
     def _order(self, zones: dict[str, list[GatewayRecord]]) -> list[GatewayRecord]:
         """First of the own zone, first ones of the other zones, second of the own zone."""
         near = zones[self._own.zone]
         others = sorted(
             (zone for zone in zones if zone != self._own.zone),
-            key=lambda zone: _rank(f"{self._own.name}|{zone}"),
+            key=lambda zone: _rank_hash(f"{self._own.name}|{zone}"),
         )
         return [near[0], *(zones[zone][0] for zone in others), *near[1:2]]
 
     def choose(self, now: float) -> GatewayRecord | None:
         """The reader to follow, None when this gateway must read the store itself."""
-        return self._first_willing(self._candidates, now)
+        return self._first_available(self._candidates, now)
 
-    def choose_substitute(self, now: float) -> GatewayRecord | None:
+    def choose_fallback(self, now: float) -> GatewayRecord | None:
         """One to learn from while this gateway must read the store, and can't reach it."""
-        return self._first_willing(self._substitutes, now)
+        return self._first_available(self._fallbacks, now)
 
-    def _first_willing(self, gateways: list[GatewayRecord], now: float) -> GatewayRecord | None:
+    def _first_available(self, gateways: list[GatewayRecord], now: float) -> GatewayRecord | None:
         for gateway in gateways:
             failures = self._failures.get(gateway.name)
-            if failures is None or now >= failures.until:
+            if failures is None or now >= failures.paused_until:
                 return gateway
         return None
 
-    def on_fed(self, reader: str) -> None:
+    def on_success(self, reader: str) -> None:
         """A reader told what the store holds."""
         self._failures.pop(reader, None)
 
@@ -117,15 +119,15 @@
             answered: It said that it can't vouch for what it knows; else it was silent or gone.
         """
         failures = self._failures.setdefault(reader, _Failures())
-        first, most = (
-            (STARTING_SECONDS, MAX_STARTING_SECONDS)
+        initial_seconds, max_seconds = (
+            (UNREADY_READER_PAUSE_SECONDS, MAX_UNREADY_READER_PAUSE_SECONDS)
             if answered
-            else (SET_ASIDE_SECONDS, MAX_SET_ASIDE_SECONDS)
+            else (FAILED_READER_PAUSE_SECONDS, MAX_FAILED_READER_PAUSE_SECONDS)
         )
-        pause = min(first * 2**failures.in_a_row, most)
-        failures.in_a_row += 1
-        failures.until = now + pause
+        pause_seconds = min(initial_seconds * 2**failures.consecutive, max_seconds)
+        failures.consecutive += 1
+        failures.paused_until = now + pause_seconds
 
 
-def _rank(text: str) -> int:
+def _rank_hash(text: str) -> int:
     return xxhash.xxh64_intdigest(text.encode())
--- a/src/milletcourse/experiments/baselines.py
+++ b/src/milletcourse/experiments/baselines.py
@@ -13,8 +13,8 @@
 from milletcourse.errors import Failure, NoEngineAvailable
 from milletcourse.experiments.arrivals import Arrival
 from milletcourse.experiments.cluster_model import ClusterModel, Flight
-from milletcourse.prefix.cache_estimate import BeliefIndex
 from milletcourse.prefix.blocks import BLOCK_TOKENS
+from milletcourse.prefix.cache_estimate import CacheEstimateIndex
 from milletcourse.routing.home_ring import HomeRing
 from milletcourse.routing.load import LoadTable
 from milletcourse.standins.engine_core import EngineCore
@@ -153,7 +153,7 @@
 
     def __init__(self, cluster: ClusterModel, source: random.Random) -> None:
         super().__init__(cluster, source)
-        self._index = BeliefIndex(1_000_000)
+        self._index = CacheEstimateIndex(1_000_000)
 
     def choose(self, arrival: Arrival, now: float) -> Result[str, Failure]:
         """See `RoutingPolicy.choose`."""
--- a/src/milletcourse/experiments/containment_model.py
+++ b/src/milletcourse/experiments/containment_model.py
@@ -233,7 +233,7 @@
         """A server for a request; None when there is none that it may go to."""
         servers = self._servers
         if self._way is Way.ISOLATION:
-            suspected = self._exchanges[gateway].evidence.ends(identity) > 0
+            suspected = self._exchanges[gateway].evidence.crash_count(identity) > 0
             servers = servers[:1] if suspected else servers[1:]
         live = [server for server in servers if server.down_until <= self._now]
         if self._way is Way.ISOLATION and len(servers) == 1:
@@ -275,7 +275,7 @@
         server.down_until = self._now + SERVER_DOWN_SECONDS
         for work in running:
             exchange = self._exchanges[work.gateway]
-            exchange.evidence.on_end(work.identity, key, work.sent_at, self._now)
+            exchange.evidence.on_crash(work.identity, key, work.sent_at, self._now)
             exchange.on_news()
             if work.identity >= FIRST_INNOCENT or work.identity < 0:
                 self._cut_innocent(work)
--- a/src/milletcourse/experiments/containment_ways.py
+++ b/src/milletcourse/experiments/containment_ways.py
@@ -7,10 +7,10 @@
 from enum import Enum
 
 from milletcourse.exchange.evidence.crash_record import (
-    CONTAINING_ENDS,
-    ProofRule,
-    ServerEnd,
-    ended_in_turn,
+    CONTAINMENT_CRASHES,
+    ContainmentRule,
+    ServerCrash,
+    sequential_crashes,
 )
 
 PRIOR_ENDS_A_SECOND = 1 / 600
@@ -38,7 +38,7 @@
     """As in turn, but after a first end it runs at one server only, until it is cleared."""
 
 
-def rule_of(way: Way, ends_a_second: Callable[[], float]) -> ProofRule:
+def rule_of(way: Way, ends_a_second: Callable[[], float]) -> ContainmentRule:
     """The rule of a way.
 
     Args:
@@ -46,17 +46,17 @@
         ends_a_second: Tells the rate at which a server ends, as it was seen of late.
     """
     if way is Way.COUNT:
-        return lambda ends, _: len(ends) >= CONTAINING_ENDS
+        return lambda ends, _: len(ends) >= CONTAINMENT_CRASHES
     if way is Way.LIKELIHOOD:
         return lambda ends, was_answered: _is_unlikely(ends, was_answered, ends_a_second())
     if way is Way.NONE:
         return lambda ends, _: False
-    return ended_in_turn
+    return sequential_crashes
 
 
-def _is_unlikely(ends: Collection[ServerEnd], was_answered: bool, ends_a_second: float) -> bool:
+def _is_unlikely(ends: Collection[ServerCrash], was_answered: bool, ends_a_second: float) -> bool:
     """Whether the ends are too many for a request that has nothing to do with them."""
-    if not ended_in_turn(ends, was_answered):
+    if not sequential_crashes(ends, was_answered):
         return False
     if len(ends) >= CERTAIN_ENDS:
         return True
--- a/src/milletcourse/experiments/shipped.py
+++ b/src/milletcourse/experiments/shipped.py
@@ -68,7 +68,7 @@
     def on_unreachable(self, engine: str, now: float) -> None:
         """See `RoutingPolicy.on_unreachable`."""
         self.selector.loads.on_unreachable(engine, now)
-        self.selector.beliefs.forget(engine)
+        self.selector.cache_estimates.forget(engine)
 
     def on_dispatched(self, arrival: Arrival, engine: str, now: float) -> None:
         """See `RoutingPolicy.on_dispatched`."""
@@ -103,18 +103,18 @@
         self, engine: str, incarnation: str, events: list[CacheEvent], now: float
     ) -> None:
         """See `RoutingPolicy.on_events`."""
-        beliefs = self.selector.beliefs
-        if beliefs.observe_incarnation(engine, incarnation):
+        cache_estimates = self.selector.cache_estimates
+        if cache_estimates.observe_incarnation(engine, incarnation):
             self._expected_sequence[engine] = 1
         for event in events:
             if event.sequence != self._expected_sequence.get(engine, event.sequence):
-                beliefs.note_event_gap(engine, incarnation)
+                cache_estimates.note_event_gap(engine, incarnation)
             self._expected_sequence[engine] = event.sequence + 1
             stored = [bytes.fromhex(block) for block in event.stored]
             evicted = [bytes.fromhex(block) for block in event.evicted]
-            beliefs.note_held(engine, incarnation, stored)
-            beliefs.note_evicted(engine, incarnation, evicted)
-        if beliefs.is_doubtful(engine):
+            cache_estimates.note_held(engine, incarnation, stored)
+            cache_estimates.note_evicted(engine, incarnation, evicted)
+        if cache_estimates.is_unverified(engine):
             self._resynchronise(engine, incarnation)
 
     def _resynchronise(self, engine: str, incarnation: str) -> None:
@@ -122,8 +122,8 @@
         core = self.cluster.engines[engine].core
         if core.incarnation != incarnation:
             return
-        beliefs = self.selector.beliefs
-        beliefs.forget(engine)
-        beliefs.observe_incarnation(engine, incarnation)
-        beliefs.note_held(engine, incarnation, core.pool.blocks())
-        beliefs.note_resynchronised(engine, incarnation)
+        cache_estimates = self.selector.cache_estimates
+        cache_estimates.forget(engine)
+        cache_estimates.observe_incarnation(engine, incarnation)
+        cache_estimates.note_held(engine, incarnation, core.pool.blocks())
+        cache_estimates.note_resynchronised(engine, incarnation)
--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from milletcourse.exchange.evidence.crash_evidence import MAX_TOLD
+from milletcourse.exchange.evidence.crash_evidence import MAX_REPORTS_PER_MESSAGE
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
-from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReadingPlan
+from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReaderSelection
 from milletcourse.gateway.adapter import PlatformAdapter
 from milletcourse.gateway.clients.client_connection import Handler
 from milletcourse.gateway.fleet.peers import PeerExchange
@@ -61,7 +61,7 @@
         self._spawn = spawn
         self._gateways_kind = adapter.kinds.gateways
         self._directory = GatewayDirectory(settings.name, context.log, self._on_entry, context.now)
-        self._plan = ReadingPlan(settings.name, settings.zone, settings.link_megabits)
+        self._plan = ReaderSelection(settings.name, settings.zone, settings.link_megabits)
         self._watched = _watched_kinds(context, adapter, self._directory)
         self._reader = StoreSync(
             context, store, calls, self._plan, self._watched, self._gateways_kind, spawn
@@ -83,7 +83,7 @@
 
     async def _join(self, address: str) -> None:
         settings = self._context.settings
-        self._context.crash_evidence.knows_others = False
+        self._context.crash_evidence.knows_peers = False
         feed_address = await self._listen_for_followers()
         self._directory.add_listener(self._on_gateways)
         self._spawn(self.peers.run())
@@ -124,7 +124,7 @@
     def _entry_of(self, location: GatewayEntry) -> GatewayEntry:
         """This gateway's entry as it should be now."""
         context = self._context
-        reports = context.crash_evidence.contained_here(context.now())
+        reports = context.crash_evidence.locally_persisted(context.now())
         confirmed_era = UNKNOWN_ERA
         if context.reads_store and self._directory.confirmed_era < context.confirmed_era.latest:
             confirmed_era = context.confirmed_era.latest
@@ -137,7 +137,7 @@
 
     def _on_entry(self, entry: GatewayEntry, is_own: bool) -> None:
         """What a gateway, maybe before all of them ended, left for those that come after it."""
-        self._context.confirmed_era.on_told(entry.confirmed_era)
+        self._context.confirmed_era.on_peer_confirmed(entry.confirmed_era)
         if entry.lost_configuration:
             self._context.on_lost_configuration(entry.lost_configuration)
         if entry.contained:
@@ -147,7 +147,7 @@
         """A gateway found requests that end servers."""
         context = self._context
         try:
-            reports = [request.report() for request in entry.contained[:MAX_TOLD]]
+            reports = [request.report() for request in entry.contained[:MAX_REPORTS_PER_MESSAGE]]
         except ValueError as error:
             context.log.emit("object-malformed", name=entry.address, error=str(error)[:200])
             return
@@ -158,9 +158,9 @@
     def _on_gateways(self, others: list[GatewayRecord]) -> None:
         own_name = self._context.settings.name
         self._plan.set_gateways(others)
-        readers = [name for name in self._plan.first_readers if name != own_name]
+        readers = [name for name in self._plan.primary_readers if name != own_name]
         self.peers.set_gateways(others, readers)
-        self._context.crash_evidence.on_others_known()
+        self._context.crash_evidence.on_peers_known()
 
     async def _listen_for_followers(self) -> str:
         """Tell other gateways what the store holds at the first free port; empty without one."""
--- a/src/milletcourse/gateway/operator_api.py
+++ b/src/milletcourse/gateway/operator_api.py
@@ -113,8 +113,8 @@
         return [
             ShownContainment(
                 identity_text(item.identity),
-                item.ends,
-                round(now - item.last_end_at, 3),
+                item.crashes,
+                round(now - item.last_crash_at, 3),
                 round(item.seconds_left, 1),
             )
             for item in self._context.crash_evidence.containments(now)
--- a/src/milletcourse/gateway/requests/exchange_runner.py
+++ b/src/milletcourse/gateway/requests/exchange_runner.py
@@ -70,7 +70,7 @@
     def _is_known_to_be_unknown(self, request: ExchangeRequest) -> bool:
         """Whether a route or key that isn't found here may be called unknown."""
         context = self._context
-        may_be_new = context.lag.may_concern(request.host, request.path, request.key)
+        may_be_new = context.lag.may_affect(request.host, request.path, request.key)
         return context.freshness.allows_not_found(context.now()) and not may_be_new
 
     def _is_revoked(self, request: ExchangeRequest) -> bool:
--- a/src/milletcourse/gateway/servers/call_client.py
+++ b/src/milletcourse/gateway/servers/call_client.py
@@ -106,7 +106,7 @@
             raise
         finally:
             timer.stop()
-        if reply is None and progress.has_begun and self._on_given_up is not None:
+        if reply is None and progress.has_started and self._on_given_up is not None:
             seconds = elapsed_seconds() - sent_at
             self._on_given_up(GivenUpCall(address, call.target, progress.received_bytes, seconds))
         return reply
--- a/src/milletcourse/gateway/servers/crash_watch.py
+++ b/src/milletcourse/gateway/servers/crash_watch.py
@@ -108,7 +108,7 @@
             return
         self._doubtful = [loss for loss in self._doubtful if loss.instance != name]
         for loss in ended:
-            self._evidence.on_end(loss.identity, loss.server, loss.sent_at, loss.lost_at)
+            self._evidence.on_crash(loss.identity, loss.server, loss.sent_at, loss.lost_at)
         self._on_news()
 
     def release(self, identity: int) -> None:
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -28,7 +28,11 @@
 from milletcourse.exchange.replication.configuration_effect import EffectHistory
 from milletcourse.exchange.replication.configuration_lag import ConfigurationLag
 from milletcourse.exchange.replication.confirmed_era import ConfirmedEra, EraEvidence
-from milletcourse.exchange.replication.freshness import ProofOfFreshness, ReadingTimes, reading_times
+from milletcourse.exchange.replication.freshness import (
+    ProofOfFreshness,
+    ReplicationTimes,
+    replication_times,
+)
 from milletcourse.exchange.replication.lost_configuration import LostConfiguration
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
@@ -108,7 +112,7 @@
         self.reads_store = False
         self.followed_reader = ""
         self.freshness = ProofOfFreshness(
-            self._key_bound(settings), bounds.fail_closed, self.reading.calm_age
+            self._key_bound(settings), bounds.fail_closed, self.reading.steady_state_age
         )
         self.lag = ConfigurationLag(bounds.config_apply)
         self.effects = EffectHistory()
@@ -200,7 +204,7 @@
         self.settings = settings
         self.reading = self._reading_times(settings)
         self.freshness.set_bound(
-            self._key_bound(settings), bounds.fail_closed, self.reading.calm_age
+            self._key_bound(settings), bounds.fail_closed, self.reading.steady_state_age
         )
         self.lag.apply_seconds = bounds.config_apply
         self.gate.bound_seconds = bounds.version
@@ -211,8 +215,8 @@
     def _key_bound(settings: GatewaySettings) -> float:
         return settings.bounds.revoke - FRESHNESS_MARGIN_SECONDS
 
-    def _reading_times(self, settings: GatewaySettings) -> ReadingTimes:
-        return reading_times(self._key_bound(settings), settings.bounds.config_apply)
+    def _reading_times(self, settings: GatewaySettings) -> ReplicationTimes:
+        return replication_times(self._key_bound(settings), settings.bounds.config_apply)
 
     def own_loads(self) -> list[InstanceLoad]:
         """This gateway's load on each server that has some, and how it went there lately."""
@@ -276,7 +280,7 @@
 
         Until it, or a later one, is written again, no proof says that a key still holds.
         """
-        if not self.lost_configuration.on_told(version):
+        if not self.lost_configuration.on_peer_version(version):
             return
         self.freshness.forget()
         if self.table is not None:
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -20,7 +20,7 @@
 )
 from milletcourse.exchange.messages.store_place import StorePlace
 from milletcourse.exchange.replication.pending_contents import FedUpdate, PendingContents
-from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReadingPlan
+from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReaderSelection
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.store.kind_mirror import KindMirror
@@ -55,7 +55,7 @@
         self,
         context: GatewayContext,
         calls: CallClient,
-        plan: ReadingPlan,
+        plan: ReaderSelection,
         mirrors: Sequence[KindMirror],
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]],
     ) -> None:
@@ -122,7 +122,7 @@
             self.leave()
             self._plan.on_failed(reader.name, self._context.now(), answered=False)
             return FeedOutcome.CONTENT_MISSING
-        self._plan.on_fed(reader.name)
+        self._plan.on_success(reader.name)
         return FeedOutcome.FED if self._is_current(answer) else FeedOutcome.OUTDATED
 
     def leave(self) -> None:
@@ -148,7 +148,7 @@
         age = self._context.now() - self._proved_at
         if answer.is_receiving:
             return age <= self._context.reading.max_receiving_age
-        return age <= self._context.reading.calm_age
+        return age <= self._context.reading.steady_state_age
 
     def _positions(self) -> list[FeedPosition]:
         return [
@@ -161,7 +161,7 @@
     def _take(
         self, answer: FeedAnswer, asked: dict[str, StorePlace | None], reader: GatewayRecord
     ) -> None:
-        self._context.confirmed_era.on_told(answer.confirmed_era)
+        self._context.confirmed_era.on_peer_confirmed(answer.confirmed_era)
         offset = answer.not_out_offset
         not_out_at = self._proved_at - answer.proof_offset + offset if offset is not None else None
         for fed in answer.kinds:
@@ -199,7 +199,7 @@
             except PatchError as error:
                 problem = error.problem.value
                 self._context.record.store.content_differs(kind, self._reader, problem)
-                self._pending.on_misfit(kind)
+                self._pending.on_patch_mismatch(kind)
                 self._is_content_missing = update.fed.whole
                 return
 
--- a/src/milletcourse/gateway/store/sinks.py
+++ b/src/milletcourse/gateway/store/sinks.py
@@ -77,7 +77,7 @@
         self._prove(sent_at)
 
     def _tell_in_force(self, configuration: ExchangeConfiguration, size: int) -> None:
-        not_out_at = self._context.lag.not_out_at
+        not_out_at = self._context.lag.not_committed_at
         late = {} if not_out_at is None else {"out_for_at_most": self._context.now() - not_out_at}
         self._context.log.emit(
             "configuration-in-force",
@@ -134,7 +134,7 @@
             return True
         if current is not None:
             lag = self._context.lag
-            self._context.effects.note(current.configuration, configuration, lag.not_out_at)
+            self._context.effects.record(current.configuration, configuration, lag.not_committed_at)
         self._context.table = RouteTable(configuration)
         self._context.tenant_limits.configure(configuration.tenants, self._context.now())
         self._tell_in_force(configuration, len(stored.spec))
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -86,7 +86,7 @@
             return
         self._note_positions(question)
         self._note_configuration(question)
-        self._context.confirmed_era.on_told(question.confirmed_era)
+        self._context.confirmed_era.on_peer_confirmed(question.confirmed_era)
         await self._wait_for_news(question, received_at)
         if not self._vouches() or self._is_an_era_behind(question):
             refuse(client, NotReady("the store isn't read here now"))
@@ -109,9 +109,9 @@
         effect = not_out_at = None
         if any(kind.kind == self._proven.kind and kind.is_announced for kind in answer.kinds):
             effect = context.effects.since(question.configuration)
-            not_out_at = context.effects.not_out_at(question.configuration)
+            not_out_at = context.effects.not_committed_at(question.configuration)
         else:
-            not_out_at = context.lag.not_out_at
+            not_out_at = context.lag.not_committed_at
         return msgspec.structs.replace(
             answer,
             is_receiving=self._proven.is_receiving,
--- a/src/milletcourse/gateway/store/store_sync.py
+++ b/src/milletcourse/gateway/store/store_sync.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from milletcourse.exchange.mechanisms import Mechanism
-from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReadingPlan
+from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReaderSelection
 from milletcourse.gateway.servers.call_client import CallClient
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.store.feed_client import QUICK_SECONDS, FeedClient, FeedOutcome
@@ -59,7 +59,7 @@
         context: GatewayContext,
         store: ObjectStoreClient,
         calls: CallClient,
-        plan: ReadingPlan,
+        plan: ReaderSelection,
         kinds: Sequence[WatchedKind],
         gateways_kind: str,
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]],
@@ -190,7 +190,7 @@
         The store may turn away this gateway alone. Its own watches go on meanwhile, since they find
         out when that is over; what is learnt is as old as the other reader's proof says.
         """
-        reader = self._plan.choose_substitute(self._context.now())
+        reader = self._plan.choose_fallback(self._context.now())
         if reader is None or await self._feed.ask(reader, 0.0) is not FeedOutcome.FED:
             return
         self._context.log.emit("substitute-asked", reader=reader.name)
--- a/src/milletcourse/gateway/telling/recorder.py
+++ b/src/milletcourse/gateway/telling/recorder.py
@@ -318,8 +318,8 @@
         self._log.emit(
             "request-contained",
             content=identity_text(containment.identity),
-            ends=containment.ends,
-            since_last_end=round(self.now() - containment.last_end_at, 3),
+            ends=containment.crashes,
+            since_last_end=round(self.now() - containment.last_crash_at, 3),
             seconds_left=round(containment.seconds_left, 1),
         )
 
--- a/src/milletcourse/policy/compiled.py
+++ b/src/milletcourse/policy/compiled.py
@@ -159,18 +159,18 @@
         table = self._tables.get(key.kind)
         if table is None:
             return
-        former = table.pop(key.name, None)
+        previous = table.pop(key.name, None)
         if spec is not None:
             table[key.name] = spec
         if key.kind == "Tenant":
-            self._index_tenant(key.name, cast(TenantSpec | None, former))
+            self._index_tenant(key.name, cast(TenantSpec | None, previous))
         elif key.kind == "Workload":
             self._index_workloads()
         elif key.kind in ("Engine", "Place", "AppServer"):
             self._permitted.clear()
 
-    def _index_tenant(self, name: str, former: TenantSpec | None) -> None:
-        for key_hash in former.key_hashes if former else ():
+    def _index_tenant(self, name: str, previous: TenantSpec | None) -> None:
+        for key_hash in previous.key_hashes if previous else ():
             if self._tenant_of_key.get(key_hash) == name:
                 del self._tenant_of_key[key_hash]
         current = self.tenants.get(name)
@@ -213,7 +213,7 @@
         if tenant is None:
             return None
         for name in self._by_precedence:
-            if _takes(self.workloads[name], facts, tenant):
+            if _matches_request(self.workloads[name], facts, tenant):
                 return name
         return None
 
@@ -314,7 +314,7 @@
         return place is not None and rules.reuse.places.matches(place.labels)
 
 
-def _takes(rules: WorkloadSpec, facts: RequestFacts, tenant: TenantSpec) -> bool:
+def _matches_request(rules: WorkloadSpec, facts: RequestFacts, tenant: TenantSpec) -> bool:
     match = rules.match
     if facts.application:
         if facts.application not in match.applications:
--- a/src/milletcourse/prefix/cache_estimate.py
+++ b/src/milletcourse/prefix/cache_estimate.py
@@ -16,17 +16,17 @@
 
 DEFAULT_MAX_BLOCKS_PER_ENGINE = 4096
 """Above the cache size of an engine at today's sizes; bounds memory per followed engine."""
-DOUBTFUL_WEIGHT = 0.5
+UNVERIFIED_WEIGHT = 0.5
 """Share of a doubtful prefix that a cost estimate counts as held: an even chance."""
 
 
-class EngineBelief:
+class EngineCacheEstimate:
     """Blocks believed held by one incarnation of one engine, least recently confirmed first."""
 
     def __init__(self, incarnation: str, max_blocks: int) -> None:
         self.incarnation = incarnation
         self.next_sequence: int | None = None
-        self.doubtful = False
+        self.unverified = False
         self._max_blocks = max_blocks
         self._blocks: OrderedDict[BlockHash, None] = OrderedDict()
 
@@ -55,12 +55,12 @@
         return self._blocks.keys()
 
 
-class BeliefIndex:
+class CacheEstimateIndex:
     """Beliefs about all followed engines, indexed by block."""
 
     def __init__(self, max_blocks_per_engine: int = DEFAULT_MAX_BLOCKS_PER_ENGINE) -> None:
         self._max_blocks = max_blocks_per_engine
-        self._engines: dict[str, EngineBelief] = {}
+        self._engines: dict[str, EngineCacheEstimate] = {}
         self._holders: dict[BlockHash, dict[str, None]] = {}
 
     def __len__(self) -> int:
@@ -69,8 +69,8 @@
 
     def incarnation(self, engine: str) -> str | None:
         """The incarnation that the beliefs are about."""
-        belief = self._engines.get(engine)
-        return belief.incarnation if belief else None
+        estimate = self._engines.get(engine)
+        return estimate.incarnation if estimate else None
 
     def observe_incarnation(self, engine: str, incarnation: str) -> bool:
         """Note which incarnation lives; drops beliefs of another one.
@@ -78,36 +78,36 @@
         Returns:
             True when the engine is new or restarted.
         """
-        belief = self._engines.get(engine)
-        if belief is not None and belief.incarnation == incarnation:
+        estimate = self._engines.get(engine)
+        if estimate is not None and estimate.incarnation == incarnation:
             return False
         self.forget(engine)
-        self._engines[engine] = EngineBelief(incarnation, self._max_blocks)
+        self._engines[engine] = EngineCacheEstimate(incarnation, self._max_blocks)
         return True
 
     def forget(self, engine: str) -> None:
         """Drop all beliefs about an engine."""
-        belief = self._engines.pop(engine, None)
-        for block in belief.blocks() if belief else ():
+        estimate = self._engines.pop(engine, None)
+        for block in estimate.blocks() if estimate else ():
             self._drop_holder(engine, block)
 
     def note_held(self, engine: str, incarnation: str, blocks: Sequence[BlockHash]) -> None:
         """The engine holds these blocks; ignored for a former incarnation."""
-        belief = self._current(engine, incarnation)
-        if belief is None:
+        estimate = self._current(engine, incarnation)
+        if estimate is None:
             return
         for block in blocks:
             self._holders.setdefault(block, {})[engine] = None
-        for block in belief.add(blocks):
+        for block in estimate.add(blocks):
             self._drop_holder(engine, block)
 
     def note_evicted(self, engine: str, incarnation: str, blocks: Iterable[BlockHash]) -> None:
         """The engine holds these blocks no longer; ignored for a former incarnation."""
-        belief = self._current(engine, incarnation)
-        if belief is None:
+        estimate = self._current(engine, incarnation)
+        if estimate is None:
             return
         for block in blocks:
-            belief.discard(block)
+            estimate.discard(block)
             self._drop_holder(engine, block)
 
     def note_answer(
@@ -120,38 +120,38 @@
         """
         if self._current(engine, incarnation) is None:
             self.observe_incarnation(engine, incarnation)
-        believed = self.held_blocks(engine, chain)
-        if believed > cached_blocks:
-            self._engines[engine].doubtful = True
+        estimated = self.held_blocks(engine, chain)
+        if estimated > cached_blocks:
+            self._engines[engine].unverified = True
         self.note_held(engine, incarnation, chain)
 
     def note_event_gap(self, engine: str, incarnation: str) -> None:
         """Events were lost: what is believed may be false."""
-        belief = self._current(engine, incarnation)
-        if belief is not None:
-            belief.doubtful = True
+        estimate = self._current(engine, incarnation)
+        if estimate is not None:
+            estimate.unverified = True
 
     def note_resynchronised(self, engine: str, incarnation: str) -> None:
         """The belief was rebuilt from the engine's own list."""
-        belief = self._current(engine, incarnation)
-        if belief is not None:
-            belief.doubtful = False
+        estimate = self._current(engine, incarnation)
+        if estimate is not None:
+            estimate.unverified = False
 
-    def is_doubtful(self, engine: str) -> bool:
+    def is_unverified(self, engine: str) -> bool:
         """Whether events about the engine were lost."""
-        belief = self._engines.get(engine)
-        return belief is not None and belief.doubtful
+        estimate = self._engines.get(engine)
+        return estimate is not None and estimate.unverified
 
     def held_blocks(self, engine: str, chain: Sequence[BlockHash]) -> int:
         """Length of the believed prefix of a chain at one engine.
 
         Engines evict the deepest blocks first, so the deepest held block tells the length.
         """
-        belief = self._engines.get(engine)
-        if belief is None:
+        estimate = self._engines.get(engine)
+        if estimate is None:
             return 0
         for depth in range(len(chain), 0, -1):
-            if chain[depth - 1] in belief:
+            if chain[depth - 1] in estimate:
                 return depth
         return 0
 
@@ -171,9 +171,9 @@
                         return found
         return found
 
-    def _current(self, engine: str, incarnation: str) -> EngineBelief | None:
-        belief = self._engines.get(engine)
-        return belief if belief is not None and belief.incarnation == incarnation else None
+    def _current(self, engine: str, incarnation: str) -> EngineCacheEstimate | None:
+        estimate = self._engines.get(engine)
+        return estimate if estimate is not None and estimate.incarnation == incarnation else None
 
     def _drop_holder(self, engine: str, block: BlockHash) -> None:
         holders = self._holders.get(block)
--- a/src/milletcourse/prefix/hot_prefixes.py
+++ b/src/milletcourse/prefix/hot_prefixes.py
@@ -19,14 +19,14 @@
 """Hot prefixes shift without warning; two windows of 10 s follow a shift within 20 s."""
 
 
-class HeatTracker:
+class HotPrefixTracker:
     """Requests per second by block."""
 
     def __init__(self, window_seconds: float = WINDOW_SECONDS) -> None:
         self._window_seconds = window_seconds
         self._window_start = 0.0
         self._current = frequent_strings_sketch(SKETCH_LOG2_SIZE)
-        self._former = frequent_strings_sketch(SKETCH_LOG2_SIZE)
+        self._previous = frequent_strings_sketch(SKETCH_LOG2_SIZE)
 
     def record(self, blocks: Sequence[BlockHash], now: float) -> None:
         """Count one request that passes through these blocks.
@@ -43,14 +43,14 @@
         """Estimated rate of requests through a block over the last one to two windows."""
         self._rotate(now)
         name = block.hex()
-        count = self._current.get_estimate(name) + self._former.get_estimate(name)
+        count = self._current.get_estimate(name) + self._previous.get_estimate(name)
         covered = self._window_seconds + max(now - self._window_start, 0.0)
         return float(count / covered)
 
     def requests(self, block: BlockHash) -> int:
         """Estimated number of requests through a block in the two windows."""
         name = block.hex()
-        return int(self._current.get_estimate(name) + self._former.get_estimate(name))
+        return int(self._current.get_estimate(name) + self._previous.get_estimate(name))
 
     def hottest(self, limit: int) -> list[tuple[BlockHash, int]]:
         """The hottest blocks of the current window with their counts."""
@@ -63,6 +63,6 @@
             return
         missed_whole_window = now - self._window_start >= 2 * self._window_seconds
         empty = frequent_strings_sketch(SKETCH_LOG2_SIZE)
-        self._former = empty if missed_whole_window else self._current
+        self._previous = empty if missed_whole_window else self._current
         self._current = frequent_strings_sketch(SKETCH_LOG2_SIZE)
         self._window_start = now
--- a/src/milletcourse/routing/engine_follower.py
+++ b/src/milletcourse/routing/engine_follower.py
@@ -61,7 +61,7 @@
             after = self._next_sequence.get(engine, 1)
             feed = await self._engines.feed(spec.address, after)
             incarnation = feed.load.incarnation
-            if self._selector.beliefs.observe_incarnation(engine, incarnation):
+            if self._selector.cache_estimates.observe_incarnation(engine, incarnation):
                 self._next_sequence[engine] = 1
                 await self._resynchronise(engine, spec.address, incarnation)
             elif feed.events.incarnation == incarnation:
@@ -76,7 +76,7 @@
 
     async def _apply(self, engine: str, address: str, after: int, events: CacheEvents) -> None:
         """Apply events; a jump in the sequence makes the belief doubtful and asks for the truth."""
-        beliefs = self._selector.beliefs
+        cache_estimates = self._selector.cache_estimates
         expected = after
         gap = False
         for event in events.events:
@@ -84,21 +84,21 @@
             expected = event.sequence + 1
             stored = tuple(bytes.fromhex(block) for block in event.stored)
             evicted = tuple(bytes.fromhex(block) for block in event.evicted)
-            beliefs.note_held(engine, events.incarnation, stored)
-            beliefs.note_evicted(engine, events.incarnation, evicted)
+            cache_estimates.note_held(engine, events.incarnation, stored)
+            cache_estimates.note_evicted(engine, events.incarnation, evicted)
         self._next_sequence[engine] = expected
         if gap:
-            beliefs.note_event_gap(engine, events.incarnation)
-        if beliefs.is_doubtful(engine):
+            cache_estimates.note_event_gap(engine, events.incarnation)
+        if cache_estimates.is_unverified(engine):
             await self._resynchronise(engine, address, events.incarnation)
 
     async def _resynchronise(self, engine: str, address: str, incarnation: str) -> None:
         """Rebuild the belief from the engine's own list."""
         held = await self._engines.cached_blocks(address)
-        beliefs = self._selector.beliefs
-        if beliefs.incarnation(engine) != incarnation:
+        cache_estimates = self._selector.cache_estimates
+        if cache_estimates.incarnation(engine) != incarnation:
             return
-        beliefs.forget(engine)
-        beliefs.observe_incarnation(engine, incarnation)
-        beliefs.note_held(engine, incarnation, held)
-        beliefs.note_resynchronised(engine, incarnation)
+        cache_estimates.forget(engine)
+        cache_estimates.observe_incarnation(engine, incarnation)
+        cache_estimates.note_held(engine, incarnation, held)
+        cache_estimates.note_resynchronised(engine, incarnation)
--- a/src/milletcourse/routing/load_digest.py
+++ b/src/milletcourse/routing/load_digest.py
@@ -80,11 +80,11 @@
     by_place: dict[str, list[str]] = {}
     for member in members:
         by_place.setdefault(member.place, []).append(member.name)
-    everyone = [member.name for member in members]
+    all_routers = [member.name for member in members]
     return [
         engine
         for engine, place in sorted(engine_places.items())
-        if _follower(engine, by_place.get(place, everyone)) == own.name
+        if _follower(engine, by_place.get(place, all_routers)) == own.name
     ]
 
 
--- a/src/milletcourse/routing/selector.py
+++ b/src/milletcourse/routing/selector.py
@@ -17,9 +17,9 @@
 
 from milletcourse.errors import Failure, NoEngineAvailable
 from milletcourse.policy.compiled import BackendSet, CompiledPolicy, Permission
-from milletcourse.prefix.cache_estimate import DOUBTFUL_WEIGHT, BeliefIndex
 from milletcourse.prefix.blocks import BLOCK_TOKENS, BlockHash, PromptBlocks
-from milletcourse.prefix.hot_prefixes import HeatTracker
+from milletcourse.prefix.cache_estimate import UNVERIFIED_WEIGHT, CacheEstimateIndex
+from milletcourse.prefix.hot_prefixes import HotPrefixTracker
 from milletcourse.routing.home_ring import HomeRing
 from milletcourse.routing.load import LoadTable
 from milletcourse.routing.parameters import RoutingParameters
@@ -90,15 +90,15 @@
         random_source: random.Random,
         parameters: RoutingParameters,
         own_place: str = "",
-        is_away: Callable[[str], bool] = lambda engine: False,
+        is_unavailable: Callable[[str], bool] = lambda engine: False,
     ) -> None:
         self.policy = policy
         self.parameters = parameters
         self.own_place = own_place
-        self._is_away = is_away
-        self.beliefs = BeliefIndex()
+        self._is_unavailable = is_unavailable
+        self.cache_estimates = CacheEstimateIndex()
         self.loads = LoadTable()
-        self.heat = HeatTracker()
+        self.hot_prefixes = HotPrefixTracker()
         self.stores = StoreIndex()
         self._random = random_source
         self._rings: weakref.WeakKeyDictionary[BackendSet, HomeRing] = weakref.WeakKeyDictionary()
@@ -110,8 +110,8 @@
             The decision, or `NoEngineAvailable` when no permitted engine can take work.
         """
         chain = request.blocks.hashes
-        self.heat.record(chain, now)
-        holders = self.beliefs.holders(chain, self.parameters.max_holders)
+        self.hot_prefixes.record(chain, now)
+        holders = self.cache_estimates.holders(chain, self.parameters.max_holders)
         sources = self._sources(request, holders, now)
         best: tuple[float, Decision] | None = None
         for rank, engine in enumerate(self._candidates(request, holders, now)):
@@ -153,7 +153,12 @@
 
     def _usable(self, engine: str, request: RoutingRequest, now: float) -> bool:
         spec = self.policy.engines.get(engine)
-        if spec is None or spec.leaving or engine in request.excluded or self._is_away(engine):
+        if (
+            spec is None
+            or spec.leaving
+            or engine in request.excluded
+            or self._is_unavailable(engine)
+        ):
             return False
         return self.loads.is_usable(engine, request.model, request.weight_version, now)
 
@@ -175,7 +180,7 @@
         low, high = 0, len(chain)
         while low < high:
             middle = (low + high + 1) // 2
-            if self.heat.requests(chain[middle - 1]) >= MIN_SHARED_REQUESTS:
+            if self.hot_prefixes.requests(chain[middle - 1]) >= MIN_SHARED_REQUESTS:
                 low = middle
             else:
                 high = middle - 1
@@ -186,7 +191,7 @@
         if not chain:
             return self.parameters.max_homes
         key = self._home_key(request, now)
-        rate = self.heat.requests_per_second(key, now)
+        rate = self.hot_prefixes.requests_per_second(key, now)
         return self.parameters.max_homes + int(rate / self.parameters.hot_requests_per_second)
 
     def _sources(self, request: RoutingRequest, holders: dict[str, int], now: float) -> _Sources:
@@ -213,17 +218,17 @@
         self, engine: str, request: RoutingRequest, held: int, sources: _Sources, now: float
     ) -> Decision:
         state = self.loads.state(engine)
-        certain = held
-        if held and self.beliefs.is_doubtful(engine):
-            certain = int(held * DOUBTFUL_WEIGHT)
+        expected_held = held
+        if held and self.cache_estimates.is_unverified(engine):
+            expected_held = int(held * UNVERIFIED_WEIGHT)
         priority = request.permission.rules.priority
         wait = self.loads.wait_seconds(engine, now, priority)
-        compute = request.blocks.missing_tokens(certain)
+        compute = request.blocks.missing_tokens(expected_held)
         seconds = compute / state.rate
         imported = 0
-        if sources.store_blocks > certain:
+        if sources.store_blocks > expected_held:
             missing = request.blocks.missing_tokens(sources.store_blocks)
-            blocks = sources.store_blocks - certain
+            blocks = sources.store_blocks - expected_held
             import_seconds = (
                 self.parameters.import_lookup_seconds
                 + blocks * self.parameters.import_seconds_per_block
@@ -265,9 +270,9 @@
         """A request was sent: its prompt will soon be cached there."""
         priority = request.permission.rules.priority
         self.loads.on_dispatched(engine, request_id, tokens, priority, now)
-        incarnation = self.beliefs.incarnation(engine)
+        incarnation = self.cache_estimates.incarnation(engine)
         if incarnation is not None:
-            self.beliefs.note_held(engine, incarnation, request.blocks.hashes)
+            self.cache_estimates.note_held(engine, incarnation, request.blocks.hashes)
 
     def on_answer(
         self,
@@ -283,9 +288,9 @@
             was_short = cached_blocks < decision.import_blocks
             self.stores.on_import(decision.import_store, was_short, now)
             if was_short:
-                self.beliefs.note_held(decision.engine, incarnation, blocks.hashes)
+                self.cache_estimates.note_held(decision.engine, incarnation, blocks.hashes)
                 return
-        self.beliefs.note_answer(decision.engine, incarnation, blocks.hashes, cached_blocks)
+        self.cache_estimates.note_answer(decision.engine, incarnation, blocks.hashes, cached_blocks)
 
     def blocks_to_export(self, store: str, blocks: PromptBlocks) -> tuple[BlockHash, ...]:
         """The leading blocks worth exporting to a store after an answer; empty for none."""
@@ -293,6 +298,9 @@
             return ()
         chain = blocks.hashes
         depth = len(chain)
-        while depth and self.heat.requests(chain[depth - 1]) < self.parameters.export_min_requests:
+        while (
+            depth
+            and self.hot_prefixes.requests(chain[depth - 1]) < self.parameters.export_min_requests
+        ):
             depth -= 1
         return chain[:depth] if self.stores.missing(store, chain[:depth]) else ()
--- a/src/milletcourse/simulation/scenarios/crashes.py
+++ b/src/milletcourse/simulation/scenarios/crashes.py
@@ -5,7 +5,7 @@
 import asyncio
 import functools
 
-from milletcourse.exchange.evidence.crash_record import CONTAINING_ENDS
+from milletcourse.exchange.evidence.crash_record import CONTAINMENT_CRASHES
 from milletcourse.simulation.clients import SimulatedClients
 from milletcourse.simulation.cluster_records import SimulatedRouter
 from milletcourse.simulation.runner import Scenario
@@ -37,7 +37,7 @@
 async def _crashing_request(world: World, clients: SimulatedClients) -> None:
     await asyncio.sleep(2)
     await clients.repeat_crashing(CRASHING_REPEATS, 2.0)
-    bound = CONTAINING_ENDS * len(world.routers)
+    bound = CONTAINMENT_CRASHES * len(world.routers)
     ends = world.crashing_prompts.ends
     if ends > bound:
         world.violate("crashing-request-contained", f"{ends} engines ended")
--- a/src/milletcourse/streams/answer_service.py
+++ b/src/milletcourse/streams/answer_service.py
@@ -149,7 +149,7 @@
                 await self._clock.sleep(CONNECT_BACKOFF_SECONDS)
                 continue
             self._selector.loads.on_reachable(attempt.engine)
-            self._selector.beliefs.observe_incarnation(attempt.engine, stream.incarnation)
+            self._selector.cache_estimates.observe_incarnation(attempt.engine, stream.incarnation)
             progress.relay.begin_attempt(completion.attempt, completion.generated_tokens)
             return (
                 Attempt(
@@ -332,7 +332,7 @@
         if isinstance(failure, BackendUnreachable | BackendLost):
             self._selector.loads.on_unreachable(attempt.engine, now)
         if isinstance(failure, BackendLost):
-            self._selector.beliefs.forget(attempt.engine)
+            self._selector.cache_estimates.forget(attempt.engine)
             await self.guard.on_lost(request, attempt)
         progress.excluded.add(attempt.engine)
         self._log.info(
--- a/src/milletcourse/streams/crash_guard.py
+++ b/src/milletcourse/streams/crash_guard.py
@@ -43,7 +43,7 @@
         except FailureError as error:
             if isinstance(error.failure, BackendUnreachable):
                 server = short_key(f"{attempt.engine}\0{attempt.incarnation}\0{attempt.sent_at}")
-                self.evidence.on_end(_identity(request), server, attempt.sent_at, lost_at)
+                self.evidence.on_crash(_identity(request), server, attempt.sent_at, lost_at)
                 self.evidence.expire(lost_at)
 
 
--- a/tests/exchange/evidence/test_crash_evidence.py
+++ b/tests/exchange/evidence/test_crash_evidence.py
@@ -11,7 +11,7 @@
 
 from load_fleet import Fleet
 from milletcourse.exchange.evidence.crash_evidence import MAX_RECORDS, CrashEvidence
-from milletcourse.exchange.evidence.crash_record import CONTAINED_SECONDS
+from milletcourse.exchange.evidence.crash_record import CONTAINMENT_SECONDS
 from milletcourse.exchange.evidence.request_identity import request_identity
 from milletcourse.exchange.messages.peer_messages import (
     MAX_AGE_MS,
@@ -29,7 +29,7 @@
 def _ended_in_a_row(evidence: CrashEvidence, ends: int, first: int = 1, at: float = NOW) -> None:
     """Servers end one after the other, a second apart."""
     for number in range(ends):
-        evidence.on_end(CRASHING, first + number, at + number, at + number + 0.1)
+        evidence.on_crash(CRASHING, first + number, at + number, at + number + 0.1)
 
 
 # -- what contains a request --------------------------------------------------------------------
@@ -43,7 +43,7 @@
     assert evidence.containment(CRASHING, NOW + 9) is None
     _ended_in_a_row(evidence, 1, first=3, at=NOW + 8)
     containment = evidence.containment(CRASHING, NOW + 9)
-    assert containment is not None and containment.ends == 3
+    assert containment is not None and containment.crashes == 3
     assert [item.identity for item in evidence.take_newly_contained(NOW + 9)] == [CRASHING]
 
 
@@ -77,10 +77,10 @@
     """A popular request ran on all servers of a rack, begun before the first one ended."""
     evidence = CrashEvidence()
     for server in range(1, 6):
-        evidence.on_end(CRASHING, server, NOW - server, NOW + 0.01 * server)
+        evidence.on_crash(CRASHING, server, NOW - server, NOW + 0.01 * server)
     assert evidence.containment(CRASHING, NOW + 1) is None
     evidence.on_answer(CRASHING, NOW + 1)
-    evidence.on_end(CRASHING, 9, NOW + 2, NOW + 3)
+    evidence.on_crash(CRASHING, 9, NOW + 2, NOW + 3)
     assert evidence.containment(CRASHING, NOW + 4) is None
 
 
@@ -88,11 +88,11 @@
     """Copies end several servers at the same moment, as a crash of a rack does."""
     evidence = CrashEvidence()
     for server in range(1, 5):
-        evidence.on_end(CRASHING, server, NOW, NOW + 0.1)
+        evidence.on_crash(CRASHING, server, NOW, NOW + 0.1)
     assert evidence.containment(CRASHING, NOW + 1) is None
-    evidence.on_end(CRASHING, 5, NOW + 1, NOW + 1.1)
+    evidence.on_crash(CRASHING, 5, NOW + 1, NOW + 1.1)
     assert evidence.containment(CRASHING, NOW + 2) is None
-    evidence.on_end(CRASHING, 6, NOW + 1, NOW + 1.1)
+    evidence.on_crash(CRASHING, 6, NOW + 1, NOW + 1.1)
     assert evidence.containment(CRASHING, NOW + 2) is not None
 
 
@@ -100,12 +100,12 @@
     """Only so many ends are kept, but the first and the latest ones are."""
     evidence = CrashEvidence()
     for server in range(1, 12):
-        evidence.on_end(CRASHING, server, NOW, NOW + 0.1)
-    evidence.on_end(CRASHING, 20, NOW + 1, NOW + 1.1)
-    evidence.on_end(CRASHING, 21, NOW + 2, NOW + 2.1)
+        evidence.on_crash(CRASHING, server, NOW, NOW + 0.1)
+    evidence.on_crash(CRASHING, 20, NOW + 1, NOW + 1.1)
+    evidence.on_crash(CRASHING, 21, NOW + 2, NOW + 2.1)
     assert evidence.containment(CRASHING, NOW + 3) is not None
     other = CrashEvidence()
-    other.merge(evidence.gravest(NOW + 3), NOW + 3, True)
+    other.merge(evidence.most_severe(NOW + 3), NOW + 3, True)
     assert other.containment(CRASHING, NOW + 3) is not None
 
 
@@ -115,9 +115,9 @@
     evidence.on_answer(CRASHING, NOW + 10)
     report = CrashReport(CRASHING, [CrashEnd(1, 9000, 8000), CrashEnd(2, 7000, 6000)])
     evidence.merge([report], NOW + 11, False)
-    assert evidence.ends(CRASHING) == 0
-    assert evidence.has_news
-    assert [told.cleared_ms for told in evidence.to_tell(NOW + 11, 1.0)] == [1000]
+    assert evidence.crash_count(CRASHING) == 0
+    assert evidence.has_updates
+    assert [told.cleared_ms for told in evidence.due_reports(NOW + 11, 1.0)] == [1000]
 
 
 def test_requests_that_ended_the_same_servers_are_both_contained() -> None:
@@ -125,7 +125,7 @@
     evidence = CrashEvidence()
     for identity in (20, 21):
         for server in range(1, 4):
-            evidence.on_end(identity, server, NOW + server, NOW + server + 0.1)
+            evidence.on_crash(identity, server, NOW + server, NOW + server + 0.1)
     assert len(evidence.containments(NOW + 9)) == 2
 
 
@@ -143,7 +143,7 @@
     """What it met may have been mended meanwhile."""
     evidence = CrashEvidence()
     _ended_in_a_row(evidence, 3)
-    later = NOW + CONTAINED_SECONDS + 5
+    later = NOW + CONTAINMENT_SECONDS + 5
     evidence.expire(later)
     assert evidence.containment(CRASHING, later) is None
     _ended_in_a_row(evidence, 1, first=9, at=later)
@@ -155,7 +155,7 @@
     evidence = CrashEvidence()
     _ended_in_a_row(evidence, 3)
     for identity in range(100, 100 + 2 * MAX_RECORDS):
-        evidence.on_end(identity, 1, NOW + 10, NOW + 11)
+        evidence.on_crash(identity, 1, NOW + 10, NOW + 11)
     assert evidence.containment(CRASHING, NOW + 12) is not None
 
 
@@ -206,11 +206,11 @@
             if server is None:
                 evidence.on_answer(identity, now)
             else:
-                evidence.on_end(identity, server, now - 0.05, now)
+                evidence.on_crash(identity, server, now - 0.05, now)
         for receiver in gateways:
-            receiver.merge(gateways[gateway].gravest(now), now, True)
+            receiver.merge(gateways[gateway].most_severe(now), now, True)
     now += 1.0
-    reports = [report for evidence in gateways for report in evidence.gravest(now)]
+    reports = [report for evidence in gateways for report in evidence.most_severe(now)]
     for evidence in gateways:
         order.shuffle(reports)
         evidence.merge([*reports, *reports], now, True)
@@ -250,7 +250,7 @@
     """Three gateways each see one server end under the request, half a second apart."""
     for number, name in enumerate(fleet.random.sample(fleet.names, 3)):
         evidence = fleet.exchanges[name].evidence
-        evidence.on_end(CRASHING, 50 + number, fleet.now - 0.1, fleet.now)
+        evidence.on_crash(CRASHING, 50 + number, fleet.now - 0.1, fleet.now)
         fleet.exchanges[name].on_news()
         fleet.run(0.5)
 
@@ -309,12 +309,12 @@
         self.ended += 1
         sent_at = fleet.now
         fleet.run(0.1)
-        sender.evidence.on_end(CRASHING, 1000 + self.ended, sent_at, fleet.now)
+        sender.evidence.on_crash(CRASHING, 1000 + self.ended, sent_at, fleet.now)
         sender.on_news()
         for innocent in range(5):
             witness = fleet.exchanges[fleet.random.choice(fleet.names)]
             identity = 10_000 * self.ended + innocent
-            witness.evidence.on_end(identity, 1000 + self.ended, sent_at - 1.0, fleet.now)
+            witness.evidence.on_crash(identity, 1000 + self.ended, sent_at - 1.0, fleet.now)
             witness.on_news()
 
 
--- a/tests/exchange/evidence/test_crash_machine.py
+++ b/tests/exchange/evidence/test_crash_machine.py
@@ -90,7 +90,7 @@
         self.servers += 1
         for name, identity, sent_at in running:
             exchange = self.fleet.exchanges[name]
-            exchange.evidence.on_end(identity, self.servers, sent_at, self.fleet.now)
+            exchange.evidence.on_crash(identity, self.servers, sent_at, self.fleet.now)
             exchange.on_news()
 
     @rule(witnesses=st.lists(gateways, min_size=1, max_size=4))
--- a/tests/exchange/replication/test_confirmed_era.py
+++ b/tests/exchange/replication/test_confirmed_era.py
@@ -7,7 +7,7 @@
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.replication.confirmed_era import (
     FIRST_ERA,
-    WRITTEN_AGAIN_SECONDS,
+    OPERATOR_REWRITE_SECONDS,
     ConfirmedEra,
     EraEvidence,
 )
@@ -50,8 +50,8 @@
 ) -> None:
     """At a process that lived through it, and at one that has just started."""
     eras, evidence = _returned(ended_at)
-    assert not eras.confirms(FOUND_AT + WRITTEN_AGAIN_SECONDS - 0.01)
-    assert eras.confirms(FOUND_AT + WRITTEN_AGAIN_SECONDS)
+    assert not eras.confirms(FOUND_AT + OPERATOR_REWRITE_SECONDS - 0.01)
+    assert eras.confirms(FOUND_AT + OPERATOR_REWRITE_SECONDS)
     assert evidence.told == [(2, EraEvidence.TIME)]
 
 
@@ -93,15 +93,15 @@
 def test_what_another_gateway_found_counts_for_its_era_alone() -> None:
     """A second return puts all in doubt again; a later era says nothing of this one."""
     eras, _ = _returned()
-    eras.on_told(1)
+    eras.on_peer_confirmed(1)
     assert not eras.confirms(FOUND_AT)
-    eras.on_told(2)
+    eras.on_peer_confirmed(2)
     assert eras.confirms(FOUND_AT)
     eras.on_era(StorePlace(3, 15), StorePlace(2, 18), FOUND_AT)
     assert not eras.confirms(FOUND_AT)
-    eras.on_told(4)
+    eras.on_peer_confirmed(4)
     assert not eras.confirms(FOUND_AT), "the store has come back once more since"
-    eras.on_told(3)
+    eras.on_peer_confirmed(3)
     assert eras.confirms(FOUND_AT)
 
 
@@ -109,8 +109,8 @@
     """The list of gateways comes before the configuration, and anybody may write into it."""
     eras, evidence = _returned()
     for era in (10**9, 3, -7):
-        eras.on_told(era)
+        eras.on_peer_confirmed(era)
     eras.on_era(StorePlace(3, 15), StorePlace(2, 18), FOUND_AT)
-    assert eras.confirms(FOUND_AT) and evidence.told == [(3, EraEvidence.TOLD)]
+    assert eras.confirms(FOUND_AT) and evidence.told == [(3, EraEvidence.ANNOUNCED)]
     eras.on_era(StorePlace(4, 15), StorePlace(3, 18), FOUND_AT)
     assert not eras.confirms(FOUND_AT)
--- a/tests/exchange/replication/test_content_patches.py
+++ b/tests/exchange/replication/test_content_patches.py
@@ -185,7 +185,7 @@
     known = StorePlace(1, 6)
     told = [_announced("main", 7, make_patch(b"1", b"2"))]
     pending.take(FedKind("config", StorePlace(1, 7), False, told), StorePlace(1, 6))
-    pending.on_misfit("config")
+    pending.on_patch_mismatch("config")
     assert pending.position("config", known) is None and "config" not in pending
     told = [_announced("main", 8, whole_patch(b"3")), _announced("other", 8, whole_patch(b"4"))]
     pending.take(FedKind("config", StorePlace(1, 8), True, told), None)
--- a/tests/exchange/replication/test_lost_configuration.py
+++ b/tests/exchange/replication/test_lost_configuration.py
@@ -14,7 +14,7 @@
     assert lost.version == 0
     lost.stored_version = 3
     assert lost.version == 4 and not lost.is_outdated
-    assert lost.on_told(6) and not lost.on_told(5) and not lost.on_told(6)
+    assert lost.on_peer_version(6) and not lost.on_peer_version(5) and not lost.on_peer_version(6)
     assert lost.version == 6 and lost.is_outdated
     in_force[0] = lost.stored_version = 6
     assert lost.version == 0 and not lost.is_outdated
--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -41,7 +41,7 @@
 )
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.placement.route_table import RouteTable
-from milletcourse.exchange.replication.freshness import ProofOfFreshness, reading_times
+from milletcourse.exchange.replication.freshness import ProofOfFreshness, replication_times
 from milletcourse.exchange.rollout.roll_out import (
     OrderReply,
     RollOut,
@@ -173,12 +173,12 @@
 @pytest.mark.parametrize(("key_bound", "config_apply"), [(4.6, 2.0), (1.6, 2.0), (4.6, 0.8)])
 def test_calm_proofs_stay_within_the_bounds(key_bound: float, config_apply: float) -> None:
     """Whatever a deployment's bounds are, twice the wait of a watch fits into them."""
-    times = reading_times(key_bound, config_apply)
-    proof = ProofOfFreshness(key_bound, True, times.calm_age)
+    times = replication_times(key_bound, config_apply)
+    proof = ProofOfFreshness(key_bound, True, times.steady_state_age)
     proof.on_proof(0.0)
-    assert times.calm_age >= 2 * times.watch_wait + times.feed_hold
-    assert proof.allows_keys(times.calm_age)
-    assert proof.allows_not_found(times.calm_age)
+    assert times.steady_state_age >= 2 * times.watch_wait + times.feed_hold
+    assert proof.allows_keys(times.steady_state_age)
+    assert proof.allows_not_found(times.steady_state_age)
     assert times.watch_wait <= config_apply / 4
     # A follower notices a reader without the store, or a silent one, before a change is due.
     assert times.max_proof_age < config_apply
--- a/tests/gateway/servers/test_crashing_requests.py
+++ b/tests/gateway/servers/test_crashing_requests.py
@@ -212,7 +212,7 @@
         for node in nodes:
             node._fleet._directory._listeners.clear()
             node._fleet._on_gateways([])
-            node.context.crash_evidence.knows_others = False
+            node.context.crash_evidence.knows_peers = False
         answers = []
         for number in range(REPEATS):
             answers.append(await _ask(nodes[number % GATEWAYS], CRASHING_BODY, f"r-{number}"))
--- a/tests/gateway/store/test_announced_changes.py
+++ b/tests/gateway/store/test_announced_changes.py
@@ -73,8 +73,8 @@
 def test_an_effect_tells_what_a_change_concerns(path: str, key: str, is_concerned: bool) -> None:
     """Routes that are new, gone or moved, and keys that are new."""
     view = view_of(BEFORE, AFTER)
-    assert view.concerns("site", path, key) is is_concerned
-    assert not view.concerns("other-site", path, "kept")
+    assert view.affects("site", path, key) is is_concerned
+    assert not view.affects("other-site", path, "kept")
     assert view.revokes("old") and not view.revokes("kept")
 
 
@@ -94,40 +94,40 @@
     """And knows nothing of versions that it did not see."""
     history = EffectHistory()
     assert history.since(1) is None
-    history.note(BEFORE, AFTER, 3.0)
+    history.record(BEFORE, AFTER, 3.0)
     last = version(5, [*AFTER.routes, route("/e/")], {"u": ("x",)})
-    history.note(AFTER, last, None)
+    history.record(AFTER, last, None)
     effect = history.since(1)
     assert effect is not None
     view = EffectView(effect)
-    assert view.concerns("site", "/e/", "") and view.concerns("site", "/b/", "")
+    assert view.affects("site", "/e/", "") and view.affects("site", "/b/", "")
     assert view.revokes("old") and view.revokes("kept")
     assert history.since(2) == effect_of(AFTER, last)
-    assert history.not_out_at(1) == 3.0 and history.not_out_at(2) is None
+    assert history.not_committed_at(1) == 3.0 and history.not_committed_at(2) is None
     assert history.since(0) is None and history.since(3) is None and history.since(5) is None
 
 
 def test_what_a_change_may_concern_is_refused_once_it_is_due() -> None:
     """From the latest proof without it, and only until all is in force."""
     lag = ConfigurationLag(APPLY_SECONDS)
-    assert lag.judge(0.0, "site", "/b/", "old") is LagVerdict.AS_BEFORE
+    assert lag.judge(0.0, "site", "/b/", "old") is LagVerdict.UNAFFECTED
     lag.on_announced(10.0, effect_of(BEFORE, AFTER))
     lag.on_announced(11.0, effect_of(BEFORE, AFTER))
     assert lag.judge(10.1, "site", "/b/", "old") is LagVerdict.REVOKED
-    assert lag.judge(11.5, "site", "/b/", "kept") is LagVerdict.AS_BEFORE
+    assert lag.judge(11.5, "site", "/b/", "kept") is LagVerdict.UNAFFECTED
     assert lag.judge(12.0, "site", "/b/", "kept") is LagVerdict.STALE
-    assert lag.judge(12.0, "site", "/a/", "kept") is LagVerdict.AS_BEFORE
+    assert lag.judge(12.0, "site", "/a/", "kept") is LagVerdict.UNAFFECTED
     lag.on_announced(12.0, None)
     assert lag.judge(12.0, "site", "/a/", "kept") is LagVerdict.STALE
     lag.on_current()
-    assert lag.judge(12.0, "site", "/b/", "old") is LagVerdict.AS_BEFORE
+    assert lag.judge(12.0, "site", "/b/", "old") is LagVerdict.UNAFFECTED
 
 
 def test_an_effect_that_can_not_be_read_concerns_all() -> None:
     """Whoever sent it."""
     lag = ConfigurationLag(APPLY_SECONDS)
     lag.on_announced(10.0, ConfigurationEffect(b"123", b"", b""))
-    assert lag.may_concern("site", "/a/", "kept") and not lag.knows_effect
+    assert lag.may_affect("site", "/a/", "kept") and not lag.knows_effect
 
 
 async def _pair_with_held_contents(
@@ -223,7 +223,7 @@
         assert context.lag.judge(*verdict) is LagVerdict.STALE
         released.set()
         await harness.until(lambda: context.table is not None and context.table.version == 2)
-        assert context.lag.judge(*verdict) is LagVerdict.AS_BEFORE
+        assert context.lag.judge(*verdict) is LagVerdict.UNAFFECTED
         client.close()
 
     run_with_gateway(scenario)
--- a/tests/gateway/store/test_store_copies.py
+++ b/tests/gateway/store/test_store_copies.py
@@ -22,7 +22,7 @@
     serve_whole,
 )
 from milletcourse.cli.operator_port import call_gateway
-from milletcourse.exchange.replication.confirmed_era import WRITTEN_AGAIN_SECONDS
+from milletcourse.exchange.replication.confirmed_era import OPERATOR_REWRITE_SECONDS
 from milletcourse.gateway.node import GatewayNode
 from milletcourse.gateway.operator_api import STORE_STATE_PATH
 from milletcourse.gateway.store import registration
@@ -185,7 +185,7 @@
         await harness.until(
             lambda: _has_version(started, 1) and context.lost_configuration.is_outdated
         )
-        await asyncio.sleep(WRITTEN_AGAIN_SECONDS)
+        await asyncio.sleep(OPERATOR_REWRITE_SECONDS)
         fleet.nodes = [started]
         assert await _statuses_with(fleet, "key-2") == [503]
         harness.store.put("config", "main", configuration(2, Tenants=ONE_TENANT))
@@ -265,7 +265,7 @@
 
     async def scenario(harness: Harness) -> None:
         nodes = await _lose_a_revocation(harness, restarts=True)
-        await asyncio.sleep(WRITTEN_AGAIN_SECONDS)
+        await asyncio.sleep(OPERATOR_REWRITE_SECONDS)
         for node in nodes:
             await harness.until(node.context.is_ready)
         assert await _answers_to(nodes, "key-2", HEARD_SECONDS) == {200}
@@ -278,7 +278,7 @@
         later = await harness.add_gateway("front-5", **SHORT_BOUNDS)
         began_at = asyncio.get_running_loop().time()
         await harness.until(later.context.is_ready)
-        assert asyncio.get_running_loop().time() - began_at < WRITTEN_AGAIN_SECONDS / 2
+        assert asyncio.get_running_loop().time() - began_at < OPERATOR_REWRITE_SECONDS / 2
 
     run_with_gateway(scenario)
 
--- a/tests/gateway/store/test_store_feed.py
+++ b/tests/gateway/store/test_store_feed.py
@@ -12,10 +12,10 @@
 from milletcourse.exchange.messages.store_place import StorePlace
 from milletcourse.exchange.replication.pending_contents import FedUpdate
 from milletcourse.exchange.replication.reader_selection import (
-    MAX_STARTING_SECONDS,
-    SET_ASIDE_SECONDS,
+    FAILED_READER_PAUSE_SECONDS,
+    MAX_UNREADY_READER_PAUSE_SECONDS,
     GatewayRecord,
-    ReadingPlan,
+    ReaderSelection,
 )
 from milletcourse.gateway.node import GatewayNode
 from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
@@ -36,9 +36,9 @@
     ]
 
 
-def plan_of(record: GatewayRecord, listed: list[GatewayRecord]) -> ReadingPlan:
+def plan_of(record: GatewayRecord, listed: list[GatewayRecord]) -> ReaderSelection:
     """The plan of one gateway that knows a list."""
-    plan = ReadingPlan(record.name, record.zone)
+    plan = ReaderSelection(record.name, record.zone)
     plan.set_gateways(listed)
     return plan
 
@@ -62,7 +62,7 @@
     wide = GatewayRecord("front-99", "zone-1", "10.0.0.99:1", "10.0.0.99:2", 200.0)
     listed = [*records(), wide]
     for record in listed:
-        plan = ReadingPlan(record.name, record.zone, record.link_megabits)
+        plan = ReaderSelection(record.name, record.zone, record.link_megabits)
         plan.set_gateways(listed)
         if record.zone == "zone-1":
             assert plan.is_reader is (record == wide)
@@ -80,16 +80,16 @@
         plan.on_failed(reader.name, 0.0, answered=False)
     assert first is not None and asked[0] == first.name
     assert len(asked) == len(set(asked)) <= len(ZONES) + 1
-    assert plan.choose(SET_ASIDE_SECONDS + 0.1) == first
-    plan.on_failed(first.name, SET_ASIDE_SECONDS + 0.1, answered=False)
-    assert plan.choose(2 * SET_ASIDE_SECONDS + 0.1) != first
-    plan.on_fed(first.name)
-    assert plan.choose(2 * SET_ASIDE_SECONDS + 0.1) == first
+    assert plan.choose(FAILED_READER_PAUSE_SECONDS + 0.1) == first
+    plan.on_failed(first.name, FAILED_READER_PAUSE_SECONDS + 0.1, answered=False)
+    assert plan.choose(2 * FAILED_READER_PAUSE_SECONDS + 0.1) != first
+    plan.on_success(first.name)
+    assert plan.choose(2 * FAILED_READER_PAUSE_SECONDS + 0.1) == first
 
 
 def test_a_gateway_without_others_reads_the_store_itself() -> None:
     """Also one whose others tell nothing, or are not listed yet."""
-    plan = ReadingPlan("front-1", "zone-1")
+    plan = ReaderSelection("front-1", "zone-1")
     assert plan.is_reader
     plan.set_gateways([GatewayRecord("front-2", "zone-1", "10.0.0.2:1")])
     assert plan.choose(0.0) is None and plan.is_reader
@@ -174,7 +174,7 @@
 def _is_follower(name: str) -> bool:
     """Whether a gateway of a pair in one zone follows the other."""
     other = "front-2" if name == "front-1" else "front-1"
-    plan = ReadingPlan(name, "zone-1")
+    plan = ReaderSelection(name, "zone-1")
     plan.set_gateways([GatewayRecord(other, "zone-1", "10.0.0.1:1", "10.0.0.1:2")])
     return not plan.is_reader
 
@@ -201,7 +201,7 @@
         await harness.until(lambda: context.instances.get("app-2") is not None)
         # One watch of each kind was waiting when the calls were cleared; only the reader's go on.
         assert _calls_for(harness, "config") <= 2
-        assert context.freshness.age(context.now()) < context.reading.calm_age
+        assert context.freshness.age(context.now()) < context.reading.steady_state_age
 
     run_with_gateway(scenario)
 
@@ -294,7 +294,7 @@
         reader.context.reading = msgspec.structs.replace(times, max_proof_age=0.0)
         reads_store = False
         # It refuses, and is asked again several times.
-        later = context.now() + 4 * MAX_STARTING_SECONDS
+        later = context.now() + 4 * MAX_UNREADY_READER_PAUSE_SECONDS
         while context.now() < later:
             reads_store = reads_store or context.reads_store
             await asyncio.sleep(0.005)
@@ -376,18 +376,18 @@
 
 def test_a_plan_names_substitutes_for_a_reader_only_among_others() -> None:
     """Readers of other zones first; a gateway alone in its zone has them too."""
-    plan = ReadingPlan("front-1", "zone-1", 1000.0)
-    assert plan.choose_substitute(0.0) is None
+    plan = ReaderSelection("front-1", "zone-1", 1000.0)
+    assert plan.choose_fallback(0.0) is None
     others = [
         GatewayRecord("front-2", "zone-1", "10.0.0.1:1", "10.0.0.1:2", 10.0),
         GatewayRecord("front-3", "zone-2", "10.0.0.2:1", "10.0.0.2:2", 10.0),
     ]
     plan.set_gateways(others)
     assert plan.is_reader and plan.choose(0.0) is None
-    first = plan.choose_substitute(0.0)
+    first = plan.choose_fallback(0.0)
     assert first is not None and first.name == "front-3"
     plan.on_failed("front-3", 0.0, answered=False)
-    second = plan.choose_substitute(0.0)
+    second = plan.choose_fallback(0.0)
     assert second is not None and second.name == "front-2"
 
 
@@ -414,16 +414,16 @@
 
 def test_a_reader_that_can_not_vouch_is_asked_again_soon_however_often_it_refused() -> None:
     """A silent one is left alone for longer and longer."""
-    plan = ReadingPlan("front-1", "zone-1")
+    plan = ReaderSelection("front-1", "zone-1")
     other = "front-2"
     plan.set_gateways([GatewayRecord(other, "zone-1", "10.0.0.1:1", "10.0.0.1:2", 9.0)])
     for _ in range(20):
         plan.on_failed(other, 0.0, answered=True)
-    assert plan.choose(MAX_STARTING_SECONDS - 0.01) is None
-    assert plan.choose(MAX_STARTING_SECONDS) is not None
+    assert plan.choose(MAX_UNREADY_READER_PAUSE_SECONDS - 0.01) is None
+    assert plan.choose(MAX_UNREADY_READER_PAUSE_SECONDS) is not None
     for _ in range(2):
         plan.on_failed(other, 0.0, answered=False)
-    assert plan.choose(SET_ASIDE_SECONDS) is None
+    assert plan.choose(FAILED_READER_PAUSE_SECONDS) is None
 
 
 def test_bad_questions_get_a_typed_answer() -> None:
--- a/tests/gateway/store/test_told_contents_machine.py
+++ b/tests/gateway/store/test_told_contents_machine.py
@@ -57,7 +57,7 @@
                     self.pending.drop("kind")
                     return
             except PatchError:
-                self.pending.on_misfit("kind")
+                self.pending.on_patch_mismatch("kind")
                 return
 
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -151,8 +151,8 @@
         return await original(client, *question)  # type: ignore[arg-type]
 
     FeedClient._fetch_one = fetch_one  # type: ignore[assignment,method-assign]
-    ConfigurationLag.judge = lambda *_: LagVerdict.AS_BEFORE  # type: ignore[method-assign]
-    ConfigurationLag.may_concern = lambda *_: False  # type: ignore[method-assign]
+    ConfigurationLag.judge = lambda *_: LagVerdict.UNAFFECTED  # type: ignore[method-assign]
+    ConfigurationLag.may_affect = lambda *_: False  # type: ignore[method-assign]
 
 
 def keep_old_routes() -> None:
--- a/tests/soak/revocation.py
+++ b/tests/soak/revocation.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from milletcourse.exchange.replication.confirmed_era import WRITTEN_AGAIN_SECONDS
+from milletcourse.exchange.replication.confirmed_era import OPERATOR_REWRITE_SECONDS
 from soak.clients import SHORT_PROMPT, Habits, SoakClient
 from soak.seeds import Report, play_seeds
 from soak.world import DEFAULT_GATEWAYS, SoakWorld
@@ -132,7 +132,7 @@
     if run.revokes and run.written_again_seconds >= 0.0:
         world.store.put("config", "main", newest)
     if run.written_again_seconds < 0.0:
-        await asyncio.sleep(WRITTEN_AGAIN_SECONDS + KNOWN_SECONDS)
+        await asyncio.sleep(OPERATOR_REWRITE_SECONDS + KNOWN_SECONDS)
         await _check_served(world)
     await asyncio.sleep(AFTER_SECONDS)
 
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -24,8 +24,8 @@
     PlatformStamp,
 )
 from milletcourse.policy.objects import EngineSpec, ModelSpec
-from milletcourse.prefix.cache_estimate import BeliefIndex
 from milletcourse.prefix.blocks import BLOCK_BYTES, block_chain, chain_root
+from milletcourse.prefix.cache_estimate import CacheEstimateIndex
 from milletcourse.routing.load import EngineLoadState
 from milletcourse.routing.load_digest import FOLLOW_ALL_MAX_ENGINES, DigestEntry, followed_engines
 from milletcourse.routing.store_index import SHORT_IMPORTS_BEFORE_PAUSE, StoreIndex
@@ -79,7 +79,7 @@
 
 def test_beliefs_die_with_the_incarnation() -> None:
     """A restarted engine is believed to hold nothing; late events of the old one are ignored."""
-    index = BeliefIndex()
+    index = CacheEstimateIndex()
     chain = [bytes([number]) * 16 for number in range(5)]
     index.observe_incarnation("e", "1")
     index.note_held("e", "1", chain)
@@ -89,7 +89,7 @@
     assert index.holders(chain, 4) == {}
     index.note_held("e", "2", chain[:2])
     index.note_answer("e", "2", chain, cached_blocks=0)
-    assert index.is_doubtful("e")
+    assert index.is_unverified("e")
 
 
 def test_block_chain_depends_on_every_part_of_its_root() -> None:
