--- a/src/milletcourse/admission/__init__.py
+++ b/src/milletcourse/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Limits, priorities, deadlines and the retry budget."""
+"""Admission control: tenant limits, fair shares, deadlines and the retry budget."""
--- a/src/milletcourse/admission/controller.py
+++ b/src/milletcourse/admission/controller.py
@@ -1,6 +1,6 @@
-"""Admits or refuses a request at once; no input/output.
+"""Admits or refuses a request immediately; no input/output.
 
-A refusal is final and immediate and says when to come back.
+Requests are not queued here: a refusal is final and carries the time after which to retry.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from milletcourse.policy.objects import TenantSpec, WorkloadSpec
 
 PRESSURE_SECONDS = 2.0
-"""Estimated queueing beyond this counts as pressure for workloads without a deadline."""
+"""Estimated queueing time above which a workload without a deadline is under pressure."""
 PRESSURE_SHARE_OF_DEADLINE = 0.5
-"""With a deadline, pressure starts when queueing takes this share of it."""
+"""With a deadline, pressure starts when the queueing time exceeds this share of it."""
 MAX_WAIT_SECONDS = 60.0
-"""Workloads without a deadline are refused beyond this queueing time."""
+"""Requests are refused above this estimated queueing time."""
 
 
 class AdmissionController:
-    """Limits per tenant, weighted shares and deadlines."""
+    """Applies limits per tenant, weighted fair shares and deadlines."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, TokenBucket] = {}
@@ -33,7 +33,7 @@
     def check_limit(
         self, name: str, tenant: TenantSpec, tokens: int, now: float
     ) -> Result[None, Failure]:
-        """Charge the tenant's bucket, or refuse with the time until it is refilled."""
+        """Charge the tenant's token bucket, or refuse with the time until it has tokens again."""
         rate = tenant.prompt_tokens_per_second
         if rate <= 0:
             return Success(None)
@@ -56,7 +56,10 @@
         tokens: int,
         now: float,
     ) -> Result[None, Failure]:
-        """Refuse what can't meet its deadline, and the tenants over their share under pressure."""
+        """Refuse a request that can't meet its deadline, or whose tenant exceeds its share.
+
+        The share applies only under pressure.
+        """
         self.shares.on_demand(name, tokens, now)
         deadline = rules.deadline_seconds
         if deadline and first_token_seconds > deadline:
--- a/src/milletcourse/admission/fair_share.py
+++ b/src/milletcourse/admission/fair_share.py
@@ -1,8 +1,8 @@
-"""Weighted shares of tenants under pressure.
+"""Weighted max-min fair shares of tenants under pressure.
 
-Each tenant's recent use of prompt tokens decays with a time constant. While the engines are under
-pressure, a tenant that has used more than its weighted max-min share of what all active tenants may
-use is refused, so that the others find room and the queue shrinks.
+Each tenant's recent usage of prompt tokens decays exponentially. While the engines are under
+pressure, a tenant that has used more than its weighted max-min share of the total for all active
+tenants is refused, so that the others get capacity and the queue shrinks.
 """
 
 from __future__ import annotations
@@ -12,11 +12,12 @@
 from dataclasses import dataclass
 
 USE_TIME_CONSTANT_SECONDS = 10.0
-"""Long enough to average over month-long checks, short enough to follow bursts."""
+"""Time constant of the decay: long enough to average over the requests of month-long checks, short
+enough to follow bursts."""
 SHARE_SLACK = 1.1
-"""A tenant may exceed its share by a tenth before it is refused."""
+"""A tenant is refused when it exceeds its share by more than a tenth."""
 MIN_ACTIVE_TOKENS = 1.0
-"""Below this much decayed use a tenant is not active."""
+"""A tenant with less decayed demand is inactive."""
 
 
 @dataclass(slots=True)
@@ -29,18 +30,18 @@
 
 
 class FairShare:
-    """Recent use by tenant."""
+    """Recent usage and demand by tenant."""
 
     def __init__(self) -> None:
         self._usage: dict[str, _Usage] = {}
         self._demand: dict[str, _Usage] = {}
 
     def on_demand(self, tenant: str, tokens: float, now: float) -> None:
-        """A tenant asked, whether or not it will be admitted."""
+        """Record the demand of a request, whether or not it will be admitted."""
         self._add(self._demand, tenant, tokens, now)
 
     def on_admitted(self, tenant: str, tokens: float, now: float) -> None:
-        """A tenant's request was admitted."""
+        """Record the usage of an admitted request."""
         self._add(self._usage, tenant, tokens, now)
 
     def _add(self, table: dict[str, _Usage], tenant: str, tokens: float, now: float) -> None:
@@ -58,10 +59,10 @@
         """Whether a tenant has used more than its weighted share.
 
         Args:
-            tenant: Who asks.
+            tenant: Tenant of the request.
             weight_of: Weight of a tenant; only tenants with demand count.
             now: Monotonic seconds.
-            allowed: Part of the recent total that tenants may use together from now on.
+            allowed_fraction: Part of the recent total that all tenants together may use.
         """
         active = self._active(now)
         total = sum(self._recent_tokens(name, now) for name in active)
@@ -92,8 +93,8 @@
     """Weighted max-min fair division of a total among tenants with bounded demands.
 
     Args:
-        total: What is divided.
-        demand: Most that each tenant gets.
+        total: Amount to divide.
+        demand: Upper bound of the share by tenant.
         weights: Positive weight by tenant.
     """
     shares: dict[str, float] = {}
--- a/src/milletcourse/admission/retry_budget.py
+++ b/src/milletcourse/admission/retry_budget.py
@@ -1,22 +1,22 @@
-"""Bounds retries to a share of the requests, so that they can't multiply an overload."""
+"""Limits retries to a share of the requests, so that they can't amplify an overload."""
 
 from __future__ import annotations
 
 from milletcourse.admission.token_bucket import TokenBucket
 
 RETRY_RATIO = 0.1
-"""One retry for each ten requests."""
+"""One retry per ten requests."""
 MIN_RETRIES_PER_SECOND = 1.0
-"""A router with little traffic may still retry."""
+"""Lets a router with little traffic retry, too."""
 FLOOR_BURST = 10.0
-"""Retries of the floor that are saved up at most."""
+"""Capacity of the token bucket behind `MIN_RETRIES_PER_SECOND`, in retries."""
 MAX_SAVED_RETRIES = 50.0
 SLACK_PARTS = 3
-"""A shared slack is spent as a burst, as a rate over the window, and as saved-up earnings."""
+"""A shared slack is split equally into a burst, a rate over the window, and saved retries."""
 
 
 class RetryBudget:
-    """Retries allowed in proportion to requests."""
+    """A budget of retries in proportion to requests, with a minimum rate."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
         self._earned = min(saved, max_saved)
 
     def on_request(self) -> None:
-        """A first attempt was made."""
+        """Record a first attempt, which earns a fraction of a retry."""
         self._earned = min(self._earned + self._ratio, self._max_saved)
 
     def try_retry(self, now: float) -> bool:
-        """Whether one more retry is within the budget; takes it."""
+        """Take one retry from the budget; False when it is exhausted."""
         if self._earned >= 1.0:
             self._earned -= 1.0
             return True
@@ -49,22 +49,22 @@
 def shared_retry_budget(
     now: float, ratio: float, slack: float, window_seconds: float, members: int
 ) -> RetryBudget:
-    """One member's part of a budget that many share without talking.
+    """Create one member's part of a budget that many share without coordination.
 
     Args:
         now: Monotonic seconds.
         ratio: Retries of all members in a window, as a share of their requests.
-        slack: Retries that all of them may make in a window beside that share.
-        window_seconds: The window.
-        members: How many share it.
+        slack: Retries that all members may make in a window in addition to that share.
+        window_seconds: Length of the window in seconds.
+        members: Number of members that share the budget.
     """
     member_slack = slack / members
     slack_part = member_slack / SLACK_PARTS
     if slack_part >= 1.0:
         return RetryBudget(now, ratio, slack_part / window_seconds, slack_part, slack_part)
-    # Parts of less than one retry could never be spent. Only what requests earned is kept then,
-    # up to the own slack, but one retry at least: where members have less slack than that, they
-    # have so many requests together that what they leave of the ratio covers it.
+    # A part of less than one retry could never be spent. The member then saves only what its
+    # requests earn, up to its slack, but at least one retry: with less slack per member than that,
+    # the members are so many that the unused part of their common ratio covers it.
     saved = min(member_slack, 1.0)
     max_saved = max(member_slack, 1.0) if slack > 0.0 else 0.0
     return RetryBudget(now, ratio, 0.0, 0.0, max_saved, saved)
--- a/src/milletcourse/admission/token_bucket.py
+++ b/src/milletcourse/admission/token_bucket.py
@@ -4,11 +4,11 @@
 
 
 class TokenBucket:
-    """Refills at a rate up to a size; may go into debt by one take.
+    """A token bucket whose level one take may make negative.
 
     Args:
         rate_per_second: Refill rate.
-        size: Most tokens kept.
+        size: Capacity in tokens.
         now: Monotonic seconds.
     """
 
@@ -26,10 +26,10 @@
         return self._level
 
     def take(self, amount: float, now: float) -> bool:
-        """Take tokens when the bucket is not empty.
+        """Take tokens if the bucket is not empty.
 
-        A take larger than the level is allowed once and leaves a debt, so that a single large
-        request is served and paid for afterwards.
+        A take larger than the level is allowed and makes the level negative, so that a large
+        request is served and later ones wait for the refill.
         """
         if self.level(now) <= 0:
             return False
@@ -37,7 +37,7 @@
         return True
 
     def seconds_until_positive(self, now: float) -> float:
-        """Time until `take` succeeds again."""
+        """Seconds until `take` succeeds again; 0 for a bucket that never refills."""
         level = self.level(now)
         if level > 0 or self.rate_per_second <= 0:
             return 0.0
--- a/src/milletcourse/policy/compiled.py
+++ b/src/milletcourse/policy/compiled.py
@@ -1,7 +1,7 @@
-"""The compiled policy: answers "what is permitted" for one request without scanning all objects.
+"""The compiled policy: decides what one request may use without scanning all objects.
 
-Compilation is incremental. Applying a change of one object touches only what depends on it, so a
-change of one tenant costs the same with eight tenants and with 47,000.
+Compilation is incremental. Applying a change of one object updates only what depends on it, so a
+change of one tenant costs the same with 8 tenants and with 47,000.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What policy needs to know of a request.
+    """Attributes of a request that the policy depends on.
 
     Attributes:
         tenant: Name of the authenticated tenant.
         model: Model name, empty for application requests.
         application: Application name, empty for inference.
-        request_class: Class the caller stated, e.g. `question`.
+        request_class: Class that the caller declared, e.g. `question`.
     """
 
     tenant: str
@@ -52,7 +52,7 @@
 class BackendSet:
     """Sorted names of permitted back ends; one object per compiled rule, compared by identity.
 
-    Identity lets callers keep derived data, such as a hash ring, as long as the rule stands.
+    Callers may cache derived data, such as a hash ring, by identity for the lifetime of the rule.
     """
 
     __slots__ = ("__weakref__", "_members", "names")
@@ -76,7 +76,7 @@
         workload: Name of the matching workload.
         rules: Its spec.
         backend_set: Permitted engines or application servers.
-        reuse_scope: Opaque scope that prefix hashes are rooted in.
+        reuse_scope: Opaque scope that is part of the root of prefix hashes.
         model: Spec of the model; None for applications.
     """
 
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class _ScopeMembers:
-    """Tenants that a reuse selector matches, with an order-free digest of the set."""
+    """Tenants that a reuse selector matches, with an order-independent digest of the set."""
 
     selector: Selector
     members: set[str] = field(default_factory=set)
@@ -201,14 +201,14 @@
         return scope
 
     def authenticate(self, bearer_key: str) -> Result[str, Failure]:
-        """Name of the tenant that owns the key."""
+        """Name of the tenant that owns the key, or `Unauthenticated`."""
         tenant = self._tenant_of_key.get(hash_key(bearer_key))
         if tenant is None:
             return Err(Unauthenticated("the bearer key belongs to no tenant"))
         return Success(tenant)
 
     def matching_workload(self, facts: RequestFacts) -> str | None:
-        """The workload that takes the request, None when there is none."""
+        """The workload that the request belongs to, None when none matches."""
         tenant = self.tenants.get(facts.tenant)
         if tenant is None:
             return None
@@ -243,7 +243,7 @@
         )
 
     def any_class_permitted(self, tenant_name: str, model: str) -> bool:
-        """Whether some workload takes the tenant's requests for a model, in any class."""
+        """Whether some workload matches the tenant's requests for a model, in any class."""
         tenant = self.tenants.get(tenant_name)
         if tenant is None:
             return False
@@ -284,9 +284,9 @@
     def reuse_scope(self, tenant: str, rules: WorkloadSpec) -> bytes:
         """Scope in which a tenant's request may reuse prefixes under a workload's rules.
 
-        A shared scope depends on the exact set of tenants that share it: when a tenant leaves the
-        set, the scope changes and nothing kept under the former one can be reused. It depends on
-        the places rule too, so that a narrowed rule cuts off what was kept elsewhere.
+        A shared scope depends on the exact set of tenants that share it: when a tenant is removed
+        from the set, the scope changes and nothing cached under the previous one can be reused. It
+        also depends on the places rule, so that a narrowed rule excludes what was cached elsewhere.
         """
         scope = None
         if rules.reuse.tenants is not None:
@@ -309,7 +309,7 @@
         return frozenset(scope.members) if tenant in scope.members else frozenset({tenant})
 
     def may_hold(self, rules: WorkloadSpec, place_name: str) -> bool:
-        """Whether kept prefixes in a place may be a source for a workload."""
+        """Whether a workload may reuse prefixes that are cached in a place."""
         place = self.places.get(place_name)
         return place is not None and rules.reuse.places.matches(place.labels)
 
--- a/src/milletcourse/policy/effect.py
+++ b/src/milletcourse/policy/effect.py
@@ -1,4 +1,4 @@
-"""What a change of one object would do, before it is made."""
+"""Computes the effect of changing one object before the change is made."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
     Attributes:
         workload: Name of the workload.
-        gains: Back ends it may run on after the change only.
-        loses: Back ends it may run on before the change only.
+        gains: Back ends permitted only after the change.
+        loses: Back ends permitted only before the change.
     """
 
     workload: str
@@ -45,7 +45,7 @@
 
 
 def permitted_backends(policy: CompiledPolicy) -> dict[str, frozenset[str]]:
-    """Back ends that each workload may run on, over all its models and applications."""
+    """Permitted back ends by workload, over all its models and applications."""
     permitted = {}
     for workload, rules in policy.workloads.items():
         names = set()
--- a/src/milletcourse/policy/explain.py
+++ b/src/milletcourse/policy/explain.py
@@ -1,4 +1,4 @@
-"""Explains, engine by engine, what a tenant's request may use and why not."""
+"""Explains which back ends a tenant's request may use, with the reason for each refusal."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         name: Engine or application server.
         place: Its place.
         permitted: The verdict.
-        reason: Why not; empty when permitted.
+        reason: Reason of a refusal; empty when permitted.
     """
 
     name: str
@@ -26,7 +26,7 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """The policy's answer for one tenant and request."""
+    """The policy's decision for one request of a tenant."""
 
     tenant: str
     workload: str
@@ -36,7 +36,7 @@
 
 
 def explain(policy: CompiledPolicy, facts: RequestFacts) -> Result[Explanation, Failure]:
-    """Say what `CompiledPolicy.permit` grants and give the reason for each refusal."""
+    """Explain the result of `CompiledPolicy.permit`, with the reason for each refused back end."""
     return policy.permit(facts).map(lambda permission: _explanation(policy, facts, permission))
 
 
--- a/src/milletcourse/policy/objects.py
+++ b/src/milletcourse/policy/objects.py
@@ -1,4 +1,4 @@
-"""Policy objects: what operators write and the platform keeps.
+"""Policy objects, which operators write and the platform stores.
 
 An object is (kind, name, version, spec). The spec types below are the whole configuration
 language; `docs/CONFIGURATION.md` lists each field.
@@ -21,7 +21,7 @@
 
 
 class TenantSpec(_Spec, frozen=True):
-    """A party whose requests and prompt state are kept apart.
+    """A tenant, whose requests and cached prompt state are isolated from others.
 
     Attributes:
         labels: Labels that selectors match.
@@ -60,7 +60,7 @@
         place: Name of its Place.
         labels: Labels that selectors match.
         models: Names of the models it serves.
-        leaving: True when it must get no new work.
+        leaving: True when it is draining and must get no new work.
     """
 
     address: str
@@ -94,8 +94,8 @@
     """A server of an application.
 
     Attributes:
-        application: Name callers use in `/apps/{application}/...`.
-        settles_operations: Whether it offers a read of an operation's outcome by key.
+        application: Name that callers use in `/apps/{application}/...`.
+        settles_operations: Whether the outcome of an operation can be read from it by key.
     """
 
     application: str
@@ -107,7 +107,7 @@
 
 
 class RequestMatch(_Spec, frozen=True):
-    """Which requests a workload takes; an empty list of classes matches any class."""
+    """Which requests belong to a workload; an empty list of classes matches any class."""
 
     tenants: Selector = EVERYTHING
     models: tuple[str, ...] = ()
@@ -123,11 +123,11 @@
 
 
 class ReuseRule(_Spec, frozen=True):
-    """Whose kept prefixes a workload may reuse and where they may be held.
+    """Whose cached prefixes a workload may reuse, and in which places.
 
     Attributes:
         tenants: Tenants that share prefixes; None for the tenant's own only.
-        places: Places whose engines and stores may be the source.
+        places: Places whose engines and stores may provide them.
     """
 
     tenants: Selector | None = None
@@ -138,14 +138,16 @@
     """A kind of request with its placement rules.
 
     Attributes:
-        match: Requests it takes. Among several, the highest `precedence` wins, then the name.
-        run: Where it may run.
-        reuse: What cached work it may reuse.
+        match: Requests that belong to it. Among several matching workloads, the highest
+            `precedence` wins, then the lowest name.
+        run: Engines and places on which it may run.
+        reuse: Cached prefixes that it may reuse.
         precedence: Order among matching workloads.
-        priority: Lower runs first at the engine.
+        priority: Requests with a lower number run first at the engine.
         deadline_seconds: Bound on the time to first token; 0 for none.
         repeatable: Whether a request may be sent again after a failure.
-        regulated: Refused while the router can't prove its configuration fresh.
+        regulated: Whether requests are refused while the router can't prove that its
+            configuration is fresh.
     """
 
     match: RequestMatch
@@ -159,7 +161,7 @@
 
 
 class RouterMember(_Spec, frozen=True):
-    """One slot of a router set."""
+    """One member of a router set."""
 
     name: str
     address: str
@@ -167,19 +169,19 @@
 
 
 class RouterSetSpec(_Spec, frozen=True):
-    """The routers that keep claims of operations.
+    """The routers that store the claims of operations.
 
     A change of members is written with `confirmed` false and a `from_mint_seconds` in the near
-    future. Former members that have it in force vote on no key minted from then on; the holder of
-    the router set's lease confirms it once all of them have it, and only then do the new members
-    vote on such keys.
+    future. Previous members that have applied it vote on no key minted from then on; the holder of
+    the router set's lease confirms it once all of them have applied it, and only then do the new
+    members vote on such keys.
 
     Attributes:
-        epoch: Rises by one with each change of the members.
-        members: Slots that serve keys minted at or after `from_mint_seconds`.
-        from_mint_seconds: Wall time at which the members change.
-        previous_members: Slots that serve older keys.
-        confirmed: Whether all former members have this epoch in force.
+        epoch: Incremented by one with each change of the members.
+        members: Members that serve keys minted at or after `from_mint_seconds`.
+        from_mint_seconds: Wall-clock time in seconds at which the members change.
+        previous_members: Members that serve older keys.
+        confirmed: Whether all previous members have applied this epoch.
     """
 
     epoch: int
@@ -213,21 +215,21 @@
 
 
 class ObjectKey(msgspec.Struct, frozen=True, order=True):
-    """Names an object."""
+    """Kind and name of an object."""
 
     kind: str
     name: str
 
 
 class StoredObject(msgspec.Struct, frozen=True):
-    """An object as the platform keeps it.
+    """An object as the platform stores it.
 
     Attributes:
         kind: One of `SPEC_TYPES`, or a kind that policy ignores such as Lease.
         name: Unique within the kind.
         version: Revision of its last change; 0 before it was stored.
-        spec: Untyped body; `parse_spec` gives it a type.
-        change_ids: Ids of its latest changes, newest last.
+        spec: Untyped body; `parse_spec` converts it to its type.
+        change_ids: IDs of its latest changes, newest last.
     """
 
     kind: str
@@ -243,10 +245,10 @@
 
 
 def parse_spec(kind: str, name: str, document: object) -> Result[Spec, InvalidObject]:
-    """Check a spec against its kind.
+    """Validate a spec by its kind.
 
     Returns:
-        The typed spec, or an `InvalidObject` that names the wrong key and what is allowed.
+        The typed spec, or an `InvalidObject` that names the invalid key and the allowed values.
     """
     spec_type = SPEC_TYPES.get(kind)
     if spec_type is None:
--- a/src/milletcourse/policy/selectors.py
+++ b/src/milletcourse/policy/selectors.py
@@ -62,7 +62,7 @@
         return self.first_mismatch(labels) is None
 
     def first_mismatch(self, labels: Labels) -> str | None:
-        """The first requirement that the labels miss, for explanations; None on a match."""
+        """Describe the first requirement that the labels don't meet; None on a match."""
         for key, value in sorted(self.match_labels.items()):
             if labels.get(key) != value:
                 return f"label {key} is {labels.get(key)!r}, wanted {value!r}"
@@ -73,7 +73,7 @@
         return None
 
     def canonical(self) -> bytes:
-        """Equal for selectors with the same requirements in any order."""
+        """Canonical encoding, equal for selectors with the same requirements in any order."""
         expressions = sorted(
             (item.key, str(item.operator), sorted(item.values)) for item in self.match_expressions
         )
--- a/src/milletcourse/prefix/__init__.py
+++ b/src/milletcourse/prefix/__init__.py
@@ -1,1 +1,1 @@
-"""Prompt blocks, their hash chain, and what engines are believed to hold."""
+"""Prompt blocks, their hash chain, and estimates of which blocks engines cache."""
--- a/src/milletcourse/prefix/blocks.py
+++ b/src/milletcourse/prefix/blocks.py
@@ -1,9 +1,9 @@
 """Prompt blocks and their hash chain.
 
-Router, engine and KV store must agree on block boundaries and hashes; this module is that
-agreement (see `docs/DESIGN.md`, "Blocks"):
+Router, engine and KV store must use the same block boundaries and hashes, which this module defines
+(see `docs/DESIGN.md`, "Blocks"):
 
-- a prompt is rendered to UTF-8 text by `render_chat` or taken as it is for completions;
+- a prompt is rendered to UTF-8 text by `render_chat`, or used unchanged for completions;
 - a token is `BYTES_PER_TOKEN` bytes of that text;
 - a block is `BLOCK_TOKENS` tokens; a last, partial block is never cached;
 - hash 0 is blake3(root, block 0) and hash i is blake3(hash i-1, block i), 16 bytes each;
@@ -19,7 +19,7 @@
 
 BYTES_PER_TOKEN = 4
 BLOCK_TOKENS = 1024
-"""The kept pieces of the deployments hold about a thousand tokens."""
+"""The cached prompt parts of the deployments have about a thousand tokens."""
 BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN
 HASH_BYTES = 16
 """128 bits: no collision is expected among 95 million blocks."""
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptBlocks:
-    """The block view of one prompt.
+    """One prompt as a chain of blocks.
 
     Attributes:
         hashes: Chain hashes of the full blocks, first block first.
@@ -53,7 +53,7 @@
 
 
 def render_chat(messages: Sequence[ChatMessage]) -> str:
-    """The text that a chat prompt stands for."""
+    """Render a chat prompt to the text that is split into blocks."""
     parts = [f"<|{message.role}|>\n{message.content}\n" for message in messages]
     return "".join(parts) + "<|assistant|>\n"
 
@@ -73,7 +73,7 @@
 
 
 def block_chain(root: BlockHash, text: bytes) -> PromptBlocks:
-    """Cut a rendered prompt into blocks and hash them.
+    """Split a rendered prompt into blocks and hash them.
 
     Args:
         root: Result of `chain_root`.
--- a/src/milletcourse/prefix/cache_estimate.py
+++ b/src/milletcourse/prefix/cache_estimate.py
@@ -1,8 +1,8 @@
-"""What a router believes each engine holds.
+"""Estimates which prompt blocks each engine caches.
 
-Beliefs are hints for routing. A wrong belief costs a recomputation and never a wrong reuse, since
-the cache salt decides what an engine can match. Beliefs are held under (engine, incarnation):
-any sign of a new incarnation drops everything believed of the former one.
+Estimates are hints for routing. A wrong one costs a recomputation and never causes a wrong reuse,
+since the cache salt determines what an engine can match. Estimates are kept per (engine,
+incarnation): any sign of a new incarnation discards the estimate of the previous one.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
     from milletcourse.prefix.blocks import BlockHash
 
 DEFAULT_MAX_BLOCKS_PER_ENGINE = 4096
-"""Above the cache size of an engine at today's sizes; bounds memory per followed engine."""
+"""Above the cache size of an engine; bounds the memory per followed engine."""
 UNVERIFIED_WEIGHT = 0.5
-"""Share of a doubtful prefix that a cost estimate counts as held: an even chance."""
+"""Share of an unverified prefix that a cost estimate counts as held: an even chance."""
 
 
 class EngineCacheEstimate:
-    """Blocks believed held by one incarnation of one engine, least recently confirmed first."""
+    """Estimated cache contents of one engine incarnation, least recently confirmed block first."""
 
     def __init__(self, incarnation: str, max_blocks: int) -> None:
         self.incarnation = incarnation
@@ -37,7 +37,7 @@
         return block in self._blocks
 
     def add(self, blocks: Iterable[BlockHash]) -> list[BlockHash]:
-        """Note blocks as held; returns the blocks forgotten to stay within the bound."""
+        """Add held blocks; returns the blocks dropped to stay within the bound."""
         for block in blocks:
             self._blocks[block] = None
             self._blocks.move_to_end(block)
@@ -47,16 +47,16 @@
         return dropped
 
     def discard(self, block: BlockHash) -> None:
-        """Note a block as not held."""
+        """Remove a block that is not held."""
         self._blocks.pop(block, None)
 
     def blocks(self) -> Collection[BlockHash]:
-        """All blocks believed held."""
+        """All blocks estimated to be held."""
         return self._blocks.keys()
 
 
 class CacheEstimateIndex:
-    """Beliefs about all followed engines, indexed by block."""
+    """Cache estimates of all followed engines, indexed by block."""
 
     def __init__(self, max_blocks_per_engine: int = DEFAULT_MAX_BLOCKS_PER_ENGINE) -> None:
         self._max_blocks = max_blocks_per_engine
@@ -68,12 +68,12 @@
         return len(self._holders)
 
     def incarnation(self, engine: str) -> str | None:
-        """The incarnation that the beliefs are about."""
+        """The incarnation that the estimate is about; None without an estimate."""
         estimate = self._engines.get(engine)
         return estimate.incarnation if estimate else None
 
     def observe_incarnation(self, engine: str, incarnation: str) -> bool:
-        """Note which incarnation lives; drops beliefs of another one.
+        """Record the running incarnation; discards the estimate of another one.
 
         Returns:
             True when the engine is new or restarted.
@@ -86,13 +86,13 @@
         return True
 
     def forget(self, engine: str) -> None:
-        """Drop all beliefs about an engine."""
+        """Discard the estimate of an engine."""
         estimate = self._engines.pop(engine, None)
         for block in estimate.blocks() if estimate else ():
             self._drop_holder(engine, block)
 
     def note_held(self, engine: str, incarnation: str, blocks: Sequence[BlockHash]) -> None:
-        """The engine holds these blocks; ignored for a former incarnation."""
+        """Record that the engine holds these blocks; ignored for another incarnation."""
         estimate = self._current(engine, incarnation)
         if estimate is None:
             return
@@ -102,7 +102,7 @@
             self._drop_holder(engine, block)
 
     def note_evicted(self, engine: str, incarnation: str, blocks: Iterable[BlockHash]) -> None:
-        """The engine holds these blocks no longer; ignored for a former incarnation."""
+        """Record that the engine evicted these blocks; ignored for another incarnation."""
         estimate = self._current(engine, incarnation)
         if estimate is None:
             return
@@ -113,10 +113,10 @@
     def note_answer(
         self, engine: str, incarnation: str, chain: Sequence[BlockHash], cached_blocks: int
     ) -> None:
-        """Correct the belief by the count of cached blocks that an answer reported.
+        """Correct the estimate by the number of cached blocks that an answer reported.
 
-        The whole chain is held after the answer. A count lower than believed shows that the events
-        of the evictions were lost, so the engine's other beliefs become doubtful.
+        The whole chain is held after the answer. A number lower than estimated shows that eviction
+        events were lost, so the engine's whole estimate becomes unverified.
         """
         if self._current(engine, incarnation) is None:
             self.observe_incarnation(engine, incarnation)
@@ -126,26 +126,26 @@
         self.note_held(engine, incarnation, chain)
 
     def note_event_gap(self, engine: str, incarnation: str) -> None:
-        """Events were lost: what is believed may be false."""
+        """Mark the estimate as unverified after lost events."""
         estimate = self._current(engine, incarnation)
         if estimate is not None:
             estimate.unverified = True
 
     def note_resynchronised(self, engine: str, incarnation: str) -> None:
-        """The belief was rebuilt from the engine's own list."""
+        """Mark the estimate as verified after it was rebuilt from the engine's block list."""
         estimate = self._current(engine, incarnation)
         if estimate is not None:
             estimate.unverified = False
 
     def is_unverified(self, engine: str) -> bool:
-        """Whether events about the engine were lost."""
+        """Whether the estimate may be wrong, since events of the engine were lost."""
         estimate = self._engines.get(engine)
         return estimate is not None and estimate.unverified
 
     def held_blocks(self, engine: str, chain: Sequence[BlockHash]) -> int:
-        """Length of the believed prefix of a chain at one engine.
+        """Length in blocks of a chain's prefix that one engine is estimated to hold.
 
-        Engines evict the deepest blocks first, so the deepest held block tells the length.
+        Engines evict the deepest blocks first, so the deepest held block gives the length.
         """
         estimate = self._engines.get(engine)
         if estimate is None:
@@ -156,7 +156,7 @@
         return 0
 
     def holders(self, chain: Sequence[BlockHash], limit: int) -> dict[str, int]:
-        """Engines that hold a prefix, deepest first, with the prefix length in blocks.
+        """Engines estimated to hold a prefix, longest first, with the prefix length in blocks.
 
         Args:
             chain: The prompt's block hashes.
--- a/src/milletcourse/prefix/hot_prefixes.py
+++ b/src/milletcourse/prefix/hot_prefixes.py
@@ -1,8 +1,7 @@
-"""Detects hot prefixes with bounded memory.
+"""Tracks the request rates of prompt prefixes, and detects hot ones, with bounded memory.
 
-A frequent-items sketch counts the requests that pass through each block. Two sketches cover two
-successive windows, so that the heat of a prefix that nobody asks for any more is gone after two
-windows.
+A frequent-items sketch counts the requests whose prompts contain each block. Two sketches cover two
+successive windows, so that the count of a prefix without requests drops to zero after two windows.
 """
 
 from __future__ import annotations
@@ -14,13 +13,13 @@
 from milletcourse.prefix.blocks import BlockHash
 
 SKETCH_LOG2_SIZE = 11
-"""2,048 counters a window: every prefix above 1/700 of the traffic is found."""
+"""2,048 counters per window: every prefix with more than 1/700 of the traffic is found."""
 WINDOW_SECONDS = 10.0
-"""Hot prefixes shift without warning; two windows of 10 s follow a shift within 20 s."""
+"""Hot prefixes change suddenly; two windows of 10 s follow a change within 20 s."""
 
 
 class HotPrefixTracker:
-    """Requests per second by block."""
+    """Request rates and counts by block."""
 
     def __init__(self, window_seconds: float = WINDOW_SECONDS) -> None:
         self._window_seconds = window_seconds
@@ -29,10 +28,10 @@
         self._previous = frequent_strings_sketch(SKETCH_LOG2_SIZE)
 
     def record(self, blocks: Sequence[BlockHash], now: float) -> None:
-        """Count one request that passes through these blocks.
+        """Count one request whose prompt contains these blocks.
 
         Args:
-            blocks: Hashes to count; callers pass only the depths they will ask for.
+            blocks: Hashes to count; callers pass only the depths that they will query.
             now: Monotonic seconds.
         """
         self._rotate(now)
@@ -40,7 +39,7 @@
             self._current.update(block.hex())
 
     def requests_per_second(self, block: BlockHash, now: float) -> float:
-        """Estimated rate of requests through a block over the last one to two windows."""
+        """Estimated rate of requests with a block over the last one to two windows."""
         self._rotate(now)
         name = block.hex()
         count = self._current.get_estimate(name) + self._previous.get_estimate(name)
@@ -48,12 +47,12 @@
         return float(count / covered)
 
     def requests(self, block: BlockHash) -> int:
-        """Estimated number of requests through a block in the two windows."""
+        """Estimated number of requests with a block in the two windows."""
         name = block.hex()
         return int(self._current.get_estimate(name) + self._previous.get_estimate(name))
 
     def hottest(self, limit: int) -> list[tuple[BlockHash, int]]:
-        """The hottest blocks of the current window with their counts."""
+        """The most requested blocks of the current window with their counts."""
         rows = self._current.get_frequent_items(frequent_items_error_type.NO_FALSE_POSITIVES)
         ordered = sorted(rows, key=lambda row: (-row[1], row[0]))
         return [(bytes.fromhex(row[0]), int(row[1])) for row in ordered[:limit]]
--- a/src/milletcourse/routing/load.py
+++ b/src/milletcourse/routing/load.py
@@ -95,7 +95,7 @@
         self.state(engine).dispatches.pop(request_id, None)
 
     def on_unreachable(self, engine: str, now: float) -> None:
-        """Pause an engine after a connection failure; the pause doubles with each consecutive one."""
+        """Pause an engine after a connection failure, twice as long after each consecutive one."""
         state = self.state(engine)
         pause = UNREACHABLE_PAUSE_SECONDS * 2**state.failures
         state.failures += 1
--- a/tests/exchange/evidence/test_crash_evidence.py
+++ b/tests/exchange/evidence/test_crash_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence against requests that end servers: what contains them, and who learns of it when."""
+"""Crash evidence against requests: when they are contained, and when all gateways know it."""
 
 from __future__ import annotations
 
@@ -26,55 +26,57 @@
 NOW = 1000.0
 
 
-def _ended_in_a_row(evidence: CrashEvidence, ends: int, first: int = 1, at: float = NOW) -> None:
-    """Servers end one after the other, a second apart."""
-    for number in range(ends):
+def _crash_consecutively(
+    evidence: CrashEvidence, crashes: int, first: int = 1, at: float = NOW
+) -> None:
+    """Servers crash one after the other, a second apart."""
+    for number in range(crashes):
         evidence.on_crash(CRASHING, first + number, at + number, at + number + 0.1)
 
 
 # -- what contains a request --------------------------------------------------------------------
 
 
-def test_three_ends_in_a_row_contain_a_request() -> None:
-    """Two don't, and the same server counts once."""
+def test_three_consecutive_crashes_contain_a_request() -> None:
+    """Two don't, and one server counts once."""
     evidence = CrashEvidence()
-    _ended_in_a_row(evidence, 2)
-    _ended_in_a_row(evidence, 1, at=NOW + 5)
+    _crash_consecutively(evidence, 2)
+    _crash_consecutively(evidence, 1, at=NOW + 5)
     assert evidence.containment(CRASHING, NOW + 9) is None
-    _ended_in_a_row(evidence, 1, first=3, at=NOW + 8)
+    _crash_consecutively(evidence, 1, first=3, at=NOW + 8)
     containment = evidence.containment(CRASHING, NOW + 9)
     assert containment is not None and containment.crashes == 3
     assert [item.identity for item in evidence.take_newly_contained(NOW + 9)] == [CRASHING]
 
 
-def test_an_answer_clears_a_request_and_speaks_for_it() -> None:
-    """Ends count anew from then on, and it takes more of them to contain it."""
+def test_an_answer_clears_a_request_and_raises_its_limit() -> None:
+    """Crashes are counted from zero again, and more of them are needed for containment."""
     evidence = CrashEvidence()
-    _ended_in_a_row(evidence, 2)
+    _crash_consecutively(evidence, 2)
     assert evidence.on_answer(CRASHING, NOW + 2)
-    _ended_in_a_row(evidence, 5, first=3, at=NOW + 3)
+    _crash_consecutively(evidence, 5, first=3, at=NOW + 3)
     assert evidence.containment(CRASHING, NOW + 9) is None
-    _ended_in_a_row(evidence, 1, first=8, at=NOW + 9)
+    _crash_consecutively(evidence, 1, first=8, at=NOW + 9)
     assert evidence.containment(CRASHING, NOW + 10) is not None
     assert evidence.on_answer(CRASHING, NOW + 11)
     assert evidence.containment(CRASHING, NOW + 12) is None
 
 
-def test_an_answer_long_before_speaks_for_a_request() -> None:
-    """Also when it was given before there was any evidence, and when the evidence was forgotten."""
+def test_an_early_answer_raises_the_limit_of_a_request() -> None:
+    """Also an answer before any evidence, and one whose evidence has expired."""
     evidence = CrashEvidence()
     evidence.on_answer(CRASHING, NOW - 100)
-    _ended_in_a_row(evidence, 3)
+    _crash_consecutively(evidence, 3)
     assert evidence.containment(CRASHING, NOW + 4) is None
     evidence.on_answer(CRASHING, NOW + 5)
     evidence.expire(NOW + 100)
     assert not evidence
-    _ended_in_a_row(evidence, 3, at=NOW + 101)
+    _crash_consecutively(evidence, 3, at=NOW + 101)
     assert evidence.containment(CRASHING, NOW + 105) is None
 
 
-def test_servers_that_crash_together_contain_nothing() -> None:
-    """A popular request ran on all servers of a rack, begun before the first one ended."""
+def test_simultaneous_crashes_contain_no_request() -> None:
+    """A popular request ran on all servers of a rack, and was started before the first crash."""
     evidence = CrashEvidence()
     for server in range(1, 6):
         evidence.on_crash(CRASHING, server, NOW - server, NOW + 0.01 * server)
@@ -84,8 +86,8 @@
     assert evidence.containment(CRASHING, NOW + 4) is None
 
 
-def test_copies_sent_at_once_contain_a_request_with_two_later_ends() -> None:
-    """Copies end several servers at the same moment, as a crash of a rack does."""
+def test_simultaneous_copies_contain_a_request_with_two_later_crashes() -> None:
+    """Copies crash several servers at the same moment, which looks like the crash of a rack."""
     evidence = CrashEvidence()
     for server in range(1, 5):
         evidence.on_crash(CRASHING, server, NOW, NOW + 0.1)
@@ -96,8 +98,8 @@
     assert evidence.containment(CRASHING, NOW + 2) is not None
 
 
-def test_many_copies_at_once_leave_room_for_the_proof() -> None:
-    """Only so many ends are kept, but the first and the latest ones are."""
+def test_many_simultaneous_copies_do_not_evict_the_evidence() -> None:
+    """The number of crashes per request is bounded; the first and the latest ones are kept."""
     evidence = CrashEvidence()
     for server in range(1, 12):
         evidence.on_crash(CRASHING, server, NOW, NOW + 0.1)
@@ -109,19 +111,19 @@
     assert other.containment(CRASHING, NOW + 3) is not None
 
 
-def test_an_answer_before_the_news_of_an_end_counts() -> None:
-    """A gateway that answered a request well isn't told too late that a server ended under it."""
+def test_an_answer_clears_crashes_that_are_reported_after_it() -> None:
+    """A report of crashes before the answer adds none, and makes the answer an update."""
     evidence = CrashEvidence()
     evidence.on_answer(CRASHING, NOW + 10)
     report = CrashReport(CRASHING, [CrashEnd(1, 9000, 8000), CrashEnd(2, 7000, 6000)])
     evidence.merge([report], NOW + 11, False)
     assert evidence.crash_count(CRASHING) == 0
     assert evidence.has_updates
-    assert [told.cleared_ms for told in evidence.due_reports(NOW + 11, 1.0)] == [1000]
+    assert [sent.cleared_ms for sent in evidence.due_reports(NOW + 11, 1.0)] == [1000]
 
 
-def test_requests_that_ended_the_same_servers_are_both_contained() -> None:
-    """Neither speaks for the other."""
+def test_requests_that_crashed_the_same_servers_are_both_contained() -> None:
+    """Evidence against one request doesn't exonerate the other."""
     evidence = CrashEvidence()
     for identity in (20, 21):
         for server in range(1, 4):
@@ -129,8 +131,8 @@
     assert len(evidence.containments(NOW + 9)) == 2
 
 
-def test_repeats_at_once_contain_a_request_at_a_gateway_that_hears_of_the_ends() -> None:
-    """News of an end takes as long as the repeat, so both seem to come at the same moment."""
+def test_immediate_retries_contain_a_request_at_a_gateway_that_receives_reports() -> None:
+    """The report of a crash takes as long as the retry, so both seem simultaneous."""
     evidence = CrashEvidence()
     for number in range(3):
         ended_ms = 100 * (2 - number)
@@ -139,28 +141,28 @@
     assert evidence.containment(CRASHING, NOW) is not None
 
 
-def test_a_contained_request_is_tried_again_and_one_end_contains_it_again() -> None:
-    """What it met may have been mended meanwhile."""
+def test_a_contained_request_is_admitted_again_and_one_crash_contains_it_again() -> None:
+    """The defect may have been fixed in the meantime."""
     evidence = CrashEvidence()
-    _ended_in_a_row(evidence, 3)
+    _crash_consecutively(evidence, 3)
     later = NOW + CONTAINMENT_SECONDS + 5
     evidence.expire(later)
     assert evidence.containment(CRASHING, later) is None
-    _ended_in_a_row(evidence, 1, first=9, at=later)
+    _crash_consecutively(evidence, 1, first=9, at=later)
     assert evidence.containment(CRASHING, later + 1) is not None
 
 
 def test_a_flood_of_suspects_does_not_release_a_contained_request() -> None:
-    """Evidence is bounded; the least of it goes first."""
+    """The number of records is bounded; those with the least evidence are dropped first."""
     evidence = CrashEvidence()
-    _ended_in_a_row(evidence, 3)
+    _crash_consecutively(evidence, 3)
     for identity in range(100, 100 + 2 * MAX_RECORDS):
         evidence.on_crash(identity, 1, NOW + 10, NOW + 11)
     assert evidence.containment(CRASHING, NOW + 12) is not None
 
 
-def test_identity_is_of_path_caller_and_body() -> None:
-    """A query counts where it is all that there is."""
+def test_identity_depends_on_host_path_caller_and_body() -> None:
+    """The query counts only for a request without a body."""
 
     def identity(target: bytes, caller: str, body: bytes, host: str = "a.example") -> int:
         return request_identity(host, target, caller, body)
@@ -179,7 +181,7 @@
     assert len(different) == 6
 
 
-# -- what gateways tell each other --------------------------------------------------------------
+# -- reports between gateways -------------------------------------------------------------------
 
 _EVENTS = st.lists(
     st.tuples(
@@ -193,10 +195,10 @@
 
 
 @given(events=_EVENTS, order=st.randoms())
-def test_gateways_that_told_each_other_know_the_same(
+def test_gateways_converge_after_exchanging_reports(
     events: list[tuple[int, int, int | None, int]], order: random.Random
 ) -> None:
-    """In whatever order and however often reports come in."""
+    """Reports may arrive in any order and any number of times."""
     gateways = [CrashEvidence() for _ in range(4)]
     alone = CrashEvidence()
     now = NOW
@@ -220,18 +222,18 @@
 
 
 @pytest.mark.parametrize("age", [-1, MAX_AGE_MS + 1])
-def test_absurd_ages_are_refused(age: int) -> None:
-    """A message that holds one is none of ours."""
+def test_invalid_ages_are_refused(age: int) -> None:
+    """A message with an age or a number of crashes out of range is not decoded."""
     report = CrashReport(CRASHING, [CrashEnd(1, age, 0)])
     assert decode_message(encode_message(PeerMessage("g", 1, crashes=[report]))) is None
     too_many = CrashReport(CRASHING, [CrashEnd(number, 5, 5) for number in range(7)])
     assert decode_message(encode_message(PeerMessage("g", 1, crashes=[too_many]))) is None
 
 
-def test_messages_without_reports_are_understood() -> None:
-    """Gateways of the release before don't tell of crashes."""
-    former = msgspec.msgpack.encode(["g", 1, [], [], 1, False, [], 1])
-    message = decode_message(former)
+def test_messages_without_reports_are_decoded() -> None:
+    """Gateways of the previous release don't report crashes."""
+    previous_release = msgspec.msgpack.encode(["g", 1, [], [], 1, False, [], 1])
+    message = decode_message(previous_release)
     assert message is not None and message.crashes == []
 
 
@@ -246,8 +248,8 @@
     }
 
 
-def _end_three_servers(fleet: Fleet) -> None:
-    """Three gateways each see one server end under the request, half a second apart."""
+def _crash_three_servers(fleet: Fleet) -> None:
+    """Three gateways each detect one server crash under the request, 0.5 s apart."""
     for number, name in enumerate(fleet.random.sample(fleet.names, 3)):
         evidence = fleet.exchanges[name].evidence
         evidence.on_crash(CRASHING, 50 + number, fleet.now - 0.1, fleet.now)
@@ -258,20 +260,20 @@
 @pytest.mark.parametrize("size", [8, 79, 195])
 @pytest.mark.parametrize("loss", [0.0, 0.1])
 def test_all_gateways_know_a_contained_request_soon(size: int, loss: float) -> None:
-    """Half a second after the third end; with a tenth of the messages lost, too."""
+    """Within 0.5 s after the third crash, also when a tenth of the messages is lost."""
     fleet = Fleet(size, size)
     fleet.run(1.0)
     fleet.loss = loss
-    _end_three_servers(fleet)
+    _crash_three_servers(fleet)
     assert _contained_at(fleet) == set(fleet.names)
 
 
 @pytest.mark.parametrize("restarted", ["reader", "follower", "all but one"])
-def test_a_gateway_that_starts_learns_what_is_contained(restarted: str) -> None:
-    """From those that know it."""
+def test_a_restarted_gateway_receives_the_contained_requests(restarted: str) -> None:
+    """From the gateways that know them."""
     fleet = Fleet(30, 3)
     fleet.run(1.0)
-    _end_three_servers(fleet)
+    _crash_three_servers(fleet)
     names = {"reader": fleet.readers[:1], "follower": fleet.names[-1:]}
     for name in names.get(restarted, fleet.names[:-1]):
         fleet.restart(name)
@@ -279,13 +281,13 @@
     assert _contained_at(fleet) == set(fleet.names)
 
 
-def test_gateways_that_were_cut_off_learn_what_is_contained() -> None:
-    """Soon after they hear the others again."""
+def test_partitioned_gateways_receive_the_contained_requests() -> None:
+    """Soon after they are reachable again."""
     fleet = Fleet(30, 4)
     fleet.run(1.0)
     fleet.cut = set(fleet.names[10:20])
     fleet.names = [name for name in fleet.names if name not in fleet.cut]
-    _end_three_servers(fleet)
+    _crash_three_servers(fleet)
     fleet.names = sorted(fleet.exchanges)
     assert not _contained_at(fleet) & fleet.cut
     fleet.cut = set()
@@ -294,34 +296,34 @@
 
 
 class RepeatingCaller:
-    """Sends a request that ends servers again and again, through any gateway."""
+    """Repeats a request that crashes servers, through random gateways."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.ended = 0
+        self.crashed = 0
 
     def repeat(self) -> None:
-        """One send, unless the gateway refuses it; others' work at the server is cut with it."""
+        """Send once, unless the gateway refuses; the crash also interrupts five unrelated requests."""
         fleet = self.fleet
         sender = fleet.exchanges[fleet.random.choice(fleet.names)]
         if sender.evidence.containment(CRASHING, fleet.now) is not None:
             return
-        self.ended += 1
+        self.crashed += 1
         sent_at = fleet.now
         fleet.run(0.1)
-        sender.evidence.on_crash(CRASHING, 1000 + self.ended, sent_at, fleet.now)
+        sender.evidence.on_crash(CRASHING, 1000 + self.crashed, sent_at, fleet.now)
         sender.on_news()
-        for innocent in range(5):
+        for unrelated in range(5):
             witness = fleet.exchanges[fleet.random.choice(fleet.names)]
-            identity = 10_000 * self.ended + innocent
-            witness.evidence.on_crash(identity, 1000 + self.ended, sent_at - 1.0, fleet.now)
+            identity = 10_000 * self.crashed + unrelated
+            witness.evidence.on_crash(identity, 1000 + self.crashed, sent_at - 1.0, fleet.now)
             witness.on_news()
 
 
 @pytest.mark.parametrize("size", [8, 79, 195])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_repeating_caller_ends_three_servers(size: int, seed: int) -> None:
-    """Wherever it comes back, half a second apart or more, with messages lost."""
+def test_a_repeating_caller_crashes_three_servers(size: int, seed: int) -> None:
+    """Through any gateways, 0.5 s apart or more, with a tenth of the messages lost."""
     fleet = Fleet(size, seed)
     fleet.loss = 0.1
     fleet.run(1.0)
@@ -329,7 +331,7 @@
     for _ in range(8):
         caller.repeat()
         fleet.run(fleet.random.uniform(0.5, 1.5))
-    assert caller.ended == 3
+    assert caller.crashed == 3
     contained = {
         item.identity
         for exchange in fleet.exchanges.values()
--- a/tests/exchange/evidence/test_crash_machine.py
+++ b/tests/exchange/evidence/test_crash_machine.py
@@ -1,7 +1,8 @@
-"""A fleet of gateways, cut, restarted and losing messages, before a request that ends servers.
+"""State machine: gateways with partitions, restarts and message loss, and a request that crashes servers.
 
-Promise: a gateway that has been in touch for a while after the third end doesn't send the request,
-and innocent work that was ever answered is never contained by crashes that nobody caused.
+Invariants: a gateway that has been connected for `CONTACT_SECONDS` after the third crash doesn't
+send the request; an unrelated request that was ever answered is never contained by crashes that no
+request caused.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 CRASHING = 7
 POPULAR = 8
 SIZE = 9
-TOUCH_SECONDS = 3.0
-"""After this time without a cut or a restart, a gateway knows what the others know."""
+CONTACT_SECONDS = 3.0
+"""After this time without a partition or restart, a gateway has the state of the others."""
 
 CRASH_SECONDS = 0.1
-TOLD_SECONDS = 0.4
-"""Others know what a gateway saw, although messages are lost."""
+REPORT_SECONDS = 0.4
+"""The others have received a gateway's reports, although messages are lost."""
 
 gateways = st.integers(0, SIZE - 1)
 
 
 class SwitchingFleet(Fleet):
-    """Whose reader is cut off follows another zone's."""
+    """A fleet in which a gateway whose reader is partitioned follows another zone's reader."""
 
     def reader_of(self, name: str) -> str:
         """See `Fleet.reader_of`."""
@@ -40,16 +41,16 @@
 class CrashingFleet(RuleBasedStateMachine):
     """Nine gateways in three zones."""
 
-    remembers = True
+    contains_requests = True
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = SwitchingFleet(SIZE, 11)
         self.fleet.loss = 0.1
         self.fleet.run(1.0)
-        self.touched_at = dict.fromkeys(self.fleet.names, self.fleet.now)
-        self.ends = 0
-        self.third_at = float("inf")
+        self.connected_at = dict.fromkeys(self.fleet.names, self.fleet.now)
+        self.crashes = 0
+        self.third_crash_at = float("inf")
         self.servers = 1000
         self._answer_popular()
 
@@ -66,27 +67,27 @@
         evidence = self.fleet.exchanges[name].evidence
         return evidence.containment(identity, self.fleet.now) is not None
 
-    def _in_touch_since(self, name: str) -> float:
-        return float("inf") if name in self.fleet.cut else self.touched_at[name]
+    def _connected_since(self, name: str) -> float:
+        return float("inf") if name in self.fleet.cut else self.connected_at[name]
 
     @rule(number=gateways)
     def caller_repeats(self, number: int) -> None:
-        """Through any gateway, which sends the request on if it knows no better."""
+        """Through any gateway, which sends the request unless it contains it."""
         fleet = self.fleet
         name = fleet.names[number]
-        if self.remembers and self._contains(name, CRASHING):
+        if self.contains_requests and self._contains(name, CRASHING):
             return
-        known_by = max(self.third_at, self._in_touch_since(name)) + TOUCH_SECONDS
-        assert fleet.now < known_by, f"{name} sent it {fleet.now - self.third_at:.2f} s after"
+        known_by = max(self.third_crash_at, self._connected_since(name)) + CONTACT_SECONDS
+        assert fleet.now < known_by, f"{name} sent it {fleet.now - self.third_crash_at:.2f} s after"
         sent_at = fleet.now
         self._pass(CRASH_SECONDS)
-        self._end_server([(name, CRASHING, sent_at)])
-        # What a gateway that is cut off sees may be lost with it.
-        self.ends += name not in fleet.cut
-        if self.ends == 3 and name not in fleet.cut:
-            self.third_at = fleet.now
+        self._crash_server([(name, CRASHING, sent_at)])
+        # The evidence of a partitioned gateway may be lost with its process.
+        self.crashes += name not in fleet.cut
+        if self.crashes == 3 and name not in fleet.cut:
+            self.third_crash_at = fleet.now
 
-    def _end_server(self, running: list[tuple[str, int, float]]) -> None:
+    def _crash_server(self, running: list[tuple[str, int, float]]) -> None:
         self.servers += 1
         for name, identity, sent_at in running:
             exchange = self.fleet.exchanges[name]
@@ -95,49 +96,49 @@
 
     @rule(witnesses=st.lists(gateways, min_size=1, max_size=4))
     def rack_crashes(self, witnesses: list[int]) -> None:
-        """Servers end together, each with a popular request that it had for a while."""
+        """Servers crash together, each with a popular request that it had for 0.5 s."""
         for number in witnesses:
-            self._end_server([(self.fleet.names[number], POPULAR, self.fleet.now - 0.5)])
+            self._crash_server([(self.fleet.names[number], POPULAR, self.fleet.now - 0.5)])
 
     def popular_is_answered(self, number: int) -> None:
-        """By a server that lives."""
+        """By a live server."""
         exchange = self.fleet.exchanges[self.fleet.names[number]]
         if exchange.evidence.on_answer(POPULAR, self.fleet.now):
             exchange.on_news()
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.0, 2.5]))
     def time_passes(self, seconds: float) -> None:
-        """Messages go, but for a tenth of them; popular work is answered all the time."""
+        """Messages are sent, and a tenth is lost; popular requests are answered continuously."""
         self._pass(seconds)
 
     @rule(number=gateways)
     def gateway_restarts(self, number: int) -> None:
-        """It forgets all; others know what it saw."""
-        self._pass(TOLD_SECONDS)
+        """It loses its state after the others have received its reports."""
+        self._pass(REPORT_SECONDS)
         name = self.fleet.names[number]
         self.fleet.restart(name)
         self.fleet.exchanges[name].evidence.on_answer(POPULAR, self.fleet.now)
-        self.touched_at[name] = self.fleet.now
+        self.connected_at[name] = self.fleet.now
 
     @rule(cut=st.sets(gateways, max_size=4))
     def some_are_cut_off(self, cut: set[int]) -> None:
-        """From all others, both ways; the others are in touch again."""
-        self._pass(TOLD_SECONDS)
+        """Partition gateways from all others, both ways; the previous partition heals."""
+        self._pass(REPORT_SECONDS)
         before = self.fleet.cut
         self.fleet.cut = {self.fleet.names[number] for number in cut}
         for name in before - self.fleet.cut:
-            self.touched_at[name] = self.fleet.now
+            self.connected_at[name] = self.fleet.now
 
     @invariant()
     def popular_work_is_sent(self) -> None:
-        """Nobody caused those crashes with it."""
+        """Popular requests caused none of the crashes."""
         assert not any(self._contains(name, POPULAR) for name in self.fleet.names)
 
 
 class ForgetfulFleet(CrashingFleet):
-    """The broken variant: a repeat begins with a clean slate."""
+    """The known-bad variant: gateways send the request regardless of evidence."""
 
-    remembers = False
+    contains_requests = False
 
 
 def _runs(examples: int) -> settings:
@@ -153,12 +154,12 @@
 SEARCH = _runs(600)
 
 
-def test_gateways_in_touch_do_not_send_a_contained_request() -> None:
-    """Whatever is cut, restarted and lost."""
+def test_connected_gateways_do_not_send_a_contained_request() -> None:
+    """For any sequence of partitions, restarts and lost messages."""
     run_state_machine_as_test(CrashingFleet, settings=_runs(60))
 
 
-def test_a_fleet_that_forgets_is_found() -> None:
-    """The machine sees the fault that it is for; it ends with the first run that shows it."""
+def test_a_fleet_without_containment_is_detected() -> None:
+    """The machine detects the fault that it tests for, and stops at the first failing run."""
     with pytest.raises(AssertionError):
         run_state_machine_as_test(ForgetfulFleet, settings=SEARCH)
--- a/tests/exchange/replication/test_content_patches.py
+++ b/tests/exchange/replication/test_content_patches.py
@@ -1,4 +1,4 @@
-"""Contents told as differences, and what waits for them."""
+"""Contents sent as patches, and updates that wait for them."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 
 
 @given(CONTENTS, CONTENTS)
-def test_a_patch_makes_the_content_again(base: bytes, content: bytes) -> None:
-    """Whatever the two contents are."""
+def test_a_patch_reproduces_the_content(base: bytes, content: bytes) -> None:
+    """For any two contents."""
     patch = make_patch(base, content)
     assert apply_patch(patch, base) == content
     assert decode_patch(encode_patch(patch)) == patch
@@ -58,20 +58,20 @@
     )
 
 
-def test_one_entry_more_costs_little_wherever_it_stands() -> None:
-    """Order and place don't matter, only what is new."""
+def test_an_added_entry_makes_a_small_patch_at_any_offset() -> None:
+    """The size of a patch depends only on the new bytes, not on order and offset."""
     base = _routes(1000)
     for at in (0, 20_000, len(base) - 1):
-        cut = base.find(b"{", max(at, 11))
-        cut = cut if cut >= 0 else len(base)
-        content = base[:cut] + b'{"Name":"added"},' + base[cut:]
+        offset = base.find(b"{", max(at, 11))
+        offset = offset if offset >= 0 else len(base)
+        content = base[:offset] + b'{"Name":"added"},' + base[offset:]
         assert len(make_patch(base, content).steps) < 200
     back = make_patch(base, _routes(990, 10))
     assert len(back.steps) < 200
 
 
-def test_a_patch_is_refused_for_another_content() -> None:
-    """Also when there is none."""
+def test_a_patch_is_refused_for_another_base() -> None:
+    """Also when there is no base."""
     patch = make_patch(b'{"a":1},', b'{"a":1},{"b":2},')
     for base in (b'{"a":2},', None):
         with pytest.raises(PatchError) as refused:
@@ -80,10 +80,10 @@
 
 
 @given(st.binary(max_size=60), st.integers(-5, 10**9), st.integers(0, 2**64 - 1))
-def test_bytes_of_others_give_an_error_or_what_was_announced(
+def test_arbitrary_patch_bytes_give_an_error_or_the_announced_content(
     steps: bytes, size: int, result: int
 ) -> None:
-    """And nothing else."""
+    """No other exception is raised, and no other content is returned."""
     base = b'{"a":1},{"b":2},'
     try:
         made = apply_patch(ContentPatch(content_sum(base), result, size, steps), base)
@@ -103,16 +103,16 @@
         ["text"],
     ],
 )
-def test_steps_that_lie_give_an_error(steps: list[object]) -> None:
-    """They name pieces that aren't there, or make more than was announced."""
+def test_invalid_steps_give_an_error(steps: list[object]) -> None:
+    """They refer to bytes outside the base, or produce more than the announced size."""
     base = b'{"a":1},{"b":2},'
     packed = zlib.compress(msgspec.msgpack.encode(steps))
     with pytest.raises(PatchError):
         apply_patch(ContentPatch(content_sum(base), 7, 10, packed), base)
 
 
-def test_compressed_bytes_that_grow_without_bound_are_refused() -> None:
-    """Before they fill the memory."""
+def test_decompression_bombs_are_refused() -> None:
+    """Decompression stops at the maximum content size, before it exhausts memory."""
     bomb = zlib.compress(b"\0" * (2 * MAX_CONTENT_BYTES))
     with pytest.raises(PatchError):
         apply_patch(ContentPatch(NO_CONTENT_SUM, 7, 100, bomb), None)
@@ -120,8 +120,8 @@
     assert decode_answer(bomb[: len(bomb) // 2]) is None
 
 
-def test_gateways_of_an_older_release_are_understood() -> None:
-    """They send fewer fields, and pass over those that they don't know."""
+def test_messages_of_an_older_release_are_decoded() -> None:
+    """Older gateways send fewer fields, and ignore those that they don't know."""
     question = decode_question(b'[[["config",[1,5]]],0.8]')
     assert question is not None and not question.takes_patches
     assert decode_question(encode_question(FeedQuestion([], 0.5, True))) is not None
@@ -130,8 +130,8 @@
     assert answer.kinds[0].objects[0].patch is None
 
 
-def test_a_large_answer_is_compressed_for_those_that_understand_it() -> None:
-    """And for nobody else."""
+def test_a_large_answer_is_compressed_only_on_request() -> None:
+    """A gateway that doesn't accept compression gets the plain encoding."""
     objects = [FedObject(f"name-{n}", StorePlace(1, n), msgspec.Raw(b"{}")) for n in range(500)]
     answer = FeedAnswer([FedKind("servers", StorePlace(1, 500), True, objects)], 0.0)
     plain, packed = encode_answer(answer, False), encode_answer(answer, True)
@@ -139,68 +139,71 @@
     assert decode_answer(packed) == decode_answer(plain) == answer
 
 
-def _announced(name: str, revision: int, patch: ContentPatch) -> FedObject:
+def _announced_object(name: str, revision: int, patch: ContentPatch) -> FedObject:
     return FedObject(name, StorePlace(1, revision), NULL, patch=patch.announcement())
 
 
-def test_what_follows_an_announced_content_waits_for_it() -> None:
-    """Two versions ahead, and a small change of another object between them."""
+def test_updates_behind_an_announced_content_wait_for_it() -> None:
+    """Two versions are announced, with a small change of another object between them."""
     first, second = make_patch(b"1", b"2"), make_patch(b"2", b"3")
     pending = PendingContents()
     small = FedObject("other", StorePlace(1, 8), msgspec.Raw(b"{}"))
-    told = [
-        FedKind("config", StorePlace(1, 7), False, [_announced("main", 7, first)]),
+    announcements = [
+        FedKind("config", StorePlace(1, 7), False, [_announced_object("main", 7, first)]),
         FedKind("config", StorePlace(1, 8), False, [small]),
-        FedKind("config", StorePlace(1, 9), False, [_announced("main", 9, second)]),
+        FedKind("config", StorePlace(1, 9), False, [_announced_object("main", 9, second)]),
     ]
     known = StorePlace(1, 6)
-    for fed in told:
+    for fed in announcements:
         assert pending.take(fed, pending.position("config", known)) == []
     assert pending.position("config", known) == StorePlace(1, 9)
-    asked = pending.missing("config")
-    assert asked == ContentQuestion("config", "main", first.base, first.result)
-    assert pending.on_patch(asked, second) == [], "another content than was asked for"
-    ready = pending.on_patch(asked, first)
+    question = pending.missing("config")
+    assert question == ContentQuestion("config", "main", first.base, first.result)
+    assert pending.on_patch(question, second) == [], "another content than was requested"
+    ready = pending.on_patch(question, first)
     assert [update.fed.place.revision for update in ready] == [7, 8]
     assert [update.since for update in ready] == [known, StorePlace(1, 7)]
-    asked = pending.missing("config")
-    assert asked is not None and "config" in pending
-    ready = pending.on_patch(asked, second)
+    question = pending.missing("config")
+    assert question is not None and "config" in pending
+    ready = pending.on_patch(question, second)
     assert [update.fed.place.revision for update in ready] == [9] and "config" not in pending
 
 
-def test_all_objects_replace_what_was_announced() -> None:
-    """A reader that tells all again needn't bring what it had announced."""
+def test_a_full_answer_replaces_announced_contents() -> None:
+    """A full answer of a reader supersedes the contents that it had announced."""
     pending = PendingContents()
-    told = [_announced("main", 7, make_patch(b"1", b"2"))]
-    pending.take(FedKind("config", StorePlace(1, 7), False, told), StorePlace(1, 6))
+    announcements = [_announced_object("main", 7, make_patch(b"1", b"2"))]
+    pending.take(FedKind("config", StorePlace(1, 7), False, announcements), StorePlace(1, 6))
     whole = FedKind("config", StorePlace(2, 3), True, [])
     assert pending.take(whole, None) == [FedUpdate(None, whole)]
     assert "config" not in pending and pending.missing("config") is None
 
 
-def test_a_patch_that_does_not_fit_makes_a_follower_ask_for_all_once() -> None:
-    """Until all is told, whatever was announced before."""
+def test_a_mismatched_patch_makes_a_follower_request_a_full_answer_once() -> None:
+    """It requests one until a full answer arrives, and discards earlier announcements."""
     pending = PendingContents()
     known = StorePlace(1, 6)
-    told = [_announced("main", 7, make_patch(b"1", b"2"))]
-    pending.take(FedKind("config", StorePlace(1, 7), False, told), StorePlace(1, 6))
+    announcements = [_announced_object("main", 7, make_patch(b"1", b"2"))]
+    pending.take(FedKind("config", StorePlace(1, 7), False, announcements), StorePlace(1, 6))
     pending.on_patch_mismatch("config")
     assert pending.position("config", known) is None and "config" not in pending
-    told = [_announced("main", 8, whole_patch(b"3")), _announced("other", 8, whole_patch(b"4"))]
-    pending.take(FedKind("config", StorePlace(1, 8), True, told), None)
-    assert pending.position("config", known) == StorePlace(1, 8), "and not for all again"
+    announcements = [
+        _announced_object("main", 8, whole_patch(b"3")),
+        _announced_object("other", 8, whole_patch(b"4")),
+    ]
+    pending.take(FedKind("config", StorePlace(1, 8), True, announcements), None)
+    assert pending.position("config", known) == StorePlace(1, 8), "and not a full answer again"
 
 
-def test_the_first_of_many_waiting_answers_stays() -> None:
-    """So that a content that comes slowly is not asked for in vain."""
+def test_the_first_of_many_queued_answers_stays() -> None:
+    """So that the transfer of a slow content is not wasted."""
     pending = PendingContents()
     patches = [make_patch(b"%d" % number, b"%d" % (number + 1)) for number in range(40)]
     for number, patch in enumerate(patches):
-        told = [_announced("main", number, patch)]
+        announcements = [_announced_object("main", number, patch)]
         since = pending.position("config", StorePlace(1, 0))
-        pending.take(FedKind("config", StorePlace(1, number), False, told), since)
-    asked = pending.missing("config")
-    assert asked == ContentQuestion("config", "main", patches[0].base, patches[0].result)
-    ready = pending.on_patch(asked, patches[0])
+        pending.take(FedKind("config", StorePlace(1, number), False, announcements), since)
+    question = pending.missing("config")
+    assert question == ContentQuestion("config", "main", patches[0].base, patches[0].result)
+    ready = pending.on_patch(question, patches[0])
     assert [update.fed.place.revision for update in ready] == [0]
--- a/tests/exchange/replication/test_lost_configuration.py
+++ b/tests/exchange/replication/test_lost_configuration.py
@@ -1,12 +1,12 @@
-"""Versions that the store has lost, and who is told of them."""
+"""Configuration versions that the store has lost, and their announcement to gateways."""
 
 from __future__ import annotations
 
 from milletcourse.exchange.replication.lost_configuration import LostConfiguration
 
 
-def test_a_version_that_the_store_lost_is_told_until_it_is_there_again() -> None:
-    """By a gateway that has it in force, and by one that was told of it."""
+def test_a_lost_version_is_announced_until_it_is_stored_again() -> None:
+    """By a gateway that applied it, and by one that received the announcement."""
     in_force = [0]
     lost = LostConfiguration(lambda: in_force[0])
     assert lost.version == 0, "a gateway without a configuration knows of no loss"
@@ -21,6 +21,6 @@
 
 
 def test_a_store_without_any_configuration_has_lost_the_one_in_force() -> None:
-    """It may come back from a copy of before the first one."""
+    """It may have been restored from a snapshot older than the first configuration."""
     lost = LostConfiguration(lambda: 2)
     assert lost.version == 2
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -1,4 +1,4 @@
-"""Pure cores: stream order, beliefs, weights, shares, wire codecs and experiments."""
+"""Cores without I/O: stream order, cache estimates, weights, shares, wire codecs, experiments."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 def test_relay_passes_each_offset_once_and_in_order(
     events: list[tuple[int, int, bool]],
 ) -> None:
-    """Whatever events of whatever attempts and requests come, the client sees 0, 1, 2, ..."""
+    """For any events of any attempts and requests, the client receives offsets 0, 1, 2, ..."""
     relay = OrderedRelay("mine", RelayCounters())
     relay.begin_attempt(1, 0)
     passed = []
@@ -58,7 +58,7 @@
 
 
 def test_regenerated_answer_is_spliced_only_when_equal() -> None:
-    """A resume at another engine checks what the client already has."""
+    """A resume at another engine verifies the text that the client already received."""
     first = OrderedRelay("r", RelayCounters())
     first.begin_attempt(1, 0)
     for offset in range(3):
@@ -77,8 +77,8 @@
             assert not same
 
 
-def test_beliefs_die_with_the_incarnation() -> None:
-    """A restarted engine is believed to hold nothing; late events of the old one are ignored."""
+def test_cache_estimates_are_dropped_with_the_incarnation() -> None:
+    """A restarted engine has an empty estimate; late events of the old incarnation are ignored."""
     index = CacheEstimateIndex()
     chain = [bytes([number]) * 16 for number in range(5)]
     index.observe_incarnation("e", "1")
@@ -106,8 +106,8 @@
     assert len(hashes) == 2 * len(roots)
 
 
-def test_paused_store_is_tried_by_one_request() -> None:
-    """After short imports the store is not counted on, and one request at a time tries it."""
+def test_paused_store_is_probed_by_one_request() -> None:
+    """After short imports the store is not used, and one request after each pause probes it."""
     index = StoreIndex()
     for _ in range(SHORT_IMPORTS_BEFORE_PAUSE):
         assert index.try_use("kv", 0.0)
@@ -120,7 +120,7 @@
 
 
 def test_weights_load_two_at_a_time() -> None:
-    """Engines change one after another; leaving and silent ones are left alone."""
+    """At most two engines change at once; draining ones and ones without a report are skipped."""
     engines = {f"e{i}": EngineSpec("1.1.1.1:1", "p", ("m",), leaving=i == 0) for i in range(6)}
     report = EngineLoad("1", 0, 0, 0, 10, 1000.0, {"m": "1"})
     states = {name: EngineLoadState(report=report) for name in engines if name != "e1"}
@@ -136,7 +136,7 @@
     st.floats(0, 200),
 )
 def test_fair_shares_never_exceed_demand_or_total(demand: dict[str, float], total: float) -> None:
-    """Shares add up to what there is to give, and nobody gets more than it asked for."""
+    """Shares add up to the smaller of total and demand, and no tenant exceeds its demand."""
     weights = {name: 1.0 + index for index, name in enumerate(sorted(demand))}
     shares = fair_shares(total, demand, weights)
     assert all(shares[name] <= demand[name] + 1e-6 for name in demand)
@@ -145,7 +145,7 @@
 
 
 def test_codecs_round_trip_and_refuse_forgeries() -> None:
-    """Messages survive their codecs; another key or a changed byte does not."""
+    """Messages round-trip; an envelope with another key or a changed byte is refused."""
     record = MemberRecord("r1", "p", "10.0.0.1:7", "10.0.0.1:8", MemberState.SUSPECT, 9)
     message = MembershipMessage(MessageKind.PROBE, 3, "r2", 7, PlatformStamp(6, 1.5), (record,))
     assert decode_membership(encode_membership(message)) == message
@@ -163,7 +163,7 @@
 
 @given(st.binary(max_size=80))
 def test_random_bytes_are_refused(payload: bytes) -> None:
-    """No input makes a codec raise anything but a typed failure."""
+    """For any input, a codec raises nothing but a typed failure."""
     codec = EnvelopeCodec("a cluster key")
     for decode in (codec.decode, decode_membership, decode_load_digest):
         try:
@@ -173,7 +173,7 @@
 
 
 def test_resume_tokens_are_bound_to_their_request() -> None:
-    """A token of another request, or a forged one, is refused."""
+    """A token of another request, and a forged one, are refused."""
     codec = ResumeTokenCodec("a cluster key")
     point = ResumePoint("r", b"digest", "e", "1", "1", 1, 5, b"text")
     token = codec.encode(point)
@@ -184,7 +184,7 @@
 
 
 def test_each_engine_is_followed_by_one_router_of_its_place() -> None:
-    """All engines are followed, each once, and small deployments by everyone."""
+    """Each engine has one follower; in small deployments every router follows all engines."""
     routers = [
         MemberRecord(f"r{i}", f"p{i % 3}", "1.1.1.1:1", "1.1.1.1:1", MemberState.ALIVE, 1)
         for i in range(12)
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("deployment", ["roster-desk", "whitcombe"])
 def test_shipped_routing_beats_its_baselines_on_one_seed(deployment: str) -> None:
-    """Waste and hit rate against the load-only baseline, and nothing forbidden."""
+    """Wasted tokens and hit rate against the load-only baseline, without policy violations."""
     loaded = load_deployment(deployment)
     ours = ExperimentRun(loaded, POLICIES["milletcourse"], PLANS["none"], 0.5, 1).run()
     theirs = ExperimentRun(loaded, POLICIES["least_loaded"], PLANS["none"], 0.5, 1).run()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Selectors, permissions, reuse scopes, explanations and typed refusals of bad objects."""
+"""Selectors, permissions, reuse scopes, explanations and typed refusals of invalid objects."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def test_selector_semantics() -> None:
-    """In needs the label, NotIn holds for an absent one, as in the Kubernetes API."""
+    """In requires the label, NotIn matches an absent one, as in the Kubernetes API."""
     expressions = (
         Expression("tier", Operator.IN, ("a", "b")),
         Expression("zone", Operator.NOT_IN, ("x",)),
@@ -54,7 +54,7 @@
 
 
 def test_permissions_are_closed_by_default() -> None:
-    """Unknown keys, models and tenants without a workload are refused, each with its type."""
+    """Unknown keys, unknown models and tenants without a workload get their own failure types."""
     policy = deployment()
     assert policy.authenticate("key-care-a").unwrap() == "care-a"
     assert isinstance(policy.authenticate("nope").failure(), Unauthenticated)
@@ -66,7 +66,7 @@
 
 
 def test_explanation_names_each_engine() -> None:
-    """Engine by engine, permitted or why not, and whose prefixes may be reused."""
+    """The verdict and reason per engine, and the tenants whose prefixes may be reused."""
     explanation = explain(deployment(), RequestFacts("care-a", "planner")).unwrap()
     verdicts = {item.name: item for item in explanation.backends}
     assert verdicts["engine-0"].permitted
@@ -75,14 +75,14 @@
 
 
 def test_effect_shows_gained_and_lost_engines() -> None:
-    """A dry run tells what a wider selector would open."""
+    """A dry run reports the engines that a wider selector would permit."""
     spec = parse_spec("Workload", "care-checks", care_workload(("shared", "guarded"))).unwrap()
     (effect,) = effect_of(deployment(), "Workload", "care-checks", spec)
     assert (effect.gains, effect.loses) == (("engine-1",), ())
 
 
-def test_bad_objects_are_refused_with_the_key() -> None:
-    """Unknown kinds, unknown fields and wrong types name what is wrong."""
+def test_invalid_objects_are_refused_with_the_key() -> None:
+    """Unknown kinds, unknown fields and wrong types name the invalid key."""
     for kind, spec, key in (
         ("Nope", {}, "kind"),
         ("Engine", {"address": "x", "place": "p", "colour": 1}, "Engine.e"),
@@ -98,7 +98,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from(TENANTS), st.booleans()), max_size=12))
 def test_incremental_scope_equals_a_rebuild(steps: list[tuple[str, bool]]) -> None:
-    """Whatever order tenants join and leave in, the scope depends on the present set only."""
+    """The scope depends only on the current set of tenants, not on the order of changes."""
     policy = deployment()
     state: dict[str, bool] = {}
     for name, member in steps:
@@ -118,8 +118,8 @@
         assert (tenant in policy.scope_tenants("care-a", rules)) == shares
 
 
-def test_scope_changes_when_a_tenant_leaves() -> None:
-    """What was kept under the former set can't be reused by the remaining ones."""
+def test_scope_changes_when_a_tenant_is_removed() -> None:
+    """The remaining tenants can't reuse prefixes cached under the previous set."""
     policy = deployment()
     rules = policy.workloads["care-checks"]
     before = policy.reuse_scope("care-a", rules)
