--- a/tests/exchange/evidence/test_crash_evidence.py
+++ b/tests/exchange/evidence/test_crash_evidence.py
@@ -303,7 +303,7 @@
         self.crashed = 0
 
     def repeat(self) -> None:
-        """Send once, unless the gateway refuses; the crash also interrupts five unrelated requests."""
+        """Send once, unless the gateway refuses; the crash interrupts five unrelated requests."""
         fleet = self.fleet
         sender = fleet.exchanges[fleet.random.choice(fleet.names)]
         if sender.evidence.containment(CRASHING, fleet.now) is not None:
--- a/tests/exchange/evidence/test_crash_machine.py
+++ b/tests/exchange/evidence/test_crash_machine.py
@@ -1,4 +1,4 @@
-"""State machine: gateways with partitions, restarts and message loss, and a request that crashes servers.
+"""Gateways under partitions, restarts and message loss, and a request that crashes servers.
 
 Invariants: a gateway that has been connected for `CONTACT_SECONDS` after the third crash doesn't
 send the request; an unrelated request that was ever answered is never contained by crashes that no
