--- a/src/milletcourse/exchange/replication/confirmed_era.py
+++ b/src/milletcourse/exchange/replication/confirmed_era.py
@@ -47,8 +47,8 @@
     def __init__(self, on_confirmed: OnConfirmed) -> None:
         self.latest = UNKNOWN_ERA
         self._on_confirmed = on_confirmed
-        self._observed_at = StorePlace(UNKNOWN_ERA, 0)
-        self._previous_end: StorePlace | None = None
+        self._observed_position = StorePlace(UNKNOWN_ERA, 0)
+        self._previous_era_end: StorePlace | None = None
         self._confirmed_from = float("-inf")
         self._announced_ahead: set[int] = set()
 
@@ -60,8 +60,8 @@
             before: Latest known position in the previous era, None for the first era.
             now: Monotonic time.
         """
-        self._observed_at = position
-        self._previous_end = before
+        self._observed_position = position
+        self._previous_era_end = before
         self._confirmed_from = now + OPERATOR_REWRITE_SECONDS
         if position.era in self._announced_ahead:
             self._confirm(position.era, EraEvidence.ANNOUNCED)
@@ -69,9 +69,9 @@
 
     def on_peer_confirmed(self, era: int) -> None:
         """Another gateway announced an era as confirmed, maybe before it was observed here."""
-        if era == self._observed_at.era:
+        if era == self._observed_position.era:
             self._confirm(era, EraEvidence.ANNOUNCED)
-        elif era > self._observed_at.era and len(self._announced_ahead) < MAX_ERAS_AHEAD:
+        elif era > self._observed_position.era and len(self._announced_ahead) < MAX_ERAS_AHEAD:
             self._announced_ahead.add(era)
 
     def on_configuration(self, position: StorePlace, known: StorePlace | None) -> None:
@@ -81,20 +81,22 @@
             position: Position of that change.
             known: Position of the change known before, None before the first.
         """
-        is_later = position.era == self._observed_at.era and position > self._observed_at
+        is_later = (
+            position.era == self._observed_position.era and position > self._observed_position
+        )
         if is_later or self._is_rewritten(position, known):
             self._confirm(position.era, EraEvidence.WRITTEN)
 
     def _is_rewritten(self, position: StorePlace, known: StorePlace | None) -> bool:
         """Whether the previous era had no change of the configuration at this revision."""
-        ended_at = self._previous_end
-        if ended_at is None or known is None or known.era != ended_at.era:
+        previous_end = self._previous_era_end
+        if previous_end is None or known is None or known.era != previous_end.era:
             return False
-        return known < StorePlace(ended_at.era, position.revision) <= ended_at
+        return known < StorePlace(previous_end.era, position.revision) <= previous_end
 
     def confirms(self, now: float) -> bool:
         """Whether the store's current era is confirmed."""
-        era = self._observed_at.era
+        era = self._observed_position.era
         if era <= FIRST_ERA:
             return True
         if now >= self._confirmed_from:
