--- a/src/milletcourse/exchange/replication/confirmed_era.py
+++ b/src/milletcourse/exchange/replication/confirmed_era.py
@@ -18,8 +18,8 @@
 OPERATOR_REWRITE_SECONDS = 5.0
 """An operator whose change was lost writes it again within this time after the restore."""
 MAX_ERAS_AHEAD = 16
-"""Announced eras kept until they are observed here; bounded against malformed announcements, with
-room for the right one beside wrong ones."""
+"""Maximum number of announced eras that are kept until they are observed here. A wrong announcement
+doesn't displace the right one."""
 
 
 class EraEvidence(Enum):
--- a/src/milletcourse/routing/selector.py
+++ b/src/milletcourse/routing/selector.py
@@ -250,8 +250,8 @@
         return self.parameters.far_place_seconds
 
     def _cost(self, decision: Decision, sources: _Sources, rank: int, now: float) -> float:
-        reached = max(decision.held_blocks, decision.import_blocks)
-        wasted_blocks = max(sources.best_anywhere - reached, 0)
+        reused_blocks = max(decision.held_blocks, decision.import_blocks)
+        wasted_blocks = max(sources.best_anywhere - reused_blocks, 0)
         wasted_seconds = wasted_blocks * BLOCK_TOKENS / self.loads.state(decision.engine).rate
         rank_penalty = self.parameters.spill_seconds if rank else 0.0
         overtaken = max(self.loads.wait_seconds(decision.engine, now) - decision.wait_seconds, 0.0)
