--- a/tests/known_bad.py
+++ b/tests/known_bad.py
@@ -114,7 +114,7 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.selector._is_away = lambda engine: False
+        self.selector._is_unavailable = lambda engine: False
 
 
 class IgnoresPeersAtStart(RouterNode):
