--- a/src/milletcourse/exchange/replication/pending_contents.py
+++ b/src/milletcourse/exchange/replication/pending_contents.py
@@ -1,7 +1,7 @@
-"""What a reader has announced to a follower, and the follower doesn't have yet; no input/output.
+"""Updates that a reader announced and whose contents the follower still lacks; no input/output.
 
-Answers of a reader are taken one behind the other: one whose contents are still to come holds up
-those behind it, so that the follower's state is always one that the store went through.
+A follower applies a reader's answers in order: one whose contents are still missing blocks those
+behind it, so that the follower's state is always one that the store has passed through.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from milletcourse.exchange.messages.feed_messages import ContentRequest, FeedKind, FeedObject
 from milletcourse.exchange.messages.store_position import StorePosition
 
-MAX_WAITING = 8
-"""Answers of one kind; when more wait, the reader is asked again for all behind the first one, and
-leaves out what has been overtaken."""
+MAX_WAITING_ANSWERS = 8
+"""Queued answers of one kind. When more arrive, those behind the first are dropped and requested
+again, and the reader then omits superseded changes."""
 
 
 class FedUpdate(msgspec.Struct, frozen=True):
-    """What a reader told of a kind.
+    """An answer of a reader about one kind.
 
     Attributes:
-        since: State from which it goes on; it says nothing about any other one.
-        fed: What it told.
+        since: Position that the answer continues from; it is valid for no other one.
+        fed: The objects that changed.
     """
 
     since: StorePosition | None
@@ -32,44 +32,44 @@
 
 
 class PendingContents:
-    """Answers that wait for contents, kind by kind."""
+    """Queues of answers that wait for contents, by kind."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, deque[FedUpdate]] = {}
-        self._misfits: set[str] = set()
-        """Kinds whose patches didn't fit: all is asked for, once."""
+        self._mismatched: set[str] = set()
+        """Kinds with a patch that didn't match: a full answer is requested once."""
 
     def __contains__(self, kind: str) -> bool:
         return kind in self._waiting
 
     def position(self, kind: str, known: StorePosition | None) -> StorePosition | None:
-        """State of a kind from which a reader is to go on; None to be told all.
+        """Position of a kind from which the reader should continue; None for a full answer.
 
         Args:
             kind: Kind of the objects.
-            known: State up to which its contents are known.
+            known: Position up to which the contents are known.
         """
-        if kind in self._misfits:
+        if kind in self._mismatched:
             return None
         waiting = self._waiting.get(kind)
         return waiting[-1].fed.position if waiting else known
 
     def take(self, fed: FeedKind, since: StorePosition | None) -> list[FedUpdate]:
-        """What a reader told of a kind from a state on; returns what can be taken at once."""
+        """Queue an answer that continues from `since`; returns the updates that can be applied."""
         waiting = self._waiting.setdefault(fed.kind, deque())
         if fed.is_snapshot:
-            self._misfits.discard(fed.kind)
+            self._mismatched.discard(fed.kind)
             waiting.clear()
-        if len(waiting) >= MAX_WAITING:
+        if len(waiting) >= MAX_WAITING_ANSWERS:
             first = waiting.popleft()
             waiting.clear()
             waiting.append(first)
         else:
             waiting.append(FedUpdate(since, fed))
-        return self._settle(fed.kind)
+        return self._take_ready(fed.kind)
 
     def missing(self, kind: str) -> ContentRequest | None:
-        """The first content that a kind waits for, None when it waits for none."""
+        """Request for the first missing content of a kind; None when no content is missing."""
         waiting = self._waiting.get(kind)
         for item in waiting[0].fed.objects if waiting else ():
             if item.is_announced and item.patch is not None:
@@ -77,34 +77,36 @@
         return None
 
     def on_patch(self, question: ContentRequest, patch: ContentPatch) -> list[FedUpdate]:
-        """A content that was asked for has come; returns what can be taken now."""
+        """Add a requested content; returns the updates that can be applied now."""
         waiting = self._waiting.get(question.kind)
         if not waiting or patch.result != question.result:
             return []
         first = waiting[0].fed
         objects = [
-            msgspec.structs.replace(item, patch=patch) if _is_meant(item, question) else item
+            msgspec.structs.replace(item, patch=patch)
+            if _matches_question(item, question)
+            else item
             for item in first.objects
         ]
         fed = FeedKind(first.kind, first.position, first.is_snapshot, objects)
         waiting[0] = FedUpdate(waiting[0].since, fed)
-        return self._settle(question.kind)
+        return self._take_ready(question.kind)
 
     def drop(self, kind: str) -> None:
-        """What a kind waits for doesn't come."""
+        """Discard the queue of a kind, since its missing content can't be fetched."""
         self._waiting.pop(kind, None)
 
-    def on_misfit(self, kind: str) -> None:
-        """A patch gave another content than was announced."""
+    def on_patch_mismatch(self, kind: str) -> None:
+        """A patch produced another content than was announced."""
         self.drop(kind)
-        self._misfits.add(kind)
+        self._mismatched.add(kind)
 
     def clear(self) -> None:
-        """The reader that announced is left."""
+        """Discard all state, since the gateway stops following this reader."""
         self._waiting.clear()
-        self._misfits.clear()
+        self._mismatched.clear()
 
-    def _settle(self, kind: str) -> list[FedUpdate]:
+    def _take_ready(self, kind: str) -> list[FedUpdate]:
         waiting = self._waiting[kind]
         ready = []
         while waiting and not waiting[0].fed.is_announced:
@@ -114,7 +116,7 @@
         return ready
 
 
-def _is_meant(item: FeedObject, question: ContentRequest) -> bool:
+def _matches_question(item: FeedObject, question: ContentRequest) -> bool:
     if not item.is_announced or item.patch is None or item.name != question.name:
         return False
     return item.patch.result == question.result and item.patch.base == question.base
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -19,7 +19,7 @@
     encode_permit_message,
     is_permit_message,
 )
-from milletcourse.exchange.replication.store_reading import GatewayRecord
+from milletcourse.exchange.replication.reader_selection import GatewayRecord
 from milletcourse.exchange.rollout.weight_rollout import INITIAL_LOAD_SECONDS
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.state.context import GatewayContext
--- a/src/milletcourse/routing/engine_follower.py
+++ b/src/milletcourse/routing/engine_follower.py
@@ -13,14 +13,14 @@
 from milletcourse.runtime.tasks import TaskSet
 
 FEED_INTERVAL_SECONDS = 0.5
-"""Load reports lag by a fraction of a second anyway."""
+"""Load reports lag by a fraction of a second, so shorter intervals gain nothing."""
 
 
 class EngineFollower:
-    """Keeps beliefs and loads of the followed engines current.
+    """Keeps cache estimates and loads of the followed engines current.
 
     Args:
-        followed: Names of the engines that this router follows itself.
+        followed: Returns the names of the engines that this router polls itself.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._busy: set[str] = set()
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         self._tasks.spawn(self._run(), "follow-engines")
 
     async def _run(self) -> None:
@@ -61,7 +61,7 @@
             after = self._next_sequence.get(engine, 1)
             feed = await self._engines.feed(spec.address, after)
             incarnation = feed.load.incarnation
-            if self._selector.beliefs.observe_incarnation(engine, incarnation):
+            if self._selector.cache_estimates.observe_incarnation(engine, incarnation):
                 self._next_sequence[engine] = 1
                 await self._resynchronise(engine, spec.address, incarnation)
             elif feed.events.incarnation == incarnation:
@@ -75,8 +75,8 @@
             self._busy.discard(engine)
 
     async def _apply(self, engine: str, address: str, after: int, events: CacheEvents) -> None:
-        """Apply events; a jump in the sequence makes the belief doubtful and asks for the truth."""
-        beliefs = self._selector.beliefs
+        """Apply events; after a sequence gap, rebuild the estimate from the engine's block list."""
+        cache_estimates = self._selector.cache_estimates
         expected = after
         gap = False
         for event in events.events:
@@ -84,21 +84,21 @@
             expected = event.sequence + 1
             stored = tuple(bytes.fromhex(block) for block in event.stored)
             evicted = tuple(bytes.fromhex(block) for block in event.evicted)
-            beliefs.note_held(engine, events.incarnation, stored)
-            beliefs.note_evicted(engine, events.incarnation, evicted)
+            cache_estimates.note_held(engine, events.incarnation, stored)
+            cache_estimates.note_evicted(engine, events.incarnation, evicted)
         self._next_sequence[engine] = expected
         if gap:
-            beliefs.note_event_gap(engine, events.incarnation)
-        if beliefs.is_doubtful(engine):
+            cache_estimates.note_event_gap(engine, events.incarnation)
+        if cache_estimates.is_unverified(engine):
             await self._resynchronise(engine, address, events.incarnation)
 
     async def _resynchronise(self, engine: str, address: str, incarnation: str) -> None:
-        """Rebuild the belief from the engine's own list."""
+        """Rebuild the cache estimate from the engine's block list."""
         held = await self._engines.cached_blocks(address)
-        beliefs = self._selector.beliefs
-        if beliefs.incarnation(engine) != incarnation:
+        cache_estimates = self._selector.cache_estimates
+        if cache_estimates.incarnation(engine) != incarnation:
             return
-        beliefs.forget(engine)
-        beliefs.observe_incarnation(engine, incarnation)
-        beliefs.note_held(engine, incarnation, held)
-        beliefs.note_resynchronised(engine, incarnation)
+        cache_estimates.forget(engine)
+        cache_estimates.observe_incarnation(engine, incarnation)
+        cache_estimates.note_held(engine, incarnation, held)
+        cache_estimates.note_resynchronised(engine, incarnation)
--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -41,7 +41,7 @@
 )
 from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.placement.route_table import RouteTable
-from milletcourse.exchange.replication.freshness import ProofOfFreshness, reading_times
+from milletcourse.exchange.replication.freshness import ProofOfFreshness, replication_times
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.rollout.weight_rollout import (
     OrderReply,
@@ -183,12 +183,12 @@
     key_bound: float, config_apply: float
 ) -> None:
     """Twice the wait of a watch fits into the bounds of any deployment."""
-    times = reading_times(key_bound, config_apply)
-    proof = ProofOfFreshness(key_bound, True, times.calm_age)
+    times = replication_times(key_bound, config_apply)
+    proof = ProofOfFreshness(key_bound, True, times.steady_state_age)
     proof.on_proof(0.0)
-    assert times.calm_age >= 2 * times.watch_wait + times.feed_hold
-    assert proof.allows_keys(times.calm_age)
-    assert proof.allows_not_found(times.calm_age)
+    assert times.steady_state_age >= 2 * times.watch_wait + times.feed_hold
+    assert proof.allows_keys(times.steady_state_age)
+    assert proof.allows_not_found(times.steady_state_age)
     assert times.watch_wait <= config_apply / 4
     # A follower detects a silent reader, or one without the store, before a change is due.
     assert times.max_proof_age < config_apply
