--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -13,7 +13,7 @@
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS, Mechanism
 from milletcourse.gateway.adapter import PlatformAdapter
 from milletcourse.gateway.clients.client_connection import ClientConnection, Handler
-from milletcourse.gateway.clients.client_gate import ClientGate
+from milletcourse.gateway.clients.connection_limiter import ClientGate
 from milletcourse.gateway.clients.refusals import refuse
 from milletcourse.gateway.clients.request_reader import ClientRequest
 from milletcourse.gateway.fleet.cache_store_probe import CacheStoreProbe
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -32,9 +32,9 @@
 from milletcourse.gateway.requests.answer_relay import AnswerRelay
 from milletcourse.gateway.requests.attempt import Attempt
 from milletcourse.gateway.requests.exchange_job import ExchangeJob
+from milletcourse.gateway.requests.server_attempt import Visit
 from milletcourse.gateway.requests.server_search import Destination, ServerSearch
 from milletcourse.gateway.requests.stream_handover import StreamHandover
-from milletcourse.gateway.requests.visit import Visit
 from milletcourse.gateway.servers.server_connection import LossCause
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.telling.recorder import StreamCut, VisitedServer
--- a/src/milletcourse/gateway/requests/stream_handover.py
+++ b/src/milletcourse/gateway/requests/stream_handover.py
@@ -15,7 +15,7 @@
 from milletcourse.exchange.messages.messages import AttemptResult, LeaveCause
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.requests.attempt import Attempt
-from milletcourse.gateway.requests.visit import Visit
+from milletcourse.gateway.requests.server_attempt import Visit
 from milletcourse.gateway.state.context import GatewayContext
 
 
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -33,10 +33,10 @@
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
 from milletcourse.gateway.servers.connection_pool import ConnectionPool
-from milletcourse.gateway.servers.crash_watch import CrashWatch
+from milletcourse.gateway.servers.crash_detector import CrashWatch
 from milletcourse.gateway.servers.descriptors import descriptor_plan
 from milletcourse.gateway.servers.server_permits import ServerPermits
-from milletcourse.gateway.servers.signal_watch import SignalWatch
+from milletcourse.gateway.servers.signal_monitor import SignalWatch
 from milletcourse.gateway.state.cache_store_reach import CacheStoreReach
 from milletcourse.gateway.state.server_answers import ServerAnswers
 from milletcourse.gateway.state.settings import GatewaySettings
--- a/tests/gateway/requests/test_stream_handover_machine.py
+++ b/tests/gateway/requests/test_stream_handover_machine.py
@@ -11,8 +11,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from milletcourse.exchange.messages.messages import AttemptResult, LeaveCause
+from milletcourse.gateway.requests.server_attempt import Visit
 from milletcourse.gateway.requests.stream_handover import StreamHandover
-from milletcourse.gateway.requests.visit import Visit
 
 
 class FakeAttempt:
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -36,7 +36,7 @@
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
 from milletcourse.gateway.servers.server_permits import ServerPermits
-from milletcourse.gateway.servers.signal_watch import SignalWatch
+from milletcourse.gateway.servers.signal_monitor import SignalWatch
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
 from milletcourse.gateway.telling.recorder import Recorder
