--- a/src/milletcourse/gateway/servers/call_client.py
+++ b/src/milletcourse/gateway/servers/call_client.py
@@ -1,4 +1,4 @@
-"""Short calls to the object store and to servers, outside of clients' requests."""
+"""Calls to the object store and to servers that do not belong to a client's request."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         method: HTTP method.
         target: Path and query.
         body: JSON body; empty for none.
-        fields: Further header fields.
+        fields: Additional header fields.
     """
 
     method: str
@@ -45,7 +45,7 @@
         status: HTTP status.
         body: Whole body.
         sent_at: Monotonic time at which the call was sent.
-        head: Head of the answer, None when it isn't known.
+        head: Head of the answer, None when it is unknown.
     """
 
     status: int
@@ -55,12 +55,12 @@
 
     @property
     def instance(self) -> str:
-        """Incarnation that answers; empty when it isn't told."""
+        """The incarnation that answered; empty when the answer does not name it."""
         return self.head.instance if self.head is not None else ""
 
 
 class CallClient:
-    """Sends calls over pooled connections; a silent callee is noticed by the time-out."""
+    """Sends calls over pooled connections; a timeout detects a silent callee."""
 
     def __init__(self, pool: ConnectionPool, on_given_up: OnGivenUp | None = None) -> None:
         self._pool = pool
@@ -74,20 +74,24 @@
         may_send: Callable[[], bool] | None = None,
         on_content: Callable[[], None] | None = None,
     ) -> Reply | None:
-        """Send a call; None when no whole answer came.
+        """Send a call and read the answer.
 
         Args:
             address: `host:port` of the callee.
             call: The call.
-            first_byte_seconds: Longest time until the connection is up, and then until the answer
-                begins; after that it is waited for while it comes (`AnswerProgress`).
-            may_send: Asked once the connection is up: a permission may have ended meanwhile.
-            on_content: Told when the answer shows that it carries content.
+            first_byte_seconds: Timeout for the connection to be established, and again for the
+                first byte of the answer. After that `AnswerProgress` sets the timeouts.
+            may_send: Checked once the connection is established, since a permission may have
+                expired while connecting.
+            on_content: Called when the answer is known to carry content.
+
+        Returns:
+            The reply, None when no complete answer arrived.
         """
         try:
             connection = await self._pool.acquire(address, first_byte_seconds)
         except LocalResourceError:
-            # Told by the gateway's own line; the callee can't be heard for now.
+            # The gateway logs this lack itself. The callee is unreachable for now.
             return None
         if connection is None:
             return None
--- a/src/milletcourse/gateway/servers/connection_pool.py
+++ b/src/milletcourse/gateway/servers/connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to servers, most recently used first."""
+"""Pool of idle connections to servers; the most recently used one is reused first."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from milletcourse.runtime.clock import elapsed_seconds
 
 MAX_IDLE_PER_SERVER = 24
-"""Bounds descriptors; bursts beyond it open new connections."""
+"""Bounds the descriptors of idle connections; larger bursts open new connections."""
 
 
 class ConnectionPool:
     """Keeps connections that may carry another request.
 
     Attributes:
-        clock: Time by which the silence of callees is judged.
+        clock: Responsive time of the event loop, used for timeouts of callees.
     """
 
     def __init__(
@@ -36,14 +36,15 @@
         max_idle: int,
         max_open_to: Callable[[str], int],
     ) -> None:
-        """No connection yet.
+        """Start without any connection.
 
         Args:
-            dialect: Reads the answers' heads.
-            on_opened: Called with the address of each connection that comes up.
-            clock: Time by which the silence of callees is judged.
-            max_idle: Most connections that are kept open while they carry nothing.
-            most_to: Connections to an address beyond which none is kept after its answer.
+            dialect: Parses the heads of answers.
+            on_opened: Called with the address of each new connection.
+            clock: Responsive time of the event loop, used for timeouts of callees.
+            max_idle: Maximum number of idle connections.
+            max_open_to: Number of open connections to an address above which a connection is
+                closed after its answer.
         """
         self.clock = clock
         self._max_idle = max_idle
@@ -54,10 +55,10 @@
         self._idle: dict[str, deque[ServerConnection]] = {}
 
     async def acquire(self, address: str, timeout_seconds: float) -> ServerConnection | None:
-        """A connection to the address, None when none came up in time.
+        """A connection to the address, None when none was established in time.
 
         Raises:
-            OwnMeansError: This process has no descriptor for it.
+            LocalResourceError: This process lacks a descriptor or another local resource for it.
         """
         now = elapsed_seconds()
         idle = self._idle.get(address)
@@ -86,14 +87,14 @@
         try:
             return await open_connection(address, self._dialect, timeout_seconds, self.clock)
         except LocalResourceError:
-            # Kept ones are worth less than the request at hand; their descriptors are free when
-            # the loop has come round.
+            # The pending request matters more than idle connections. Their descriptors are free
+            # after the next iteration of the event loop.
             self.close()
             await asyncio.sleep(0)
             return await open_connection(address, self._dialect, timeout_seconds, self.clock)
 
     async def is_refused(self, address: str) -> bool:
-        """Whether nothing listens at an address; a connection that comes up is kept for use."""
+        """Whether nothing listens at an address; a connection that is established is pooled."""
         try:
             connection = await connect(address, self._dialect, CONNECT_TIMEOUT_SECONDS, self.clock)
         except ConnectionRefusedError:
@@ -105,7 +106,7 @@
         return False
 
     def release(self, connection: ServerConnection) -> None:
-        """Give back a connection after a whole answer; closes it when it can't be reused."""
+        """Return a connection after a complete answer; close it when it cannot be reused."""
         now = elapsed_seconds()
         address = connection.address
         idle = self._idle.setdefault(address, deque())
@@ -120,7 +121,7 @@
         return sum(map(len, self._idle.values()))
 
     def sweep(self) -> None:
-        """Close connections that the server is about to close."""
+        """Close idle connections that the server is about to close."""
         now = elapsed_seconds()
         for address in list(self._idle):
             kept: deque[ServerConnection] = deque()
--- a/src/milletcourse/gateway/servers/crash_detector.py
+++ b/src/milletcourse/gateway/servers/crash_detector.py
@@ -1,8 +1,9 @@
-"""Finds out whether a server ended while it had requests, and under which requests it did.
+"""Detects servers that crashed, and the requests that were running there.
 
-A connection that closes in the middle of a request may be a defect of one connection only. So the
-server is asked for another one: where a process has ended, nothing listens. Where something does,
-the loss stays in doubt for a while: it may be another incarnation, and the entry may still go.
+A connection that closes during a request may be a failure of that connection only. The gateway
+therefore opens another one: after a process has terminated, nothing listens at its address. If
+something does, the loss stays unverified for some seconds, since the listener may be a new
+incarnation, and the server's entry may still be removed.
 """
 
 from __future__ import annotations
@@ -18,10 +19,11 @@
 from milletcourse.gateway.telling.recorder import Recorder
 
 UNVERIFIED_SECONDS = 5.0
-"""A loss counts if its server turns out to have ended within this time: entries of servers that
-ended go after three heartbeats of 1.2 s, and the watch tells of it soon after."""
+"""A loss counts as a crash if the server is found to have terminated within this time. Entries of
+terminated servers are removed after three missed heartbeats of 1.2 s, and the watch reports it soon
+after."""
 MAX_UNVERIFIED_LOSSES = 512
-"""Losses in doubt; beyond them the oldest are dropped."""
+"""Maximum number of unverified losses; beyond it the oldest are dropped."""
 
 
 class _Loss(msgspec.Struct, frozen=True):
@@ -35,10 +37,10 @@
 
 
 class CrashDetector:
-    """Turns lost connections into evidence against requests, and says what is contained.
+    """Turns lost connections into evidence against requests, and tells which are contained.
 
     Attributes:
-        listeners: Called when there is evidence that may have to be kept.
+        listeners: Called when there is new evidence that may have to be stored.
     """
 
     def __init__(
@@ -48,13 +50,13 @@
         record: Recorder,
         on_update: Callable[[], None],
     ) -> None:
-        """No loss yet.
+        """Start without any loss.
 
         Args:
-            evidence: Where ends of servers are noted.
+            evidence: Where crashes of servers are recorded.
             pool: Connections to servers.
-            record: Where containments are told to operators; its clock counts.
-            on_news: Called when there is evidence that the other gateways should hear of.
+            record: Reports containments to operators; its clock is used.
+            on_update: Called when there is evidence that must be sent to the other gateways.
         """
         self.listeners: list[Callable[[], None]] = []
         self._evidence = evidence
@@ -66,17 +68,17 @@
         self._checks: dict[str, asyncio.Task[None]] = {}
 
     def containment(self, identity: Callable[[], int]) -> Containment | None:
-        """Why a request may not be sent to servers, None when it may.
+        """The containment that keeps a request from servers, None when it may be sent.
 
         Args:
-            identity: Works the identity of the request out; only done while there is evidence.
+            identity: Computes the identity of the request; called only while there is evidence.
         """
         if not self._evidence:
             return None
         return self._evidence.containment(identity(), self._now())
 
     def on_answer(self, identity: int) -> None:
-        """A server answered a request in whole, so the request doesn't end servers."""
+        """A server answered the request completely, so the request does not crash servers."""
         if self._evidence.on_answer(identity, self._now()):
             self._on_update()
 
@@ -84,7 +86,7 @@
         """A server closed the connection of a request that was sent to it.
 
         Returns:
-            The check of whether the server has ended.
+            The check of whether the server has terminated.
         """
         loss = _Loss(identity, instance.name, instance.key, sent_at, self._now())
         self._unverified_losses = [*self._unverified_losses[-MAX_UNVERIFIED_LOSSES + 1 :], loss]
@@ -102,7 +104,7 @@
             del self._checks[instance.name]
 
     def on_instance_terminated(self, name: str) -> None:
-        """An incarnation has ended: what was lost there lately counts against its requests."""
+        """An incarnation has terminated: recent losses there count against their requests."""
         ended = [loss for loss in self._unverified_losses if loss.instance == name]
         if not ended:
             return
@@ -114,13 +116,13 @@
         self._on_update()
 
     def release(self, identity: int) -> None:
-        """An operator wants a contained request sent again."""
+        """Release a contained request on behalf of an operator."""
         self._evidence.release(identity, self._now())
         self._record.released(identity)
         self._on_update()
 
     def report_contained(self) -> None:
-        """Say which requests aren't sent to servers any more, since the last call."""
+        """Report the requests that were newly contained since the last call."""
         for containment in self._evidence.take_newly_contained(self._now()):
             self._record.contained(containment)
 
@@ -131,7 +133,7 @@
         self._notify_gateways()
 
     def sweep(self) -> None:
-        """Forget what is too old."""
+        """Drop losses and evidence that have expired."""
         now = self._now()
         self._unverified_losses = [
             loss for loss in self._unverified_losses if now - loss.lost_at < UNVERIFIED_SECONDS
@@ -139,6 +141,6 @@
         self._evidence.expire(now)
 
     def close(self) -> None:
-        """End all checks."""
+        """Cancel all running checks."""
         for check in list(self._checks.values()):
             check.cancel()
--- a/src/milletcourse/gateway/servers/descriptors.py
+++ b/src/milletcourse/gateway/servers/descriptors.py
@@ -1,4 +1,4 @@
-"""How a gateway divides the descriptors that its process may have open."""
+"""Divides the file descriptors of a gateway's process among their uses."""
 
 from __future__ import annotations
 
@@ -8,30 +8,31 @@
 import msgspec
 
 RESERVED_DESCRIPTORS = 24
-"""For the object store, the other gateways, operators, listeners and the log: without them a
-gateway is blind, and can serve nobody."""
+"""Descriptors for the object store, the other gateways, operators, listeners and the log. Without
+them a gateway gets no configuration and no load reports, and cannot serve requests."""
 CLIENT_SHARE = 0.4
-"""Of the rest: each client may need a connection to a server beside its own."""
+"""Share of the remaining descriptors for clients, below one half because each client may need a
+connection to a server in addition to its own."""
 IDLE_SHARE = 0.2
 MIN_CLIENTS = 4
 UNBOUNDED_DESCRIPTORS = 1 << 20
 LOCAL_RESOURCE_ERRNOS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
-"""Errors of a connection that say nothing of the callee: this process has no means for it."""
+"""Connection errors that are caused by a lack of resources of this process, not by the callee."""
 
 
 class LocalResourceError(OSError):
-    """This process can open no connection; nothing is wrong with the callee."""
+    """This process cannot open a connection for lack of local resources; the callee may be fine."""
 
 
 class DescriptorPlan(msgspec.Struct, frozen=True):
-    """Who may have how many descriptors.
+    """Maximum number of descriptors for each use.
 
     Attributes:
-        total: Most that the process may have open.
+        total: All descriptors that the process may have open.
         clients: Connections of clients.
-        idle_servers: Connections to servers that are kept open while they carry nothing.
+        idle_servers: Idle connections to servers.
     """
 
     total: int
@@ -40,10 +41,10 @@
 
 
 def descriptor_plan(settings_bound: int) -> DescriptorPlan:
-    """The plan for this process.
+    """Compute the plan for this process.
 
     Args:
-        settings_bound: Most descriptors by the settings; 0 when they don't say.
+        settings_bound: Maximum number of descriptors from the settings; 0 when they set none.
     """
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     bounds = [
--- a/src/milletcourse/gateway/servers/server_connection.py
+++ b/src/milletcourse/gateway/servers/server_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection to a server; carries one exchange at a time.
+"""One HTTP/1.1 connection to a server, which carries one exchange at a time.
 
-Answers are told apart by the request's identity, since a server may send a surplus answer in the
-place where the next one is due. A connection that showed anything surplus or foreign isn't reused.
+Answers are matched by request id, since a server may send a surplus answer where the next one is
+expected. A connection that delivered surplus or unexpected data is not reused.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 CONNECT_TIMEOUT_SECONDS = 0.5
 """A live server in the same region accepts within milliseconds."""
 KEEP_ALIVE_MARGIN_SECONDS = 0.6
-"""A pooled connection is not used this long before the server closes it."""
+"""A pooled connection is not reused during this time before the server closes it."""
 DEFAULT_KEEP_ALIVE_SECONDS = 2.0
-"""Assumed when a server doesn't tell its idle time."""
+"""Keep-alive time assumed when a server does not send one."""
 
 
 class LossCause(Enum):
-    """Why a connection gave no whole answer."""
+    """Why a connection did not deliver a complete answer."""
 
     RESET = "reset"
     CLOSED = "closed"
@@ -42,7 +42,7 @@
 
 
 class AnswerEvent(msgspec.Struct):
-    """One step of an answer: its head, a piece of its body, its end, or its loss."""
+    """One step of an answer: its head, a part of its body, its end, or its loss."""
 
     head: AnswerHead | None = None
     body: bytes = b""
@@ -51,13 +51,13 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Sends one request at a time and hands out the answer as events."""
+    """Sends one request at a time and delivers the answer as events."""
 
     def __init__(self, address: str, dialect: HeaderDialect) -> None:
         self.address = address
         self.usable_until = 0.0
         self.on_closed: Callable[[str], None] | None = None
-        """Told of the address when the connection has ended."""
+        """Called with the address when the connection is closed."""
         self._loop = asyncio.get_running_loop()
         self._dialect = dialect
         self._transport: asyncio.Transport | None = None
@@ -78,12 +78,12 @@
     # -- use ------------------------------------------------------------------------------------
 
     def send(self, data: bytes, request_id: str = "", bodyless: bool = False) -> None:
-        """Write a whole request and expect its answer next.
+        """Write a complete request and expect its answer next.
 
         Args:
             data: Head and body.
-            request_id: Identity that the answer must carry; empty when answers carry none.
-            bodyless: The answer has no body whatever its head says (HEAD).
+            request_id: Request id that the answer must carry; empty when answers carry none.
+            bodyless: The answer has no body, whatever its head says (HEAD requests).
         """
         assert self._transport is not None
         self._events.clear()
@@ -96,7 +96,7 @@
         self._transport.write(data)
 
     async def next_event(self) -> AnswerEvent:
-        """The next step of the answer."""
+        """Wait for the next step of the answer."""
         while not self._events:
             self._waiter = self._loop.create_future()
             try:
@@ -106,7 +106,7 @@
         return self._events.popleft()
 
     def abort(self) -> None:
-        """End the connection at once; the server sees it and drops the work."""
+        """Close the connection at once, so that the server notices and drops the request."""
         self._aborted = True
         if self._transport is not None:
             self._transport.abort()
@@ -114,7 +114,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection still stands."""
+        """Whether the connection is open."""
         if self._lost or self._aborted or self._transport is None:
             return False
         return not self._transport.is_closing()
@@ -160,13 +160,13 @@
     # -- httptools callbacks --------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
+        """Start of an answer."""
         if not self._busy:
             self._tainted = True
         self._reset_answer()
 
     def on_status(self, reason: bytes) -> None:
-        """Reason phrase."""
+        """Reason phrase, possibly in several parts."""
         self._reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -174,7 +174,7 @@
         self._fields.append(HeaderField(name, value or b""))
 
     def on_headers_complete(self) -> None:
-        """The head is whole: find out whether it is the expected answer."""
+        """End of the head: check whether this is the expected answer."""
         status = self._parser.get_status_code()
         if not self._busy or status < 200:
             self._skipping = True
@@ -193,22 +193,22 @@
             self._finish_answer()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Part of the body."""
         if not self._skipping and self._busy:
             self._emit(AnswerEvent(body=body))
 
     def on_message_complete(self) -> None:
-        """The answer's framing says that it is whole."""
+        """End of the answer by its framing."""
         if self._skipping or self._head is None or not self._busy:
             return
         self._finish_answer()
 
-    # -- inside ---------------------------------------------------------------------------------
+    # -- internals ------------------------------------------------------------------------------
 
     def _is_expected(self, head: AnswerHead) -> bool:
         if not self._expected_id or head.request_id == self._expected_id:
             return True
-        # A refusal without an identity can only be about the request at hand.
+        # A refusal without a request id can only belong to the pending request.
         return not head.request_id and (head.not_executed or head.status == 421)
 
     def _reset_answer(self) -> None:
@@ -247,10 +247,10 @@
 async def open_connection(
     address: str, dialect: HeaderDialect, timeout_seconds: float, clock: AttendedClock
 ) -> ServerConnection | None:
-    """Connect to a server; None when no connection came up in time.
+    """Connect to a server; None when no connection was established in time.
 
     Raises:
-        OwnMeansError: This process has no descriptor for it.
+        LocalResourceError: This process lacks a descriptor or another local resource for it.
     """
     try:
         return await connect(address, dialect, timeout_seconds, clock)
@@ -267,20 +267,21 @@
 
     Args:
         address: `host:port`.
-        dialect: Reads the answers' heads.
-        timeout_seconds: Longest time until the connection is up.
-        clock: By which that time is counted: a connection that came up while this process was held
-            is not too late.
+        dialect: Parses the heads of answers.
+        timeout_seconds: Timeout for the connection to be established.
+        clock: Measures the timeout, so that a connection that was established during an event-loop
+            stall is not counted as late.
 
     Raises:
-        OSError: No connection came up, or the address is none; `ConnectionRefusedError` when
-            nothing listens there, `LocalResourceError` when this process has no descriptor for it.
-        TimeoutError: It took too long.
+        OSError: No connection was established, or the address is malformed;
+            `ConnectionRefusedError` when nothing listens there, `LocalResourceError` when this
+            process lacks a descriptor or another local resource for it.
+        TimeoutError: The timeout expired.
     """
     try:
         host, port = split_address(address)
     except ValueError as error:
-        # Whoever wrote it, a request that meets it goes on to another server.
+        # A malformed address counts as unreachable, so that the request goes to another server.
         raise OSError(str(error)) from error
     loop = asyncio.get_running_loop()
     try:
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -1,6 +1,7 @@
-"""Permits to send to servers: the one place that each send passes, asked last before it goes out.
+"""Permits to send to servers, checked for every request immediately before it is sent.
 
-What a server says of itself is asked there: that it leaves, that it rests, how much it takes.
+The check covers all signals of a server: that it is shutting down, that it requested back-off, and
+its request limit.
 """
 
 from __future__ import annotations
@@ -30,9 +31,10 @@
 from milletcourse.runtime.attended_timer import attended_timeout
 
 PERMIT_REQUEST_TIMEOUT_SECONDS = 0.15
-"""A lender in another region replies within this time; a request waits no longer for one."""
+"""How long a request waits for a quota owner's reply; one in another region replies in less."""
 PERMIT_VALIDITY_SECONDS = 1.0
-"""A request that was held up for longer must not be sent: its unit would add to later ones."""
+"""A request that is delayed for longer must not be sent, since its permit would add to those of
+later requests and exceed the server's limit."""
 
 
 _SIGNAL_CAUSES = {
@@ -47,7 +49,7 @@
 
     Attributes:
         key: Identity of the server's incarnation.
-        valid_until: Monotonic time.
+        valid_until: Monotonic time at which the permit expires.
     """
 
     key: int
@@ -57,16 +59,18 @@
 SendMessage = Callable[[str, UnitMessage], None]
 """Sends a message to a gateway by name."""
 ReportHandler = Callable[[Iterable[SignalReport], bool], None]
-"""Takes what another gateway knows, and whether others have to hear of it from here."""
+"""Handles reports of another gateway; the flag says whether this gateway must forward them."""
 
 
 class ServerPermits:
-    """Asks the lender of a server's limit for each send to it, and lends to the other gateways.
+    """Requests a permit from the quota owner of a server for each send, and grants permits.
+
+    For the servers whose quota it owns, this gateway grants permits to all gateways.
 
     Attributes:
-        homes: Which gateway lends which limit.
-        pauses: Servers whose lender had no unit lately.
-        send: Sends messages; what is sent before it is set is lost.
+        homes: Which gateway owns the quota of which server.
+        pauses: Servers whose quota owner recently had no permit left.
+        send: Sends messages; messages sent before it is set are lost.
     """
 
     def __init__(
@@ -81,18 +85,18 @@
         members: Callable[[], int],
         figures: Figures,
     ) -> None:
-        """Nothing asked or lent yet.
+        """Start without any permit requested or granted.
 
         Args:
             own_name: Name of this gateway.
-            signals: What servers say of themselves.
-            pauses: Servers that aren't asked for room now.
-            on_reports: Takes what an asker knows of a server's limit.
-            random_source: Spreads asks.
-            clock: Time by which the silence of lenders is judged.
+            signals: Signals of servers: limits, shutdowns and requested back-off.
+            pauses: Servers for which no permits are requested at present.
+            on_reports: Handles what a requester knows of a server's limit.
+            random_source: Spreads requests for permits in time.
+            clock: Responsive time of the event loop, used for timeouts of quota owners.
             now: Monotonic time.
-            members: How many gateways there are, as far as is known.
-            figures: Counts what is asked.
+            members: Number of known gateways.
+            figures: Counts permit requests.
         """
         self.homes = AllowanceHomes(own_name)
         self.pauses = pauses
@@ -107,12 +111,12 @@
         self._figures = figures
         self._request_numbers = count(1)
         self._pending_replies: dict[tuple[str, int], asyncio.Future[UnitMessage]] = {}
-        """Replies that requests wait for, by lender and number."""
+        """Awaited replies by quota owner and request number."""
 
     # -- sends ----------------------------------------------------------------------------------
 
     async def take(self, instance: Instance, rank: int) -> Permit | None:
-        """A permit to send a request to a server; None when it has what it takes.
+        """A permit to send a request to a server; None when its quota is used up.
 
         Args:
             instance: The server.
@@ -130,14 +134,14 @@
         return None
 
     def without_limit(self, instance: Instance) -> Permit:
-        """A permit that is good until the server names a limit."""
+        """A permit that is valid as long as the server has no limit."""
         return Permit(instance.key, float("-inf"))
 
     def blocking_cause(self, permit: Permit, instance: Instance) -> LeaveCause | None:
-        """Why a request may not go out now, None when it may: asked last before it does.
+        """Why a request may not be sent now, None when it may; checked immediately before the send.
 
-        The server may have said something of itself while the connection to it came up, or its
-        permit may have become old.
+        While the connection was being established, a signal of the server may have arrived, or the
+        permit may have expired.
         """
         signal = self._signals.signal(instance.key, self._now())
         if signal is not None:
@@ -148,11 +152,11 @@
         return None if is_valid else LeaveCause.SERVER_LIMIT
 
     def is_limited(self, instance: Instance) -> bool:
-        """Whether a server names a limit."""
+        """Whether a server has a request limit in force."""
         return self._signals.per_second(instance.key) is not None
 
     def state(self, instance: Instance) -> ServerLimitState | None:
-        """What is known of a server's limit, None when it names none."""
+        """The known state of a server's limit, None when it has none."""
         per_second = self._signals.per_second(instance.key)
         if per_second is None:
             return None
@@ -164,11 +168,11 @@
     def retry_seconds(self, instances: Iterable[Instance], now: float) -> float | None:
         """Seconds after which a refused caller may be served by one of these servers.
 
-        None when none of them was passed over for its limit.
+        None when none of them was left out for its limit.
 
         Args:
             instances: The servers.
-            now: Monotonic time at which they were passed over.
+            now: Monotonic time at which they were left out.
         """
         return self.pauses.promise([instance.key for instance in instances], now)
 
@@ -182,7 +186,7 @@
             return reply
         self.homes.on_silent(chosen.name, self._now())
         self._figures.on_lender_silent()
-        # What another lender has is for the next request: this one has waited long enough.
+        # Another quota owner is asked by the next request only: this one has waited long enough.
         return UnitReply(False)
 
     async def _request_from_owner(
@@ -217,7 +221,7 @@
     # -- messages -------------------------------------------------------------------------------
 
     def on_message(self, message: UnitMessage) -> None:
-        """Another gateway asks for a unit, or replies."""
+        """Handle another gateway's request for a permit, or its reply to one."""
         if message.step is UnitStep.ASK:
             self._on_request(message)
             return
@@ -256,10 +260,10 @@
         )
 
     def sweep(self, servers: Callable[[], Collection[int]]) -> None:
-        """Forget what is over.
+        """Drop expired state.
 
         Args:
-            servers: Tells the identities of the servers' incarnations that there are.
+            servers: Returns the identities of the existing server incarnations.
         """
         now = self._now()
         self._quota_owner.drop_idle(now)
--- a/src/milletcourse/gateway/servers/signal_monitor.py
+++ b/src/milletcourse/gateway/servers/signal_monitor.py
@@ -1,4 +1,4 @@
-"""Takes what answers and other gateways tell of what servers say, and tells what changed."""
+"""Collects the signals of servers from answers and other gateways, and reports what changed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SignalMonitor:
-    """Keeps what servers say of themselves as it is now."""
+    """Keeps the signals of servers current: limits, shutdowns and requested back-off."""
 
     def __init__(
         self,
@@ -26,15 +26,15 @@
         on_update: Callable[[], None],
         on_leaving: Callable[[Instance], None],
     ) -> None:
-        """Nothing heard yet.
+        """Start without any signal.
 
         Args:
-            signals: Where it is kept.
-            pauses: Servers that aren't asked for room now: a changed limit ends that.
+            signals: Stores the signals.
+            pauses: Servers for which no permits are requested; a changed limit ends the pause.
             instances: The servers.
-            record: Where changes are told to operators.
-            on_news: Called when there is news that the other gateways need at once.
-            on_leaving: Called when a server is first heard to leave.
+            record: Reports changes to operators.
+            on_update: Called when there is an update that the other gateways need at once.
+            on_leaving: Called when a server first signals that it is shutting down.
         """
         self._signals = signals
         self._pauses = pauses
@@ -46,10 +46,10 @@
         instances.on_draining = self._on_draining
 
     def on_answer(self, instance: Instance, head: AnswerHead, sent_at: float) -> None:
-        """The head of an answer says something of its server.
+        """Apply the signals in the head of an answer to a request.
 
         Args:
-            instance: The server that was asked.
+            instance: The server that the request was sent to.
             head: Head of the answer.
             sent_at: Monotonic time of the request's send.
         """
@@ -60,9 +60,10 @@
         self._apply_backoff(instance, head)
 
     def on_reply(self, instance: Instance, head: AnswerHead, sent_at: float) -> None:
-        """A server's reply to an order, or its report, says something of it.
+        """Apply the signals in a server's reply to an order or in its load report.
 
-        Not that a limit has ended: only answers to requests are said to name it each time.
+        A missing limit does not end the limit here: servers must repeat it only in answers to
+        requests.
 
         Args:
             instance: The server that replied.
@@ -75,11 +76,11 @@
         self._apply_backoff(instance, head)
 
     def on_reports(self, reports: Iterable[SignalReport], is_relayed: bool) -> None:
-        """Another gateway tells what servers said.
+        """Apply signals that another gateway reports.
 
         Args:
-            reports: What they said.
-            passes_on: Others depend on this gateway to hear of it.
+            reports: The reported signals.
+            is_relayed: Whether other gateways depend on this one to receive them.
         """
         changes = self._signals.merge(reports, self._record.now(), is_relayed)
         if not changes:
@@ -97,7 +98,7 @@
             self._on_update()
 
     def on_send(self, instance: Instance) -> None:
-        """A request goes to a server: count it when the server said something that bounds that."""
+        """Count a request that is sent to a server with a signal in force."""
         tally = self._record.tally
         if self._signals.per_second(instance.key) is not None:
             tally.on_limited_send(instance.name)
@@ -107,18 +108,18 @@
             tally.on_resting_send(instance.name)
 
     def is_leaving(self, instance: Instance) -> bool:
-        """Whether a server said, in any way, that it is about to end."""
+        """Whether a server signalled in any way that it is shutting down."""
         return self._signals.signal(instance.key, self._record.now()) is Signal.LEAVING
 
     def is_backing_off(self, instance: Instance) -> bool:
-        """Whether a server asked this gateway for rest, and still has it."""
+        """Whether a back-off that a server requested from this gateway is in force."""
         return self._signals.signal(instance.key, self._record.now()) is Signal.RESTING
 
-    # -- inside ---------------------------------------------------------------------------------
+    # -- internals ------------------------------------------------------------------------------
 
     def _apply_limit(self, instance: Instance, head: AnswerHead, sent_at: float) -> None:
         if head.limit.unreadable:
-            # What it said before holds on.
+            # The previous limit stays in force.
             self._record.signals.unreadable(instance.name, "limit", head.limit.unreadable)
             return
         now = self._record.now()
@@ -136,7 +137,7 @@
             self._on_update()
 
     def _on_draining(self, instance: Instance) -> None:
-        """Its entry says so: all gateways see it there, so that nobody needs to be told."""
+        """The server's entry shows that it drains; all gateways see the entry, so none is told."""
         if self._signals.on_entry_leaving(instance.key, self._record.now()):
             self._report_leaving(instance, ENTRY)
 
@@ -160,10 +161,10 @@
 
 
 def _is_from(head: AnswerHead, instance: Instance) -> bool:
-    """Whether an answer is of the server that was asked, and not of one that has its address now.
+    """Whether an answer comes from the given server and not from a new one at its address.
 
-    Servers that run a request are the one that it names; whoever answers that it is misdirected may
-    be any.
+    A server runs a request only if the request names it. A 421 answer without an instance id may
+    come from any server.
     """
     if not head.instance:
         return head.status != MISDIRECTED
