--- a/src/milletcourse/gateway/clients/__init__.py
+++ b/src/milletcourse/gateway/clients/__init__.py
@@ -1,4 +1,5 @@
-"""Connections of clients: how many, what they send, and what is answered.
+"""Client connections: their number, the requests read from them, and the answers written to them.
 
-Bytes come in; whole requests go out, and answers come back. It may import state and what is below.
+The input is bytes and the output complete requests, whose answers come back here. This package may
+import state and the packages below it.
 """
--- a/src/milletcourse/gateway/clients/client_connection.py
+++ b/src/milletcourse/gateway/clients/client_connection.py
@@ -1,6 +1,6 @@
-"""One HTTP/1.1 connection of a client: checks what it sends, and writes answers.
+"""One HTTP/1.1 connection of a client: reads and checks requests, and writes answers.
 
-Requests of one connection are served one after the other. Bounds on size and time come from the
+Requests of one connection are served one after the other. Limits on size and time come from the
 configuration in force and may change while the connection is open.
 """
 
@@ -22,25 +22,25 @@
 from milletcourse.runtime.sockets import unread_bytes
 
 LINGER_SECONDS = 1.0
-"""After its last answer a connection waits this long for the client to close, and drops what comes:
-a close with unread bytes is a reset, which destroys an answer that is still on its way."""
+"""After its last answer a connection waits this long for the client to close, and discards received
+data. Closing a socket with unread bytes sends a reset, which destroys an answer in transit."""
 MAX_QUEUED_REQUESTS = 8
-"""Requests that a client may have sent ahead on one connection before reading pauses."""
+"""Pipelined requests of one connection that are queued before reading pauses."""
 MAX_UNREAD_ANSWER_BYTES = 4 * 1024 * 1024
-"""A client that reads slower than this much behind is cut off."""
+"""The connection of a client that leaves more bytes than this unread is aborted."""
 
 
 class EdgeState(Protocol):
-    """What a connection asks of its node."""
+    """State of the gateway that a client connection needs."""
 
     def limits(self) -> EdgeLimits:
-        """Bounds in force."""
+        """Limits in force."""
 
     def asks_clients_to_leave(self) -> bool:
         """Whether answers ask clients to close their connections."""
 
     def on_unanswered(self, request: UnansweredRequest) -> None:
-        """A request that was read ends without a whole answer."""
+        """A request that was read ends without a complete answer."""
 
 
 Handler = Callable[[ClientRequest, "ClientConnection"], Coroutine[Any, Any, None]]
@@ -82,13 +82,13 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is being read or served, and no answer is on its way out."""
+        """Whether no request is being read or served, and the connection is not lingering."""
         if self._task is not None or self._queue or self._reader.incoming is not None:
             return False
         return self._lingers_until is None
 
     def state(self) -> ConnectionState:
-        """What a planned stop goes by."""
+        """State that a planned stop needs to decide when to close the connection."""
         return ConnectionState(self._idle_since, self.is_idle, self._count_unread_bytes())
 
     def _count_unread_bytes(self) -> int:
@@ -102,18 +102,18 @@
     def _report_unanswered(
         self, request: ClientRequest, phase: RequestPhase, cause: UnansweredCause, error: str = ""
     ) -> None:
-        """A request that was read ends without a whole answer."""
+        """Report that a request that was read ends without a complete answer."""
         self._edge.on_unanswered(
             UnansweredRequest(request.fields, phase, cause, request.received_at, error)
         )
 
     def _drop_queue(self, cause: UnansweredCause) -> None:
-        """What was sent ahead on this connection can't be answered any more."""
+        """Drop and report pipelined requests that can no longer be answered."""
         while self._queue:
             self._report_unanswered(self._queue.popleft(), RequestPhase.QUEUED, cause)
 
     def check_timeouts(self, now: float) -> None:
-        """Apply the bounds on time; called every fraction of a second."""
+        """Apply the timeouts; called several times per second."""
         if self._lingers_until is not None and now >= self._lingers_until:
             self.close()
         if self._task is not None or self._closing:
@@ -127,12 +127,12 @@
                 bound = max(limits.idle_timeout_seconds, bound)
                 since = incoming.last_byte_at
             if now - since > bound and not self._count_unread_bytes():
-                self._fail(RequestTimeout("the request came too slowly"))
+                self._fail(RequestTimeout("the request was not received in time"))
         elif self._has_been_idle_for(max(self._idle_limit, limits.idle_timeout_seconds), now):
             self.close()
 
     def _has_been_idle_for(self, seconds: float, now: float) -> bool:
-        """Nothing came for so long; a loop that is late hasn't read yet what came in time."""
+        """Whether nothing arrived for that long; unread data in the socket counts as arrived."""
         return now - self._idle_since > seconds and not self._count_unread_bytes()
 
     # -- answers --------------------------------------------------------------------------------
@@ -140,7 +140,7 @@
     def send_whole(
         self, status: int, reason: bytes, fields: list[HeaderField], body: bytes
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         head = self._head_lines(status, reason, fields)
         if status != HTTPStatus.NO_CONTENT and status != HTTPStatus.NOT_MODIFIED:
             head.append(b"Content-Length: %d\r\n" % len(body))
@@ -151,7 +151,7 @@
         self._write(b"".join(head))
 
     def begin_stream(self, status: int, reason: bytes, fields: list[HeaderField]) -> None:
-        """Write the head of an answer whose length isn't known."""
+        """Write the head of a chunked answer, whose length is unknown."""
         head = self._head_lines(status, reason, fields)
         head.append(b"Transfer-Encoding: chunked\r\n\r\n")
         self._streaming = True
@@ -159,25 +159,25 @@
         self._write(b"".join(head))
 
     def send_chunk(self, data: bytes) -> None:
-        """Write a piece of a stream."""
+        """Write a chunk of a stream."""
         if data:
             self._write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def end_stream(self) -> None:
-        """Say that the stream is complete."""
+        """Write the last chunk, which marks the stream as complete."""
         self._streaming = False
         self._write(b"0\r\n\r\n")
 
     def abort(self) -> None:
-        """End the connection so that an unfinished answer can't look complete."""
+        """Abort the connection so that an unfinished answer cannot look complete."""
         self._drop_queue(UnansweredCause.ANSWER_CUT)
         self._closing = True
         if self._transport is not None:
             self._transport.abort()
 
     def abort_at_shutdown(self) -> None:
-        """The process ends: say what is unfinished, and cut it."""
-        # The client didn't leave.
+        """Report unfinished requests and abort the connection, since the process shuts down."""
+        # The client did not disconnect.
         self.on_disconnected = None
         if self._current is not None and (self._task is not None or self._is_sending()):
             self._report_unanswered(
@@ -187,17 +187,17 @@
         self.abort()
 
     def _is_sending(self) -> bool:
-        """Whether a part of an answer hasn't gone out yet."""
+        """Whether a part of an answer has not been sent yet."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def close(self) -> None:
-        """Close after everything written has gone out."""
+        """Close after all written data has been sent."""
         self._closing = True
         if self._transport is not None:
             self._transport.close()
 
     def _linger(self) -> None:
-        """Say that nothing more comes, and wait for the client to close."""
+        """Close the sending direction and wait for the client to close the connection."""
         self._closing = True
         if self._transport is None or self._transport.is_closing():
             return
@@ -215,7 +215,10 @@
         return lines
 
     def _is_last_answer(self) -> bool:
-        """Whether the connection closes behind this answer: not while it holds another request."""
+        """Whether the connection closes after this answer.
+
+        A gateway that asks clients to disconnect still serves requests that were already received.
+        """
         if self._current is None or not self._current.keep_alive:
             return True
         if not self._edge.asks_clients_to_leave():
@@ -267,7 +270,7 @@
         if self.on_disconnected is not None:
             self.on_disconnected()
 
-    # -- inside ---------------------------------------------------------------------------------
+    # -- internals ------------------------------------------------------------------------------
 
     def _on_expects_continue(self) -> None:
         if self._task is None:
@@ -318,14 +321,14 @@
             self._serve_next()
 
     def _end_failed(self, task: asyncio.Task[None]) -> None:
-        """The handler failed: say so, to the client as well unless it has a part of an answer."""
+        """Report a failed handler, to the client too unless a part of an answer was written."""
         assert self._current is not None
         error = "cancelled" if task.cancelled() else repr(task.exception())
         self._report_unanswered(
             self._current, self._current_phase(), UnansweredCause.HANDLER_FAILED, error
         )
         if not self._answered and not self.is_disconnected:
-            self._refuse(self, InternalError("the gateway failed; the request may have run"))
+            self._refuse(self, InternalError("internal error; the request may have been executed"))
 
 
 def _reason_of(status: int) -> bytes:
--- a/src/milletcourse/gateway/clients/connection_limiter.py
+++ b/src/milletcourse/gateway/clients/connection_limiter.py
@@ -1,4 +1,4 @@
-"""How many more clients a gateway may accept; those that it has make room for others."""
+"""Limits the number of client connections, and closes idle ones when others wait."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 from milletcourse.runtime.sockets import waiting_connections
 
 SHORTAGE_SECONDS = 0.1
-"""So long after a client had to wait, answers ask their clients to leave: they come back as others
-do, and their connections aren't closed under a request that is on its way."""
+"""For this time after a client had to wait, answers ask their clients to close their connections.
+These clients then queue like the others, and no connection is closed while a request is in transit
+on it."""
 MIN_IDLE_SECONDS = 0.5
-"""A client that rests no longer may be about to send."""
+"""A client that has been idle for less time may be about to send a request."""
 MAX_CLOSED_AT_ONCE = 16
-"""Connections that are closed at once for others."""
+"""Maximum number of idle connections that are closed at once for waiting clients."""
 
 
 class ConnectionLimiter:
-    """Room for clients' connections.
+    """Limits the number of open client connections.
 
     Attributes:
-        clients: Those that are open.
+        clients: The open connections.
     """
 
     def __init__(self, context: GatewayContext) -> None:
-        """No client yet.
+        """Start without any client.
 
         Args:
-            context: What all parts of the gateway share.
+            context: Shared state of the gateway.
         """
         self.clients: set[ClientConnection] = set()
         self._context = context
 
     def capacity(self, listening: socket.socket) -> int:
-        """How many more may be accepted.
+        """How many more connections may be accepted now.
 
         Args:
-            listening: Where they wait meanwhile.
+            listening: The listening socket in whose backlog clients wait meanwhile.
         """
         context = self._context
         capacity = context.descriptors.clients - len(self.clients)
@@ -50,7 +51,7 @@
         return 0
 
     def _close_idle(self, count: int) -> None:
-        """Close the connections that rest longest; their clients lose nothing but a handshake."""
+        """Close the connections that are idle longest; reconnecting costs a client a handshake."""
         since = self._context.now() - MIN_IDLE_SECONDS
         states = ((client.state(), client) for client in self.clients if client.is_idle)
         resting = [
--- a/src/milletcourse/gateway/clients/refusals.py
+++ b/src/milletcourse/gateway/clients/refusals.py
@@ -9,7 +9,7 @@
 
 
 def refuse(client: ClientConnection, failure: Failure) -> None:
-    """Answer with a problem document, and say when to come back where that helps."""
+    """Answer with a problem document, and with Retry-After if the failure has one."""
     fields = [HeaderField(b"Content-Type", PROBLEM_CONTENT_TYPE.encode())]
     if failure.retry_after_seconds is not None:
         value = f"{failure.retry_after_seconds:.2f}".encode()
--- a/src/milletcourse/gateway/clients/request_reader.py
+++ b/src/milletcourse/gateway/clients/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads the requests of one client connection, within the bounds on size that are in force."""
+"""Reads the requests of one client connection, within the size limits in force."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from milletcourse.runtime.clock import elapsed_seconds
 
 FIELD_OVERHEAD_BYTES = 4
-"""Colon, blank and line end of a header field."""
+"""Colon, space and line end of a header field."""
 
 
 class ClientRequest(msgspec.Struct):
-    """A whole request as received.
+    """A complete request as received.
 
     Attributes:
         method: HTTP method.
         target: Raw path and query.
         fields: All header fields.
-        body: Whole body.
+        body: Complete body.
         received_at: Monotonic time of its first byte.
-        keep_alive: The client wants to keep the connection.
-        failure: Why it can't be served, None for a proper request.
+        keep_alive: Whether the client wants to keep the connection open.
+        failure: Why the request cannot be served, None for a valid request.
     """
 
     method: bytes
@@ -56,17 +56,17 @@
 
 
 class LimitSource(Protocol):
-    """Where the bounds come from."""
+    """Provides the size limits."""
 
     def limits(self) -> EdgeLimits:
-        """Bounds in force."""
+        """Limits in force."""
 
 
 class RequestReader:
-    """Parses bytes into whole requests.
+    """Parses bytes into complete requests.
 
     Attributes:
-        incoming: The request that is being received, None between two.
+        incoming: The request that is being received, None between two requests.
     """
 
     def __init__(
@@ -83,11 +83,11 @@
         self._latest_bytes = 0
 
     def feed(self, data: bytes) -> Failure | None:
-        """Take bytes; returns why the connection can't go on."""
+        """Parse received bytes; return the failure that ends the connection, None otherwise."""
         now = elapsed_seconds()
         incoming = self.incoming
         if incoming is None:
-            # Also bytes that never become a request are bound in time.
+            # The timeouts also apply to bytes that never form a request.
             incoming = self.incoming = IncomingRequest(now)
         incoming.last_byte_at = now
         incoming.raw_bytes += len(data)
@@ -112,19 +112,19 @@
         except httptools.HttpParserUpgrade as offer:
             return self._decline_upgrade(data[int(offer.args[0]) :])
         except httptools.HttpParserError as error:
-            return MalformedRequest(f"no HTTP/1.1 request: {type(error).__name__}")
+            return MalformedRequest(f"not a valid HTTP/1.1 request: {type(error).__name__}")
         return None
 
     def _decline_upgrade(self, rest: bytes) -> Failure | None:
-        """Go on in HTTP/1.1 where a client offers another protocol (RFC 9110, 7.8).
+        """Continue in HTTP/1.1 when a client offers another protocol (RFC 9110, section 7.8).
 
-        The parser takes the head for the end of the request then, and would drop its body. So a new
-        one reads the request from the beginning, without the offer.
+        The parser then treats the end of the head as the end of the request and would drop the
+        body. A new parser therefore reads the request from the start, without the Upgrade field.
         """
         incoming = self.incoming
         method = self._parser.get_method()
         if incoming is None or method == b"CONNECT":
-            return MalformedRequest("this isn't a proxy: no tunnel is opened here")
+            return MalformedRequest("CONNECT is not supported")
         if incoming.failure is not None:
             return incoming.failure
         fields = [field for field in incoming.fields if field.name.lower() != b"upgrade"]
@@ -136,7 +136,7 @@
     # -- httptools callbacks --------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Start of a request."""
         now = elapsed_seconds()
         self.incoming = IncomingRequest(now, now, raw_bytes=self._latest_bytes)
 
@@ -158,7 +158,7 @@
             incoming.expects_continue = True
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
+        """End of the head."""
         incoming = self.incoming
         assert incoming is not None
         incoming.head_complete = True
@@ -168,7 +168,7 @@
             self._on_expects_continue()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Part of the body."""
         incoming = self.incoming
         assert incoming is not None
         if incoming.failure is not None:
@@ -180,7 +180,7 @@
         incoming.body.append(body)
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """End of the request: hand it to the connection."""
         incoming = self.incoming
         assert incoming is not None
         if incoming.failure is not None or self._parser.should_upgrade():
--- a/src/milletcourse/gateway/servers/signal_monitor.py
+++ b/src/milletcourse/gateway/servers/signal_monitor.py
@@ -137,7 +137,7 @@
             self._on_update()
 
     def _on_draining(self, instance: Instance) -> None:
-        """The server's entry shows that it drains; all gateways see the entry, so none is told."""
+        """Apply the draining state of a server's entry, which every gateway reads for itself."""
         if self._signals.on_entry_leaving(instance.key, self._record.now()):
             self._report_leaving(instance, ENTRY)
 
