--- a/tests/gateway/clients/test_client_edge_cases.py
+++ b/tests/gateway/clients/test_client_edge_cases.py
@@ -1,4 +1,4 @@
-"""Clients and kernels as they are: slow, silent, half-closed, too many; and stops beside them."""
+"""Slow, silent, half-closed and too many client connections, also during a stop of the gateway."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 EVENT_BYTES = 4000
 
 
-def test_silent_clients_hold_no_stop_and_take_no_answer() -> None:
-    """Hundreds of connections without a request; another client is served in the stop."""
+def test_silent_clients_do_not_delay_a_stop() -> None:
+    """Hundreds of connections without a request; another client is served during the stop."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -40,7 +40,7 @@
         stop = asyncio.create_task(harness.node.stop())
         assert (await client.ask("/safe/", "beside")).status == 200
         await stop
-        # The harness bounds the scenario: a stop that waited for them would never end.
+        # A stop that waited for these clients would exceed the time limit of the harness.
         for sock in silent:
             sock.close()
 
@@ -50,7 +50,7 @@
 async def stream_without_end(
     _: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """More than any buffer between takes."""
+    """Streams more data than all buffers between server and client hold."""
     writer.write(stream_head(request))
     for number in range(1, MANY_EVENTS + 1):
         writer.write(chunk(b"id: %d\ndata: %b\n\n" % (number, b"x" * EVENT_BYTES)))
@@ -58,28 +58,28 @@
     await asyncio.sleep(30)
 
 
-def test_a_client_that_never_reads_holds_no_stop() -> None:
-    """Its stream fills all buffers; the gateway ends in its time, and others were served."""
+def test_client_that_never_reads_does_not_delay_a_stop() -> None:
+    """Its stream fills all buffers; the gateway stops in time, and other clients are served."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("engine-1", "engine", stream_without_end, version=1)
         await harness.add_server("app-1", "app", serve_whole)
         await harness.start(GraceS=GRACE_SECONDS)
         assert harness.node is not None
-        deaf = open_socket(harness.node.frontend_address)
-        deaf.sendall(Client.request_bytes("/single/", "deaf", **PROMPT))
+        non_reading = open_socket(harness.node.frontend_address)
+        non_reading.sendall(Client.request_bytes("/single/", "deaf", **PROMPT))
         await harness.until(lambda: bool(harness.servers["engine-1"].received))
         stop = asyncio.create_task(harness.node.stop())
         assert (await (await harness.client()).ask("/safe/", "beside")).status == 200
         await stop
-        # The harness bounds the scenario: a stop that waited for them would never end.
-        deaf.close()
+        # A stop that waited for these clients would exceed the time limit of the harness.
+        non_reading.close()
 
     run_with_gateway(scenario)
 
 
-def test_the_end_of_a_clients_direction_is_taken_for_its_leaving() -> None:
-    """Work for a client that may be gone isn't carried on; the next client is served."""
+def test_half_close_of_a_client_counts_as_a_disconnect() -> None:
+    """Work for a client that may have disconnected is aborted."""
 
     async def held(_: StandinServer, __: ReceivedRequest, ___: asyncio.StreamWriter) -> None:
         await asyncio.sleep(30)
@@ -98,8 +98,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_client_that_resets_takes_nothing_from_others() -> None:
-    """Resets before, in and after a request, beside a client that is served each time."""
+def test_client_resets_do_not_affect_other_clients() -> None:
+    """Clients reset before, during and after a request, while another client is served."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -118,7 +118,7 @@
 
 
 def test_signals_in_series_during_a_stop(tmp_path: Path) -> None:
-    """SIGHUP and SIGTERM again: one planned stop, exit code 0, and what comes is served."""
+    """Repeated signals cause one planned stop with exit code 0, and requests are still served."""
 
     async def scenario(harness: Harness, gateway: GatewayProcess, _: Path) -> None:
         started = await gateway.wait_for("started")
@@ -136,8 +136,8 @@
     run_with_process(tmp_path, scenario)
 
 
-def test_a_stop_that_is_held_ends_by_its_first_signal(tmp_path: Path) -> None:
-    """The process stands still from just after the signal until past the step that refuses."""
+def test_suspended_stop_ends_by_its_first_signal(tmp_path: Path) -> None:
+    """The process is suspended from just after the signal until past the step that refuses."""
 
     async def scenario(harness: Harness, gateway: GatewayProcess, _: Path) -> None:
         started = await gateway.wait_for("started")
@@ -158,7 +158,7 @@
 
 
 def test_descriptors_at_their_limit(tmp_path: Path) -> None:
-    """Connections beyond the limit are closed; those that stand are served, and new ones after."""
+    """Connections beyond the limit are closed; open ones get answers, and new ones do afterwards."""
 
     async def scenario(harness: Harness, gateway: GatewayProcess, _: Path) -> None:
         started = await gateway.wait_for("started")
@@ -180,7 +180,7 @@
 
 
 async def is_served(address: str) -> bool:
-    """Whether a new connection gets an answer."""
+    """Whether a new connection gets a successful answer."""
     try:
         client = await Client.connect(address)
         client.send("/safe/", "after")
@@ -191,9 +191,11 @@
     return got is not None and got.status == 200
 
 
-def test_a_request_ahead_that_waits_for_leave_to_send_its_body() -> None:
-    """100-continue behind another request: the leave comes when it is this one's turn, or never
-    is needed; the bound on time ends it otherwise."""
+def test_pipelined_request_with_expect_continue() -> None:
+    """A pipelined request with Expect: 100-continue gets its 100 in its turn, or needs none.
+
+    The timeouts end the request otherwise.
+    """
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
--- a/tests/gateway/requests/test_gateway_streams.py
+++ b/tests/gateway/requests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""A gateway's streams, silent servers and clients that leave."""
+"""Streams through a gateway: resumption, silent servers and client disconnects."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_resumable_stream_goes_on_after_the_last_whole_event() -> None:
-    """At another server, with no piece missing or twice."""
+    """The stream resumes at another server, and no event is lost or repeated."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = first_then(stream_broken_in_an_event, stream_of_four)
@@ -54,13 +54,13 @@
 
 
 def _silent_for_a_while() -> Behaviour:
-    """The first request gets two events, and the others after a long silence."""
+    """The first request gets two events, then a long silence, then the remaining events."""
     return first_then(pausing_stream(1.6 * MIN_SILENCE_SECONDS), stream_of_four)
 
 
 @pytest.mark.parametrize("servers", [1, 2])
-def test_a_silent_server_is_left_only_for_another_one(servers: int) -> None:
-    """A stream that can't go on elsewhere is waited for, not cut."""
+def test_silent_server_is_abandoned_only_for_another_server(servers: int) -> None:
+    """A stream that cannot continue at another server is awaited, not truncated."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = _silent_for_a_while()
@@ -76,8 +76,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_silent_server_is_not_left_without_a_retry_to_spend() -> None:
-    """The retry budget is asked before the server is left, not after."""
+def test_silent_server_is_not_abandoned_without_retry_budget() -> None:
+    """The retry budget is checked before the server is abandoned, not after."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = _silent_for_a_while()
@@ -95,7 +95,7 @@
 def test_a_silent_server_that_answers_others_is_waited_for(
     lively: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has a queue; one that answers nobody is left for another one."""
+    """Such a server may have a queue; one that answers no request is abandoned for another one."""
     monkeypatch.setattr(patience, "LIVE_PATIENCE", 20.0)
 
     async def slow_if_asked(
@@ -128,8 +128,8 @@
     run_with_gateway(scenario)
 
 
-def test_stream_that_may_not_resume_is_cut_and_never_looks_complete() -> None:
-    """One run; the client sees that it is not whole."""
+def test_stream_that_may_not_resume_is_truncated_and_never_looks_complete() -> None:
+    """The request runs once, and the client can tell that the answer is incomplete."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = first_then(stream_broken_in_an_event, stream_of_four)
@@ -143,8 +143,8 @@
     run_with_gateway(scenario)
 
 
-def test_client_that_leaves_ends_the_work_at_the_server() -> None:
-    """The server sees its connection close."""
+def test_client_disconnect_aborts_the_request_at_the_server() -> None:
+    """The server's connection is reset."""
 
     async def endless(
         _: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
@@ -160,14 +160,14 @@
         client.close()
         await harness.until(lambda: bool(server.closed))
         assert len(server.received) == 1
-        # A plain close would still deliver what a partition holds up, once it has healed.
+        # After a plain close, bytes held up by a network partition would still arrive later.
         assert server.resets == 1
 
     run_with_gateway(scenario)
 
 
-def test_client_that_left_before_its_request_was_begun_causes_no_send() -> None:
-    """The close is seen although nobody listened for it yet."""
+def test_client_disconnect_before_the_request_starts_causes_no_send() -> None:
+    """The disconnect is noticed although no callback was registered when it happened."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -187,7 +187,7 @@
 
 
 def a_request(received_at: float) -> ExchangeRequest:
-    """A request of no tenant, as the edge hands it on."""
+    """A parsed request without a tenant."""
     return ExchangeRequest(
         method=b"GET",
         target=b"/safe/",
@@ -207,11 +207,11 @@
 
 
 async def _no_handler(_: ClientRequest, __: ClientConnection) -> None:
-    """Serves nothing."""
+    """A handler that does nothing."""
 
 
-def test_an_attempt_that_was_never_sent_says_nothing_of_its_server() -> None:
-    """A client that leaves while the connection comes up is no sign of the server's health."""
+def test_unsent_attempt_does_not_affect_server_health() -> None:
+    """A client disconnect while connecting does not count against the server."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -231,14 +231,16 @@
     run_with_gateway(scenario)
 
 
-def test_time_limit_ends_a_request_at_once() -> None:
-    """504 without a promise when it may have run."""
+def test_deadline_ends_a_request_at_once() -> None:
+    """The status is 504 without Retry-After, since the request may have been executed."""
 
-    async def mute(_: StandinServer, __: ReceivedRequest, ___: asyncio.StreamWriter) -> None:
+    async def silent_server(
+        _: StandinServer, __: ReceivedRequest, ___: asyncio.StreamWriter
+    ) -> None:
         return
 
     async def scenario(harness: Harness) -> None:
-        await harness.add_server("app-1", "app", mute)
+        await harness.add_server("app-1", "app", silent_server)
         await harness.start()
         got = await (await harness.client()).ask("/unsafe/", Deadline_Ms="200")
         assert got.status == 504
--- a/tests/gateway/requests/test_refusal_guarantees.py
+++ b/tests/gateway/requests/test_refusal_guarantees.py
@@ -1,4 +1,4 @@
-"""What a refusal promises holds, whatever servers do and in whatever order it happens."""
+"""The guarantees of a refusal hold for every behaviour of servers in any order."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 CLIENTS = 8
 REQUESTS_A_CLIENT = 8
 DEADLINE_MS = "250"
-LATE_SECONDS = 0.35
-"""After the clients' deadline."""
+AFTER_DEADLINE_SECONDS = 0.35
+"""Later than the clients' deadline."""
 SETTLE_SECONDS = 0.5
-"""What servers may still do after the last answer is done by then."""
-PROMISES = (408, 421, 429, 503)
-"""Statuses that say: it has not run and never will."""
-FATES = (
+"""Servers have finished all their work this long after the last answer."""
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+"""Statuses that guarantee that the request was not executed and will not be."""
+OUTCOMES = (
     "serve",
     "serve",
     "serve-late",
@@ -43,7 +43,7 @@
 
 
 class _Servers:
-    """Decides by a seeded source what becomes of each request, and counts what ran."""
+    """Draws the outcome of each request from a seeded source, and counts executions."""
 
     def __init__(self, seed: int) -> None:
         self.runs: Counter[str] = Counter()
@@ -52,40 +52,40 @@
     async def behave(
         self, server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        """One request at one server."""
-        fate = self._random.choice(FATES)
-        if fate in ("turn-away", "turn-away-soon"):
-            await asyncio.sleep(0.05 if fate == "turn-away-soon" else 0.0)
+        """Handle one request at one server."""
+        outcome = self._random.choice(OUTCOMES)
+        if outcome in ("turn-away", "turn-away-soon"):
+            await asyncio.sleep(0.05 if outcome == "turn-away-soon" else 0.0)
             fields = {"Request-Id": request.request_id, "Not-Executed": "1"}
             writer.write(answer(503, b"", fields))
             return
-        if fate == "other-incarnation":
+        if outcome == "other-incarnation":
             fields = {"Request-Id": request.request_id, "Instance-Id": server.name}
             writer.write(answer(421, b"", fields))
             return
-        if fate == "reset-before-run":
+        if outcome == "reset-before-run":
             writer.transport.abort()
             return
         self.runs[request.request_id] += 1
-        if fate == "reset-after-run":
+        if outcome == "reset-after-run":
             writer.transport.abort()
-        elif fate == "silent":
-            await asyncio.sleep(LATE_SECONDS)
+        elif outcome == "silent":
+            await asyncio.sleep(AFTER_DEADLINE_SECONDS)
             writer.transport.abort()
-        elif fate == "half-an-answer":
+        elif outcome == "half-an-answer":
             writer.write(answer(200, b"whole body", signed(request))[:-4])
             writer.transport.abort()
-        elif fate == "fail":
+        elif outcome == "fail":
             writer.write(answer(500, b"", signed(request)))
         else:
-            await asyncio.sleep(LATE_SECONDS if fate == "serve-late" else 0.0)
+            await asyncio.sleep(AFTER_DEADLINE_SECONDS if outcome == "serve-late" else 0.0)
             writer.write(answer(200, b"whole body", signed(request)))
 
 
 @pytest.mark.parametrize("route", ["unsafe", "safe"])
 @pytest.mark.parametrize("seed", range(4))
-def test_what_a_refusal_says_is_true(seed: int, route: str) -> None:
-    """Not run, before it and after it; and what may run once runs once at most."""
+def test_refused_requests_were_not_executed(seed: int, route: str) -> None:
+    """A refused request is executed neither before nor after; an unsafe one at most once."""
 
     async def scenario(harness: Harness) -> None:
         servers = _Servers(seed)
@@ -108,8 +108,8 @@
             answers.update(part)
         await asyncio.sleep(SETTLE_SECONDS)
         for name, got in answers.items():
-            assert got is not None, "a request that was read whole gets an answer"
-            if got.status in PROMISES:
+            assert got is not None, "a request that was read completely gets an answer"
+            if got.status in NOT_EXECUTED_STATUSES:
                 assert servers.runs[name] == 0
                 assert float(got.headers["retry-after"]) > 0.0
             if got.status == 200:
@@ -117,6 +117,6 @@
             if route == "unsafe":
                 assert servers.runs[name] <= 1
         statuses = Counter(got.status for got in answers.values() if got is not None)
-        assert statuses[200] and statuses[503], "both kinds of ends were met"
+        assert statuses[200] and statuses[503], "both outcomes occurred"
 
     run_with_gateway(scenario)
--- a/tests/gateway/requests/test_silent_servers.py
+++ b/tests/gateway/requests/test_silent_servers.py
@@ -1,13 +1,11 @@
-"""A stream that has begun is handed on to another server or waited for, and never dropped.
-
-A gateway took silence of a second for a reason to leave a server in the middle of a stream, ended
-the running answer, and only then found out whether another server would go on with it. Under
-overload servers pause (their memory goes to more urgent work) and others are full, so the stream
-was cut although its first server would have finished it: `stream-cut servers=[{engine-2, cut,
-left=silent, silent=1.401, absent=0.0}, {engine-4, turned-away}]`, 13 of 10,870 requests on real
-processes. A gateway whose own event loop had stood still took that for the server's silence too
-(`silent=2.262 absent=1.157`), since timers ring before what has arrived meanwhile is read: in ten
-holds of 1.4 s nine sound servers were left and two ejected, in 23 holds of 0.05 s none.
+"""A started stream is handed over to another server or awaited, and never dropped.
+
+Guards against two faults. First, a gateway that aborts a running answer after a second of silence
+before another server has accepted the stream truncates streams under overload: servers pause while
+their memory serves more urgent requests, and the other servers are full (13 of 10,870 requests).
+Second, a gateway that takes a stall of its own event loop for silence of the server abandons and
+ejects healthy servers, since due timers run before the data that arrived meanwhile is read. Stalls
+of 1.4 s cause this; stalls of 0.05 s do not.
 """
 
 from __future__ import annotations
@@ -42,19 +40,19 @@
 from milletcourse.gateway.servers.call_client import Call, CallClient
 
 SILENT_SECONDS = 1.7
-"""Longer than a silent server is waited for while another one might go on."""
-HELD_SECONDS = 1.6
+"""Longer than the timeout after which a silent server's stream is offered to another one."""
+STALL_SECONDS = 1.6
 
 
-async def mute(_: StandinServer, __: ReceivedRequest, ___: asyncio.StreamWriter) -> None:
-    """Takes the request and says nothing."""
+async def silent_server(_: StandinServer, __: ReceivedRequest, ___: asyncio.StreamWriter) -> None:
+    """Accepts the request and sends nothing."""
     await asyncio.Event().wait()
 
 
 async def misdirected(
     _: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """Another incarnation."""
+    """Answers 421 as another incarnation."""
     fields = {"Request-Id": request.request_id, "Instance-Id": "other"}
     writer.write(answer(421, b"", fields))
 
@@ -62,7 +60,7 @@
 async def turned_away_late(
     server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """It waits in the server's queue first."""
+    """Rejects the request after it waited in the server's queue."""
     await asyncio.sleep(0.2)
     await shedding(server, request, writer)
 
@@ -70,7 +68,7 @@
 async def head_then_reset(
     _: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """It begins to answer, and ends before it has said anything."""
+    """Sends the head of a stream and resets the connection before any event."""
     writer.write(stream_head(request))
     await writer.drain()
     writer.transport.abort()
@@ -83,14 +81,14 @@
     "failing": failing,
     "garbling": garbled,
     "misdirected": misdirected,
-    "mute": mute,
+    "mute": silent_server,
     "resetting before an event": head_then_reset,
 }
-"""Ways in which the server that might go on doesn't."""
+"""Ways in which a successor fails to continue the stream."""
 
 
-async def ask_beside(harness: Harness, other: Behaviour) -> bytes | None:
-    """The body of a stream whose first server pauses; None when it wasn't whole."""
+async def ask_while_first_server_pauses(harness: Harness, other: Behaviour) -> bytes | None:
+    """The body of a stream whose first server pauses; None when the stream was truncated."""
     behaviour = first_then(pausing_stream(SILENT_SECONDS), other)
     for number in range(2):
         await harness.add_server(f"e-{number}", "engine", behaviour, 1)
@@ -99,13 +97,13 @@
     return got.body if got.whole else None
 
 
-def test_a_begun_stream_is_not_given_up_for_a_server_that_does_not_go_on_with_it() -> None:
-    """Whatever becomes of the other server, the first one finishes."""
+def test_started_stream_is_kept_when_the_successor_does_not_continue_it() -> None:
+    """However the other server fails, the first one completes the stream."""
     bodies: dict[str, bytes | None] = {}
 
     def scenario(name: str) -> Callable[[Harness], object]:
         async def run(harness: Harness) -> None:
-            bodies[name] = await ask_beside(harness, OTHERS[name])
+            bodies[name] = await ask_while_first_server_pauses(harness, OTHERS[name])
 
         return run
 
@@ -114,35 +112,35 @@
     assert {name for name, body in bodies.items() if body != WHOLE_STREAM} == set()
 
 
-def write_now(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Into the kernel at once, not when the loop turns."""
+def write_directly(writer: asyncio.StreamWriter, data: bytes) -> None:
+    """Write to the socket at once instead of in the next iteration of the event loop."""
     os.write(writer.get_extra_info("socket").fileno(), data)
 
 
-async def hold(meanwhile: Callable[[], None]) -> None:
-    """Hold the loop while it handles what a socket brought, as a process that is stopped does.
+async def stall(meanwhile: Callable[[], None]) -> None:
+    """Block the event loop in a read callback, as a suspension of the process does.
 
-    Its timers are due then before it looks at its sockets again.
+    Timers are then due before the loop polls its sockets again.
     """
     loop = asyncio.get_running_loop()
     readable, writable = os.pipe()
     done = asyncio.Event()
 
-    def stand_still() -> None:
+    def block_loop() -> None:
         loop.remove_reader(readable)
         meanwhile()
-        time.sleep(HELD_SECONDS)
+        time.sleep(STALL_SECONDS)
         done.set()
 
-    loop.add_reader(readable, stand_still)
+    loop.add_reader(readable, block_loop)
     os.write(writable, b"1")
     await done.wait()
     os.close(readable)
     os.close(writable)
 
 
-def held_after(data: Callable[[ReceivedRequest], bytes], rest: bytes) -> Behaviour:
-    """Begins to answer, and the rest arrives while the gateway's loop is held."""
+def stalled_after(data: Callable[[ReceivedRequest], bytes], rest: bytes) -> Behaviour:
+    """Starts to answer; the remainder arrives while the gateway's event loop is blocked."""
 
     async def behave(
         server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
@@ -150,31 +148,31 @@
         if len(server.received) > 1:
             await stream_of_four(server, request, writer)
             return
-        write_now(writer, data(request))
-        # The gateway reads the beginning; the rest arrives while it is held.
+        write_directly(writer, data(request))
+        # The gateway reads the first part; the remainder arrives while its loop is blocked.
         await asyncio.sleep(0.05)
-        await hold(lambda: write_now(writer, rest))
+        await stall(lambda: write_directly(writer, rest))
 
     return behave
 
 
 def beginning(request: ReceivedRequest) -> bytes:
-    """Two events of a stream."""
+    """The head and two events of a stream."""
     return stream_head(request) + chunk(event(1)) + chunk(event(2))
 
 
 def nothing(_: ReceivedRequest) -> bytes:
-    """No beginning."""
+    """No data before the stall."""
     return b""
 
 
 def whole(request_id: str) -> bytes:
-    """A whole answer that isn't a stream."""
+    """A complete answer that is not a stream."""
     return answer(200, b"whole", {"Request-Id": request_id, "Server-Signature": "s-1"})
 
 
-async def sends_when_held(harness: Harness, target: str, service: str, held: Behaviour) -> int:
-    """How many servers got a request whose answer arrived while the gateway was held."""
+async def count_sends_in_stall(harness: Harness, target: str, service: str, held: Behaviour) -> int:
+    """How many sends it took when the answer arrived while the gateway was stalled."""
     version = 1 if service == "engine" else None
     servers = [await harness.add_server(f"s-{n}", service, held, version) for n in (1, 2)]
     await harness.start()
@@ -183,52 +181,54 @@
     return sum(len(server.received) for server in servers)
 
 
-async def _ejected_by_a_held_connect(harness: Harness) -> bool:
-    """Whether a server is ejected since the gateway was held while the connection came up."""
+async def _is_ejected_after_stalled_connect(harness: Harness) -> bool:
+    """Whether a server is ejected after the gateway stalled while connecting to it."""
     await harness.add_server("s-1", "app", serve_whole)
     await harness.start()
     assert harness.node is not None
     context = harness.node.context
     acquire = context.pool.acquire
 
-    async def held_acquire(address: str, timeout_seconds: float) -> object:
-        context.loop.call_soon(time.sleep, HELD_SECONDS)
+    async def stalled_acquire(address: str, timeout_seconds: float) -> object:
+        context.loop.call_soon(time.sleep, STALL_SECONDS)
         return await acquire(address, timeout_seconds)
 
-    context.pool.acquire = held_acquire  # type: ignore[method-assign,assignment]
+    context.pool.acquire = stalled_acquire  # type: ignore[method-assign,assignment]
     await (await harness.client()).ask("/unsafe/", Deadline_Ms="9000")
     instance = context.instances.get("s-1")
     assert instance is not None
     return instance.health.is_ejected(context.now())
 
 
-async def _call_lost_when_held(harness: Harness) -> bool:
-    """Whether a call counts as unanswered whose reply arrived while the gateway was held."""
-    server = await harness.add_server("s-1", "app", held_after(nothing, whole("")))
+async def _is_call_lost_in_stall(harness: Harness) -> bool:
+    """Whether a call is reported unanswered when its reply arrived while the gateway stalled."""
+    server = await harness.add_server("s-1", "app", stalled_after(nothing, whole("")))
     await harness.start()
     assert harness.node is not None
     calls = CallClient(harness.node.context.pool)
-    reply = await calls.call(server.address, Call("GET", "/health"), HELD_SECONDS / 2)
+    reply = await calls.call(server.address, Call("GET", "/health"), STALL_SECONDS / 2)
     return reply is None
 
 
-def test_a_server_is_not_blamed_for_the_gateways_own_pause() -> None:
-    """What has arrived is read before anybody counts as silent."""
+def test_event_loop_stall_of_the_gateway_does_not_count_against_a_server() -> None:
+    """Data that has arrived is read before a server counts as silent."""
     found: dict[str, object] = {}
 
     async def stream(harness: Harness) -> None:
-        held = held_after(beginning, chunk(event(3)) + chunk(event(4)) + b"0\r\n\r\n")
-        found["servers of a stream"] = await sends_when_held(harness, "/stream/", "engine", held)
+        held = stalled_after(beginning, chunk(event(3)) + chunk(event(4)) + b"0\r\n\r\n")
+        found["servers of a stream"] = await count_sends_in_stall(
+            harness, "/stream/", "engine", held
+        )
 
     async def answered(harness: Harness) -> None:
-        held = held_after(nothing, whole("id-1"))
-        found["servers of an answer"] = await sends_when_held(harness, "/safe/", "app", held)
+        held = stalled_after(nothing, whole("id-1"))
+        found["servers of an answer"] = await count_sends_in_stall(harness, "/safe/", "app", held)
 
     async def connect(harness: Harness) -> None:
-        found["ejected"] = await _ejected_by_a_held_connect(harness)
+        found["ejected"] = await _is_ejected_after_stalled_connect(harness)
 
     async def call(harness: Harness) -> None:
-        found["call lost"] = await _call_lost_when_held(harness)
+        found["call lost"] = await _is_call_lost_in_stall(harness)
 
     for scenario in (stream, answered, connect, call):
         run_with_gateway(scenario)
@@ -240,11 +240,11 @@
     }
 
 
-def test_an_answer_that_came_in_a_pause_is_delivered_after_its_time() -> None:
-    """It is ready, and its client may still be there."""
+def test_answer_received_during_a_stall_is_delivered_after_the_deadline() -> None:
+    """The answer is available, and its client may still be connected."""
 
     async def scenario(harness: Harness) -> None:
-        await harness.add_server("s-1", "app", held_after(nothing, whole("id-1")))
+        await harness.add_server("s-1", "app", stalled_after(nothing, whole("id-1")))
         await harness.start()
         got = await (await harness.client()).ask("/unsafe/", "id-1", Deadline_Ms="1000")
         assert (got.status, got.body) == (200, b"whole")
--- a/tests/gateway/requests/test_stream_handover.py
+++ b/tests/gateway/requests/test_stream_handover.py
@@ -1,4 +1,4 @@
-"""Who goes on with a stream: two servers may have it for a while, and what comes first decides."""
+"""Handover of streams: two servers may run one for a while, and the first to send continues it."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 ALLOWED_OVERLAP_SECONDS = 0.4
 SILENT_SECONDS = 1.0
-"""After so long a stream is offered to another server."""
+"""Silence after which a stream is offered to another server."""
 
 
 class TwoRunners(RuleBasedStateMachine):
-    """Pieces, ends and the bound on the overlap in any order."""
+    """Events, terminations and the end of the overlap in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -48,13 +48,13 @@
     @precondition(lambda self: self.first_runs and not self.successor_runs)
     @rule()
     def offer(self) -> None:
-        """The first server is silent, and another one is asked."""
+        """The first server is silent, and the stream is offered to another one."""
         self.core.on_offer()
         self.successor_runs = True
 
     @rule(runner=st.sampled_from(list(Runner)))
     def piece(self, runner: Runner) -> None:
-        """One of them says something, if it still runs."""
+        """One of the servers sends an event, if it still runs."""
         if not (self.first_runs if runner is Runner.FIRST else self.successor_runs):
             return
         self.carry_out(self.core.on_piece(runner))
@@ -63,7 +63,7 @@
 
     @rule()
     def overlap_over(self) -> None:
-        """Neither has said anything; a late timer may tell it when all is decided."""
+        """The overlap ends without an event; a late timer may fire after the decision."""
         both = self.first_runs and self.successor_runs
         step = self.core.on_overlap_over()
         assert step is (HandoverStep.END_SUCCESSOR if both else HandoverStep.WAIT)
@@ -72,19 +72,19 @@
     @precondition(lambda self: self.first_runs and self.successor_runs)
     @rule()
     def successor_ends(self) -> None:
-        """It turns the stream away, or is lost."""
+        """The successor rejects the stream, or its connection is lost."""
         self.successor_runs = False
         assert self.core.on_successor_end()
 
     @precondition(lambda self: self.successor_runs)
     @rule()
     def first_ends(self) -> None:
-        """It is lost or was ended: the successor is the first one now."""
+        """The first server is lost or was aborted: the successor takes its role."""
         self.first_runs, self.successor_runs = True, False
         self.core.on_first_end()
 
     def carry_out(self, step: HandoverStep) -> None:
-        """What the gateway does."""
+        """Apply a decision as the gateway does."""
         if step is HandoverStep.END_FIRST:
             self.first_runs = False
         elif step is HandoverStep.END_SUCCESSOR:
@@ -92,12 +92,12 @@
 
     @invariant()
     def somebody_has_the_stream(self) -> None:
-        """Never is the last server ended."""
+        """The last remaining server is never aborted."""
         assert self.first_runs or self.successor_runs
 
     @invariant()
     def an_offer_has_two_runners(self) -> None:
-        """And is over with one of them."""
+        """An offer is open only while both servers run."""
         if self.core.state is HandoverState.OFFERED:
             assert self.first_runs and self.successor_runs
 
@@ -106,8 +106,8 @@
 TestTwoRunners = TwoRunners.TestCase
 
 
-def after(seconds: float) -> Behaviour:
-    """The rest of the stream, a while later."""
+def delayed_stream(seconds: float) -> Behaviour:
+    """Sends the remaining stream after a delay."""
 
     async def behave(
         server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
@@ -119,42 +119,42 @@
     return behave
 
 
-async def some_servers(harness: Harness, behaviour: Behaviour, count: int = 2) -> None:
-    """Servers that share a behaviour, and a gateway that may spend many retries."""
+async def start_servers(harness: Harness, behaviour: Behaviour, count: int = 2) -> None:
+    """Start servers that share a behaviour, and a gateway with a large retry budget."""
     for number in range(count):
         await harness.add_server(f"e-{number}", "engine", behaviour, 1)
     await harness.start(RetrySlack=1000)
 
 
 def pausing_then(first_seconds: float, other: Behaviour) -> Behaviour:
-    """The first run pauses for a while after two events; the others go another way."""
+    """The first run pauses after two events; later runs follow another behaviour."""
     return first_then(pausing_stream(first_seconds), other)
 
 
 def runs(harness: Harness) -> int:
-    """Requests that servers have got."""
+    """Number of requests that servers have received."""
     return sum(len(server.received) for server in harness.servers.values())
 
 
-def test_the_server_that_speaks_first_goes_on() -> None:
-    """The one that had the stream, if it speaks before the other has begun."""
+def test_first_server_to_send_events_continues_the_stream() -> None:
+    """The first server continues if it sends an event before the successor does."""
 
     async def scenario(harness: Harness) -> None:
-        await some_servers(harness, pausing_then(SILENT_SECONDS + 0.1, after(0.25)))
+        await start_servers(harness, pausing_then(SILENT_SECONDS + 0.1, delayed_stream(0.25)))
         got = await (await harness.client()).ask("/stream/", Deadline_Ms="6000", **PROMPT)
         assert (got.whole, got.body) == (True, WHOLE_STREAM)
         assert runs(harness) == 2
-        # The other one's work is ended: its connection is closed, and no third one was opened.
+        # The successor's connection is closed, and no third connection was opened.
         await harness.until(lambda: sum(len(s.closed) for s in harness.servers.values()) == 1)
 
     run_with_gateway(scenario)
 
 
-def test_another_server_goes_on_and_the_silent_one_is_ended_soon() -> None:
-    """With no piece missing or twice, and within the time for which both may work."""
+def test_successor_continues_and_the_silent_server_is_aborted_soon() -> None:
+    """No event is lost or repeated, and the overlap stays within its bound."""
 
     async def scenario(harness: Harness) -> None:
-        await some_servers(harness, pausing_then(60.0, after(0.1)))
+        await start_servers(harness, pausing_then(60.0, delayed_stream(0.1)))
         client = await harness.client()
         asking = asyncio.ensure_future(client.ask("/stream/", Deadline_Ms="6000", **PROMPT))
         await harness.until(lambda: runs(harness) == 2)
@@ -167,11 +167,11 @@
     run_with_gateway(scenario)
 
 
-def test_a_server_that_does_not_begin_soon_is_ended() -> None:
-    """Both may work on a stream for a while only, and attempts are counted."""
+def test_successor_that_does_not_start_in_time_is_aborted() -> None:
+    """Both servers may run a stream only for a bounded time, and no third one is asked."""
 
     async def scenario(harness: Harness) -> None:
-        await some_servers(harness, pausing_then(SILENT_SECONDS + 1.0, after(60.0)))
+        await start_servers(harness, pausing_then(SILENT_SECONDS + 1.0, delayed_stream(60.0)))
         client = await harness.client()
         asking = asyncio.ensure_future(client.ask("/stream/", Deadline_Ms="6000", **PROMPT))
         await harness.until(lambda: runs(harness) == 2)
@@ -185,11 +185,11 @@
     run_with_gateway(scenario)
 
 
-def test_a_client_that_leaves_ends_the_work_at_both_servers() -> None:
-    """Neither works on for nobody."""
+def test_client_disconnect_aborts_the_request_at_both_servers() -> None:
+    """Neither server continues to work on the request."""
 
     async def scenario(harness: Harness) -> None:
-        await some_servers(harness, pausing_then(60.0, after(60.0)))
+        await start_servers(harness, pausing_then(60.0, delayed_stream(60.0)))
         client = await harness.client()
         client.send("/stream/", "id-1", Deadline_Ms="6000", **PROMPT)
         await harness.until(lambda: runs(harness) == 2)
@@ -200,16 +200,16 @@
     run_with_gateway(scenario)
 
 
-def breaking_off_then(other: Behaviour) -> Behaviour:
-    """The first run breaks off soon after it has become silent; the others go another way."""
+def disconnecting_then(other: Behaviour) -> Behaviour:
+    """The first run closes its connection soon after it became silent; later runs differ."""
     return first_then(pausing_stream(SILENT_SECONDS + 0.1, goes_on=False), other)
 
 
-def test_a_first_server_that_ends_leaves_the_stream_to_the_other() -> None:
-    """What was asked beside it goes on, and no third server is asked."""
+def test_successor_continues_when_the_first_server_fails() -> None:
+    """The successor that runs alongside continues, and no third server is asked."""
 
     async def scenario(harness: Harness) -> None:
-        await some_servers(harness, breaking_off_then(after(0.25)), count=3)
+        await start_servers(harness, disconnecting_then(delayed_stream(0.25)), count=3)
         got = await (await harness.client()).ask("/stream/", Deadline_Ms="6000", **PROMPT)
         assert (got.whole, got.body) == (True, WHOLE_STREAM)
         assert runs(harness) == 2
@@ -217,11 +217,11 @@
     run_with_gateway(scenario)
 
 
-def test_a_client_that_leaves_while_the_stream_changes_hands_ends_the_work() -> None:
-    """Its first server has just ended, and whether its process has is being asked."""
+def test_client_disconnect_during_handover_aborts_the_request() -> None:
+    """The first server's connection has closed, and the crash check is still running."""
 
     async def scenario(harness: Harness) -> None:
-        await some_servers(harness, breaking_off_then(after(60.0)))
+        await start_servers(harness, disconnecting_then(delayed_stream(60.0)))
         assert harness.node is not None
         watch = harness.node.context.crash_watch
         asked = asyncio.Event()
@@ -240,15 +240,15 @@
     run_with_gateway(scenario)
 
 
-def test_an_offer_that_was_overtaken_is_not_made_again() -> None:
-    """The first server finishes while the connection to the other one is still coming up.
+def test_superseded_offer_is_not_repeated() -> None:
+    """The first server finishes while the connection to the successor is still being established.
 
-    The connection came up, and as the other server had never been left, it was asked once more:
-    its pieces went to a client that had its whole answer, into the place of the next one.
+    Guards against a repeated offer after that: the events of the successor would be written to a
+    client that already has its complete answer, in the place of the next answer.
     """
 
     async def scenario(harness: Harness) -> None:
-        await some_servers(harness, pausing_then(SILENT_SECONDS + 0.1, stream_of_four), count=3)
+        await start_servers(harness, pausing_then(SILENT_SECONDS + 0.1, stream_of_four), count=3)
         assert harness.node is not None
         pool = harness.node.context.pool
         acquire = pool.acquire
--- a/tests/gateway/requests/test_stream_handover_machine.py
+++ b/tests/gateway/requests/test_stream_handover_machine.py
@@ -1,4 +1,4 @@
-"""Attempts at two servers in any order of events: one speaks, and none outlives its request."""
+"""Attempts at two servers in any order of events: one is relayed, and none outlives its request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FakeAttempt:
-    """An attempt that does what the test says."""
+    """An attempt that is controlled by the test."""
 
     def __init__(self) -> None:
         self.result: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
@@ -26,23 +26,23 @@
         self.ended = False
 
     async def run(self) -> AttemptResult:
-        """Until it has a result."""
+        """Wait until the test sets a result."""
         return await self.result
 
     def end(self, cause: LeaveCause) -> None:
-        """It is given up; its end shows later, and only what was sent tells why."""
+        """Abort the attempt; its result follows later, and it has a cause only if it was sent."""
         self.ended = True
         if self.was_sent and self.abort_cause is None:
             self.abort_cause = cause
 
     @property
     def speaks(self) -> bool:
-        """Whether a piece of it would be passed on."""
+        """Whether an event of this attempt would be relayed."""
         return self.was_sent and not self.ended and not self.result.done()
 
 
 class OneStream(RuleBasedStateMachine):
-    """A request with a first server, and those that are asked to go on."""
+    """A request with a first server, and the servers to which its stream is offered."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -63,7 +63,7 @@
         self.do(self.begin)
 
     def teardown(self) -> None:
-        """Nothing runs on."""
+        """Cancel all tasks."""
         for server_attempt in self.offers:
             if server_attempt.task is not None:
                 server_attempt.task.cancel()
@@ -71,7 +71,7 @@
         self.loop.close()
 
     def do(self, step: Callable[[], None]) -> None:
-        """Carry a step out on the loop, and let what it causes happen."""
+        """Run a step on the event loop and let its consequences take effect."""
 
         async def body() -> None:
             step()
@@ -80,19 +80,19 @@
         self.settle()
 
     def settle(self) -> None:
-        """Some turns of the loop."""
+        """Run some iterations of the event loop."""
         for _ in range(4):
             self.loop.run_until_complete(asyncio.sleep(0))
 
     def begin(self) -> None:
-        """The first server has the stream."""
+        """Start with the stream at the first server."""
         attempt: Any = FakeAttempt()
         attempt.was_sent = True
         instance: Any = SimpleNamespace(name="first")
         self.handover.current = ServerAttempt(instance, attempt)
 
     def open(self) -> ServerAttempt:
-        """Another server may go on."""
+        """Create an attempt at another server."""
         self.was_offered_late = self.was_offered_late or self.is_over
         attempt: Any = FakeAttempt()
         instance: Any = SimpleNamespace(name=f"other-{len(self.offers)}")
@@ -107,55 +107,55 @@
 
     @property
     def offered(self) -> Any:
-        """The attempt at the server that was asked last."""
+        """The attempt at the server to which the stream was offered last."""
         return self.offers[-1].attempt if self.offers else None
 
     def pending(self) -> bool:
-        """Whether the server that was asked last has no result yet."""
+        """Whether the attempt that was offered last has no result yet."""
         return bool(self.offers) and not self.offered.result.done()
 
     @precondition(lambda self: not self.is_over and self.current.speaks)
     @rule()
     def silent(self) -> None:
-        """The server that has the stream says nothing."""
+        """The server that runs the stream is silent."""
         self.do(self.handover.on_silent)
 
     @precondition(lambda self: self.pending() and not self.offered.ended)
     @rule()
     def send(self) -> None:
-        """The connection to the other one came up."""
+        """The connection to the successor is established and the request sent."""
         self.offered.was_sent = True
         self.do(lambda: self.handover.on_sent(self.offered))
 
     @precondition(lambda self: not self.is_over and self.current.speaks)
     @rule()
     def piece_of_the_first(self) -> None:
-        """It goes on."""
+        """The current server sends an event."""
         self.do(lambda: self.handover.on_events(self.current))
 
     @precondition(lambda self: not self.is_over and self.pending() and self.offered.speaks)
     @rule()
     def piece_of_the_other(self) -> None:
-        """The other one begins."""
+        """The successor sends an event."""
         attempt = self.offered
         self.do(lambda: self.handover.on_events(attempt))
 
     @precondition(lambda self: not self.is_over)
     @rule()
     def overlap_over(self) -> None:
-        """Both had the stream for as long as they may."""
+        """The time for which both servers may run the stream is over."""
         self.do(self.handover._on_overlap_over)
 
     @precondition(lambda self: self.pending() and self.offered is not self.current)
     @rule()
     def other_ends(self) -> None:
-        """It turned the stream away, or its end shows."""
+        """The successor rejects the stream, or its abort completes."""
         self.do(lambda: self.offered.result.set_result(AttemptResult.TURNED_AWAY))
 
     @precondition(lambda self: not self.is_over and not self.current.result.done())
     @rule()
     def first_ends(self) -> None:
-        """It broke off, or was ended: whoever was asked takes over, or the request is over."""
+        """The current attempt fails or was aborted: the successor takes over if there is one."""
 
         def step() -> None:
             self.current.result.set_result(AttemptResult.CUT)
@@ -169,7 +169,7 @@
     @precondition(lambda self: not self.is_over and self.current.speaks)
     @rule()
     def first_finishes(self) -> None:
-        """Its last piece has come."""
+        """The current server sends its last event."""
 
         def step() -> None:
             self.handover.on_events(self.current)
@@ -182,7 +182,7 @@
     @precondition(lambda self: not self.is_over)
     @rule()
     def client_leaves(self) -> None:
-        """Both are ended."""
+        """The client disconnects, and both attempts are aborted."""
 
         def step() -> None:
             self.handover.end(LeaveCause.CLIENT_GONE)
@@ -197,7 +197,7 @@
         self.settle()
 
     def alive(self) -> list[Any]:
-        """Attempts that a server works on, or will."""
+        """Attempts that a server runs or will run."""
         attempts = {id(self.current): self.current}
         attempts |= {
             id(server_attempt.attempt): server_attempt.attempt for server_attempt in self.offers
@@ -206,17 +206,17 @@
 
     @invariant()
     def at_most_two_have_the_stream(self) -> None:
-        """One, and one that is asked."""
+        """The current server, and one to which the stream is offered."""
         assert len(self.alive()) <= 2
 
     @invariant()
     def a_finished_request_is_offered_to_nobody(self) -> None:
-        """Its client may have sent the next one."""
+        """The client may have sent its next request."""
         assert not self.was_offered_late
 
     @invariant()
     def none_outlives_its_request(self) -> None:
-        """What is over is worked on by nobody."""
+        """No successor continues after the request is over."""
         if self.is_over:
             assert not [item for item in self.alive() if item is not self.current]
 
--- a/tests/gateway/servers/test_crashing_requests.py
+++ b/tests/gateway/servers/test_crashing_requests.py
@@ -1,20 +1,10 @@
-"""Requests that end the servers that run them.
+"""Containment of requests that crash the servers that run them.
 
-Symptom: model servers ended one after the other, in all zones, a few seconds apart, each with all
-streams that it had. One caller's request was sent to servers seven times more after three of them
-had ended under it; eleven ended in all.
-
-Sequence: a server began a caller's request and its process ended. The gateway answered 502, as it
-must for what may have run. The caller asked again, under a new request id and mostly through
-another gateway, and the next server ended. Servers came back after three to four seconds, and the
-caller's next repeat met one of them.
-
-Cause: what a gateway learned of a request ended with the client's attempt, and gateways told each
-other of servers only. A repeat began with a clean slate wherever it came.
-
-What settled it: at each end one to three attempts were lost before their first event, all of them
-with `step=answer-lost`, so no gateway had repeated them within a client's attempt; ends came at all
-addresses alike, so no place was sick. The test brings it about: eight repeats, eight ends.
+Guards against a caller that crashes one server after the other. The request crashes a server, the
+gateway answers 502 since the request may have been executed, and the caller repeats it under a new
+request id, mostly through another gateway. Each repeat crashes the next server and interrupts all
+streams there. This happens when a gateway drops its evidence with the client's attempt, or when
+gateways exchange evidence about servers only: eight repeats then crash eight servers.
 """
 
 from __future__ import annotations
@@ -44,30 +34,30 @@
 
 CRASHING_BODY = b"ends each server that runs it"
 HELD_BODY = b"a stream that goes on when the test says so"
-BESIDE = 12
+UNRELATED_REQUESTS = 12
 SERVERS = 6
 GATEWAYS = 3
-ENDS_ALLOWED = 3
+ALLOWED_CRASHES = 3
 SHORT_PROMPT = {
     "Model": "model-1",
     "Token_Usage": "40,8",
     "Prompt_Prefix": "5c1e07a2:20,91bd3f06:20",
 }
-"""Many of these fit into a stand-in's memory."""
+"""A stand-in server can hold many of these at a time."""
 REPEATS = 8
 RESETS = 12
-"""Enough to meet three servers: each is passed over after two."""
-TELL_SECONDS = 0.5
-"""Between two repeats: some ticks of the messages between gateways."""
+"""Enough to reach three servers, since each is skipped after two resets."""
+PROPAGATION_SECONDS = 0.5
+"""Pause between two repeats: several intervals of the messages between gateways."""
 RESTART_SECONDS = 0.2
 
 
 class CrashingFleet:
-    """Model servers that end under one caller's request and come back as new incarnations."""
+    """Model servers that crash under one caller's request and restart as new incarnations."""
 
     def __init__(self, harness: Harness) -> None:
         self.harness = harness
-        self.ended: list[str] = []
+        self.crashed: list[str] = []
         self.held = 0
         self._released = asyncio.Event()
         self._restarts: list[asyncio.Task[None]] = []
@@ -103,31 +93,31 @@
             if request.body != CRASHING_BODY or not of_caller:
                 await stream_of_four(server, request, writer)
                 return
-            self.ended.append(server.name)
+            self.crashed.append(server.name)
             self._restarts.append(asyncio.create_task(self._restart(server)))
             await server.crash()
 
         return behave
 
     async def _hold(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        """A stream that goes on after its first event when the test says so."""
+        """A stream that continues after its first event when the test releases it."""
         writer.write(stream_head(request) + chunk(event(1)))
         self.held += 1
         await self._released.wait()
         writer.write(chunk(event(2)) + b"0\r\n\r\n")
 
     def release(self) -> None:
-        """Let held requests be answered; those that come later are held again."""
+        """Answer the held requests; later ones are held again."""
         self.held = 0
         self._released.set()
         self._released = asyncio.Event()
 
     def release_for_good(self) -> None:
-        """Answer requests at once from now on."""
+        """Stop holding requests: answer them at once from now on."""
         self._released.set()
 
     async def _restart(self, server: StandinServer) -> None:
-        """The server is back after a while, at its address, as another incarnation."""
+        """Restart the server after a delay, at its address, as another incarnation."""
         await asyncio.sleep(RESTART_SECONDS)
         successor = StandinServer(f"{server.name}+", server.behaviour)
         await successor.start(server)
@@ -137,7 +127,7 @@
         harness.store.remove("servers", server.name)
 
     async def close(self) -> None:
-        """Let restarts end."""
+        """Wait for all restarts."""
         await asyncio.gather(*self._restarts)
 
 
@@ -150,14 +140,14 @@
 
 
 async def _contain(nodes: list[GatewayNode]) -> None:
-    """The caller repeats its request until three servers have ended."""
-    for number in range(ENDS_ALLOWED):
+    """Repeat the request until three servers have crashed."""
+    for number in range(ALLOWED_CRASHES):
         await _ask(nodes[number], CRASHING_BODY, f"repeat-{number}")
-        await asyncio.sleep(TELL_SECONDS)
+        await asyncio.sleep(PROPAGATION_SECONDS)
 
 
-def test_a_request_under_which_three_servers_ended_reaches_no_other() -> None:
-    """Whichever gateway its caller repeats it at, and under whatever request id."""
+def test_request_that_crashed_three_servers_reaches_no_other() -> None:
+    """This holds at every gateway and under every request id."""
 
     async def scenario(harness: Harness) -> None:
         fleet = CrashingFleet(harness)
@@ -166,12 +156,13 @@
         for number in range(REPEATS):
             node = nodes[number % GATEWAYS]
             answers.append(await _ask(node, CRASHING_BODY, f"repeat-{number}"))
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(PROPAGATION_SECONDS)
         await fleet.close()
-        assert len(fleet.ended) == ENDS_ALLOWED
-        # It ran: no promise. Later it is not sent, which the answer says, and when to come back.
-        assert {got.status for got in answers[:ENDS_ALLOWED]} == {502}
-        for got in answers[ENDS_ALLOWED:]:
+        assert len(fleet.crashed) == ALLOWED_CRASHES
+        # The first requests were executed: 502 without a guarantee. Later ones are not sent, and
+        # the answer says so, with Retry-After.
+        assert {got.status for got in answers[:ALLOWED_CRASHES]} == {502}
+        for got in answers[ALLOWED_CRASHES:]:
             assert got.status == 503
             assert b"request-contained" in got.body
             assert float(got.headers["retry-after"]) > 0.0
@@ -184,7 +175,7 @@
 
 
 def test_a_gateway_that_starts_later_knows_what_is_contained() -> None:
-    """From the other gateways, about a second after it follows or reads."""
+    """The gateway receives the evidence from the others about a second after it joins."""
 
     async def scenario(harness: Harness) -> None:
         fleet = CrashingFleet(harness)
@@ -194,16 +185,16 @@
         await harness.until(lambda: bool(late.context.crash_evidence))
         assert (await _ask(late, CRASHING_BODY, "late")).status == 503
         await fleet.close()
-        assert len(fleet.ended) == ENDS_ALLOWED
+        assert len(fleet.crashed) == ALLOWED_CRASHES
 
     run_with_gateway(scenario)
 
 
-def test_gateways_that_do_not_know_each_other_send_on_no_work_that_ended_a_server() -> None:
-    """They started while the store was away: what the others saw can't reach them.
+def test_gateways_without_known_members_do_not_resend_a_request_that_crashed_a_server() -> None:
+    """Gateways that started during an outage of the store get no evidence from each other.
 
-    Six servers ended under one request in twenty seconds of faults, since each of five gateways had
-    `gateways-unknown-at-start` and counted its own ends only. Other work is served meanwhile.
+    Guards against each gateway counting only its own crashes up to the full limit, so that more
+    servers crash than allowed. Other requests are served meanwhile.
     """
 
     async def scenario(harness: Harness) -> None:
@@ -216,13 +207,13 @@
         answers = []
         for number in range(REPEATS):
             answers.append(await _ask(nodes[number % GATEWAYS], CRASHING_BODY, f"r-{number}"))
-            await asyncio.sleep(TELL_SECONDS)
-        assert len(fleet.ended) == GATEWAYS
+            await asyncio.sleep(PROPAGATION_SECONDS)
+        assert len(fleet.crashed) == GATEWAYS
         assert {got.status for got in answers[GATEWAYS:]} == {503}
         assert (await _ask(nodes[0], b"other work", "other")).status == 200
         for node in nodes:
             node._fleet._on_gateways(list(node._fleet._directory._others.values()))
-        await asyncio.sleep(TELL_SECONDS)
+        await asyncio.sleep(PROPAGATION_SECONDS)
         assert all(node.context.crash_evidence.containments(node.context.now()) for node in nodes)
         await fleet.close()
 
@@ -230,7 +221,7 @@
 
 
 def test_connections_that_close_while_their_server_lives_contain_nothing() -> None:
-    """Only the end of a process is evidence: here something listens on after each loss."""
+    """Only a terminated process is evidence: here the server still listens after each loss."""
 
     async def scenario(harness: Harness) -> None:
         resets: list[str] = []
@@ -250,14 +241,14 @@
         assert harness.node is not None
         for number in range(RESETS):
             assert (await _ask(harness.node, CRASHING_BODY, f"repeat-{number}")).status == 502
-        assert len(set(resets)) >= ENDS_ALLOWED
+        assert len(set(resets)) >= ALLOWED_CRASHES
         assert (await _ask(harness.node, CRASHING_BODY, "again")).status == 200
 
     run_with_gateway(scenario)
 
 
-def test_work_that_crashes_cut_is_served_when_it_comes_again() -> None:
-    """The innocent that ran beside: cut with its servers, and not refused once."""
+def test_unrelated_requests_interrupted_by_crashes_are_served_when_repeated() -> None:
+    """Requests that ran alongside are interrupted by the crashes, and never refused."""
 
     async def scenario(harness: Harness) -> None:
         fleet = CrashingFleet(harness)
@@ -265,7 +256,7 @@
         cut = 0
         for number, node in enumerate(nodes):
             running = []
-            for copy in range(BESIDE):
+            for copy in range(UNRELATED_REQUESTS):
                 ask = _ask(node, HELD_BODY, f"beside-{number}-{copy}")
                 running.append(asyncio.create_task(ask))
                 await harness.until(lambda running=running: fleet.held >= len(running))
@@ -274,7 +265,7 @@
             answers = await asyncio.gather(*running)
             cut += sum(not got.whole for got in answers)
             assert {got.status for got in answers} == {200}
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(PROPAGATION_SECONDS)
         assert cut >= 1
         assert (await _ask(nodes[0], CRASHING_BODY, "repeat-9")).status == 503
         fleet.release_for_good()
@@ -286,11 +277,11 @@
 
 
 @pytest.mark.parametrize("shows_conflicts", [True, False])
-def test_what_is_contained_outlasts_the_end_of_all_gateways(shows_conflicts: bool) -> None:
-    """It stands in the object store: nobody else knows it when all of them start anew.
+def test_containments_survive_a_restart_of_all_gateways(shows_conflicts: bool) -> None:
+    """Containments are kept in the object store, since no gateway's memory survives.
 
-    A store need not show the object that a write conflicts with; here each entry has been written
-    by somebody else meanwhile.
+    A store need not return the object that a write conflicts with. Here each entry has been changed
+    by another writer in the meantime.
     """
 
     async def scenario(harness: Harness) -> None:
@@ -309,16 +300,16 @@
         late = await harness.add_gateway("front-1")
         await harness.until(lambda: late.context.is_ready() and bool(late.context.crash_evidence))
         assert (await _ask(late, CRASHING_BODY, "late")).status == 503
-        assert len(fleet.ended) == ENDS_ALLOWED
+        assert len(fleet.crashed) == ALLOWED_CRASHES
         writes = [call for call in harness.store.calls if call.method in ("POST", "PUT")]
-        # Each gateway once for its entry, and one, in vain at first, for what it contained.
+        # One write per gateway for its entry, and those for containments, which conflict at first.
         assert len([call for call in writes if f"/{kind}" in call.target]) <= GATEWAYS + 3
 
     run_with_gateway(scenario)
 
 
 def test_operators_see_what_is_contained_and_release_it() -> None:
-    """By the command, at any gateway and for all of them."""
+    """The command works at any gateway and takes effect at all of them."""
 
     async def scenario(harness: Harness) -> None:
         fleet = CrashingFleet(harness)
@@ -327,7 +318,7 @@
         port = await nodes[1].listen_for_operators(0, "/metrics")
         listed = await _command("contained", "list", "--gateway", port)
         [shown] = [json.loads(line) for line in listed.output.splitlines()]
-        assert shown["ends"] == ENDS_ALLOWED
+        assert shown["ends"] == ALLOWED_CRASHES
         unknown = await _command("contained", "release", "0" * 16, "--gateway", port)
         assert unknown.exit_code != 0
         released = await _command("contained", "release", shown["content"], "--gateway", port)
@@ -344,17 +335,17 @@
     return await asyncio.to_thread(CliRunner().invoke, app, list(arguments))
 
 
-def test_a_containment_learnt_while_connecting_says_nothing_of_the_server(
+def test_containment_received_while_connecting_does_not_affect_server_health(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request isn't sent, and its server isn't passed over for it."""
+    """The request is not sent, and its server is not ejected for it."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("e-1", "engine", stream_of_four, 1)
         await harness.start()
         assert harness.node is not None
         context = harness.node.context
-        contained = Containment(7, ENDS_ALLOWED, 0.0, 60.0)
+        contained = Containment(7, ALLOWED_CRASHES, 0.0, 60.0)
         answers = [None, contained, contained, contained]
         monkeypatch.setattr(context.crash_watch, "containment", lambda _: answers.pop(0))
         got = await _ask(harness.node, CRASHING_BODY, "learnt-late")
--- a/tests/gateway/servers/test_descriptors.py
+++ b/tests/gateway/servers/test_descriptors.py
@@ -1,9 +1,10 @@
-"""A gateway with few descriptors serves fewer clients at a time, and blames nobody for it.
+"""A gateway with few descriptors serves fewer clients at a time, and ejects no server for it.
 
-With 64 descriptors and 40 clients a process, two gateways ejected sound servers 89 times in 12 s,
-refused 187 of 1,893 requests and ended 41 without an answer. They accepted whatever came until
-nothing was left to open a connection to a server with, and took that for the server's failure; the
-event loop's own listener, which can't be held, then reset what waited.
+Guards against a gateway that accepts clients until no descriptor is left for connections to
+servers, and counts the failed connects against the servers. With 64 descriptors and 40 clients per
+process, two such gateways ejected healthy servers 89 times in 12 s, refused 187 of 1,893 requests
+and left 41 without an answer. The event loop's own listener cannot pause accepting and resets the
+waiting connections.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 
 
 def test_few_descriptors_cost_no_request_and_no_server(tmp_path: Path) -> None:
-    """Clients wait in the kernel's queue for their turns."""
+    """Clients wait in the kernel's backlog, and every request is answered."""
     report = asyncio.run(planned_soak(401, tmp_path, FEW))
     assert report["requests"] and not report["lost"] and not report["violations"]
     assert not report["judged"]
 
 
-def test_descriptors_are_divided() -> None:
-    """The smaller bound counts, and the store and the other gateways come first."""
+def test_descriptors_are_divided_among_their_uses() -> None:
+    """The smaller limit applies; the store's and the other gateways' descriptors are reserved."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     plan = descriptor_plan(124)
     assert plan.total == min(124, soft)
@@ -43,8 +44,8 @@
     assert descriptor_plan(3).clients == descriptors.MIN_CLIENTS
 
 
-def test_what_finds_no_room_waits_until_there_is_some() -> None:
-    """It is neither accepted nor reset."""
+def test_connections_beyond_capacity_wait_until_there_is_some() -> None:
+    """A waiting connection is neither accepted nor reset."""
 
     async def scenario() -> None:
         came: list[asyncio.BaseTransport] = []
@@ -77,10 +78,13 @@
 
 
 @pytest.mark.parametrize("failures", [1, 9])
-def test_a_lack_of_descriptors_is_not_the_servers_fault(
+def test_lack_of_descriptors_does_not_affect_server_health(
     failures: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Kept connections are closed for the request at hand; else it is refused, and has not run."""
+    """Idle connections are closed for the request; if that fails, it is refused without being run.
+
+    In neither case is the server ejected.
+    """
     real = connection_pool.open_connection
     left = [failures]
 
--- a/tests/gateway/servers/test_leaving_servers.py
+++ b/tests/gateway/servers/test_leaving_servers.py
@@ -1,4 +1,4 @@
-"""Servers that say in their answers that they leave, while their entry says that they are ready."""
+"""Servers whose answers signal that they are leaving, while their entries still say ready."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 from milletcourse.exchange.load.known_server import Signal
 from signalling_fleet import Mood, SignallingFleet
 
-HEARD_SECONDS = 0.5
-JUDGED_SECONDS = 1.0
+SIGNAL_SECONDS = 0.5
+OBSERVED_SECONDS = 1.0
 
 
 @pytest.mark.parametrize(("service", "path"), [("app", "/safe/"), ("engine", "/stream/")])
-def test_a_server_that_said_that_it_leaves_gets_no_requests(service: str, path: str) -> None:
-    """Only its entry was read, which doesn't change while the store is away."""
+def test_leaving_server_gets_no_requests(service: str, path: str) -> None:
+    """Guards against reading only the entry, which does not change during an outage of the store."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness, service)
         await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
         leaving = await fleet.most_asked(path)
         fleet.moods[leaving].leaves = True
-        await fleet.load(HEARD_SECONDS, path)
+        await fleet.load(SIGNAL_SECONDS, path)
         since = asyncio.get_running_loop().time()
-        await fleet.load(JUDGED_SECONDS, path)
+        await fleet.load(OBSERVED_SECONDS, path)
         assert fleet.arrivals[leaving].count_since(since) == 0
         assert set(fleet.statuses()) == {200}
 
     run_with_gateway(scenario)
 
 
-def test_a_server_that_leaves_stays_out_when_its_list_is_read_again() -> None:
-    """The list of an outage is older than the word."""
+def test_leaving_server_stays_excluded_when_its_list_is_read_again() -> None:
+    """A list that is read during an outage of the store is older than the signal."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(leaves=True), "s-2": Mood()}, gateways=1)
-        await fleet.load(HEARD_SECONDS)
+        await fleet.load(SIGNAL_SECONDS)
         entry = harness.store.objects["servers"]["s-1"]["Spec"]
         node = fleet.nodes[0]
         harness.store.remove("servers", "s-1")
@@ -48,14 +48,14 @@
         harness.store.put("servers", "s-1", entry)
         await harness.until(lambda: node.context.instances.get("s-1") is not None)
         since = asyncio.get_running_loop().time()
-        await fleet.load(JUDGED_SECONDS)
+        await fleet.load(OBSERVED_SECONDS)
         assert fleet.arrivals["s-1"].count_since(since) == 0
 
     run_with_gateway(scenario)
 
 
-def test_an_entry_that_said_draining_holds_when_an_older_one_is_read() -> None:
-    """As from a reader whose copy of the list is behind."""
+def test_draining_entry_stays_in_force_when_an_older_one_is_read() -> None:
+    """An older entry can come from a reader whose copy of the list lags behind."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
@@ -67,7 +67,7 @@
         harness.store.put("servers", "s-1", ready)
         await harness.until(lambda: not _is_draining(fleet))
         since = asyncio.get_running_loop().time()
-        await fleet.load(JUDGED_SECONDS)
+        await fleet.load(OBSERVED_SECONDS)
         assert fleet.arrivals["s-1"].count_since(since) == 0
         assert instances.get("s-1") is not None
 
@@ -78,13 +78,13 @@
     return fleet.instance(fleet.nodes[0], "s-1").record.draining
 
 
-def test_a_gateway_that_starts_later_sends_nothing_to_a_server_that_leaves() -> None:
-    """What it says is a fact for all of them."""
+def test_gateway_that_starts_later_sends_nothing_to_a_leaving_server() -> None:
+    """The signal of a server applies to all gateways."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(leaves=True), "s-2": Mood()})
-        await fleet.load(HEARD_SECONDS)
+        await fleet.load(SIGNAL_SECONDS)
         late = await harness.add_gateway("front-9")
         await harness.until(lambda: fleet.knows_all(late, GATEWAYS + 1))
         signals = late.context.server_signals
@@ -92,19 +92,19 @@
         await harness.until(lambda: signals.signal(key, 0.0) is Signal.LEAVING)
         fleet.nodes = [late]
         since = asyncio.get_running_loop().time()
-        await fleet.load(JUDGED_SECONDS)
+        await fleet.load(OBSERVED_SECONDS)
         assert fleet.arrivals["s-1"].count_since(since) == 0
 
     run_with_gateway(scenario)
 
 
 def test_requests_are_refused_at_once_when_all_servers_leave() -> None:
-    """They have not run, and the caller is told so."""
+    """The requests are not executed, and the refusal says so."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(leaves=True), "s-2": Mood(leaves=True)}, gateways=1)
-        await fleet.load(HEARD_SECONDS)
+        await fleet.load(SIGNAL_SECONDS)
         since = asyncio.get_running_loop().time()
         node = fleet.nodes[0]
         client = await Client.connect(node.frontend_address)
--- a/tests/gateway/servers/test_server_backoff.py
+++ b/tests/gateway/servers/test_server_backoff.py
@@ -1,4 +1,4 @@
-"""Servers that turn requests away and say for how long they want nothing more."""
+"""Servers that reject requests and request back-off for some seconds."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @pytest.mark.parametrize(("service", "path"), [("app", "/safe/"), ("engine", "/stream/")])
-def test_servers_are_not_asked_in_their_rest_when_all_of_them_rest(service: str, path: str) -> None:
-    """Each request was sent to two of them, and turned away."""
+def test_servers_get_no_requests_while_all_of_them_back_off(service: str, path: str) -> None:
+    """Guards against sending each request to two servers that both reject it."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness, service)
@@ -37,8 +37,8 @@
     run_with_gateway(scenario)
 
 
-def test_callers_are_told_the_end_of_the_rest() -> None:
-    """What can't be served now can be served then."""
+def test_retry_after_names_the_end_of_the_back_off() -> None:
+    """Retry-After points to the time when the servers accept requests again."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
@@ -53,8 +53,8 @@
     run_with_gateway(scenario)
 
 
-def test_requests_are_served_again_when_the_rest_is_over() -> None:
-    """Nothing else is needed for it."""
+def test_requests_are_served_again_after_the_back_off() -> None:
+    """The back-off ends by time alone."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
@@ -70,14 +70,14 @@
     run_with_gateway(scenario)
 
 
-def test_a_rest_holds_when_the_server_has_new_weights() -> None:
-    """The end of an order was taken for the end of all that kept work away."""
+def test_back_off_stays_in_force_when_the_server_has_new_weights() -> None:
+    """Guards against a completed order that also ends a requested back-off."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness, "engine")
         await fleet.start({"s-1": Mood(), "s-2": Mood()}, gateways=1)
         resting = await fleet.most_asked("/stream/")
-        await _until_it_rests(fleet, resting, "60", "/stream/")
+        await _load_until_back_off(fleet, resting, "60", "/stream/")
         assert resting not in _candidates(fleet, "engine", 0.0)
         fleet.instance(fleet.nodes[0], resting).note_version("model-1", 2)
         assert resting not in _candidates(fleet, "engine", 0.0)
@@ -85,21 +85,21 @@
     run_with_gateway(scenario)
 
 
-def test_a_rest_of_ten_seconds_lasts_ten_seconds() -> None:
-    """It was cut to five."""
+def test_back_off_of_ten_seconds_lasts_ten_seconds() -> None:
+    """Guards against an upper bound of five seconds."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(), "s-2": Mood()}, gateways=1)
-        await _until_it_rests(fleet, "s-1", "10", "/safe/")
+        await _load_until_back_off(fleet, "s-1", "10", "/safe/")
         assert _candidates(fleet, "app", 9.0) == {"s-2"}
         assert _candidates(fleet, "app", 10.1) == {"s-1", "s-2"}
 
     run_with_gateway(scenario)
 
 
-async def _until_it_rests(fleet: SignallingFleet, name: str, rest: str, path: str) -> None:
-    """Send until a server has asked for rest."""
+async def _load_until_back_off(fleet: SignallingFleet, name: str, rest: str, path: str) -> None:
+    """Send requests until a server has requested back-off."""
     fleet.moods[name].rest = rest
     while not fleet.arrivals[name].refused_at:
         await fleet.load(0.05, path)
@@ -115,8 +115,8 @@
     return {instance.name for instance in found}
 
 
-def test_operators_see_what_servers_say_and_which_requests_it_kept_away() -> None:
-    """By the command at the gateway, its figures, and the lines of a request."""
+def test_operators_see_signals_and_the_requests_that_they_kept_away() -> None:
+    """The command at the gateway, its metrics and the log lines of a request show them."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
@@ -155,8 +155,8 @@
     run_with_gateway(scenario)
 
 
-def test_the_end_of_an_order_says_nothing_of_refusals() -> None:
-    """A server that has its weights may still be full."""
+def test_completed_order_does_not_clear_rejections() -> None:
+    """A server that has loaded its weights may still be overloaded."""
     instance = Instance(InstanceRecord("s-1", "engine", "127.0.0.1:1"))
     instance.health.on_order(5.0)
     instance.health.on_result(AttemptResult.TURNED_AWAY, 1.0)
--- a/tests/gateway/servers/test_server_limits.py
+++ b/tests/gateway/servers/test_server_limits.py
@@ -1,17 +1,13 @@
-"""Servers that name how many requests a second they take from all gateways together.
+"""Servers that announce how many requests per second they accept from all gateways together.
 
-Two model servers named a limit of 1.1 and of 1 request a second in their answers, and went on to
-get as many requests as their neighbours: 12 in 4 s, where 11.6 and 11 are borne. No gateway read
-the field. The answers passed through all seven gateways on their way to clients, so each could have
-known, and each chose servers as if nothing had been said.
+Guards against gateways that ignore an announced limit, or that each keep it on their own. Servers
+with limits of 1.1 and 1 request per second then get as many requests as servers without one: 12 in
+4 s, where 11.6 and 11 are tolerated. With three gateways that read the limit without enforcing it,
+a server that announces 2 per second gets 835 to 866 requests in 4 s, where 17 are tolerated.
 
-What settled it: from 8 s to 24 s the two got 46 and 48 requests, the four beside them 39 to 54, and
-the word stood nowhere in the code. On three gateways that read and log it but do no more, a server
-that names 2 a second gets 835 to 866 requests in 4 s in five runs, where 17 are borne.
-
-Cause: what a server says of its own need was not read. Reading it at each gateway would not have
-been enough: a seventh of one request a second is no allowance that a gateway could keep by itself.
-One gateway lends each server's requests now, and each send asks it.
+A fixed share per gateway does not work either: a seventh of one request per second is too little
+for a gateway to enforce. Therefore one gateway owns each server's quota and grants a permit for
+each send.
 """
 
 from __future__ import annotations
@@ -47,12 +43,12 @@
 from milletcourse.gateway.node import GatewayNode
 from milletcourse.gateway.servers.server_connection import ServerConnection
 
-KNOWN_AFTER_SECONDS = 1.0
-SLOWER_SECONDS = 0.05
+PROPAGATION_SECONDS = 1.0
+UNLIMITED_DELAY_SECONDS = 0.05
 
 
 class LimitedFleet(GatewayFleet):
-    """Servers that name limits, gateways, and clients that send to all of these in turn."""
+    """Servers with limits, gateways, and clients that send to all gateways in turn."""
 
     def __init__(self, harness: Harness) -> None:
         super().__init__(harness)
@@ -60,7 +56,7 @@
         self.arrivals: dict[str, list[float]] = {}
 
     async def start(self, limits: dict[str, str], gateways: int = GATEWAYS) -> None:
-        """Start servers, each with the limit that it names, empty for none, and gateways."""
+        """Start servers, each with its announced limit (empty for none), and gateways."""
         harness = self.harness
         self.limits = dict(limits)
         harness.internal_ports = harness.free_ports()
@@ -77,26 +73,26 @@
         if self.limits[server.name]:
             fields["Server-Limit"] = self.limits[server.name]
         else:
-            # The limited ones look like the better choice.
-            await asyncio.sleep(SLOWER_SECONDS)
+            # The delay makes the servers with limits look like the better choice.
+            await asyncio.sleep(UNLIMITED_DELAY_SECONDS)
         writer.write(answer(200, server.name.encode(), fields))
 
     def limit_at(self, node: GatewayNode, name: str) -> float | None:
-        """A server's limit as a gateway knows it."""
+        """The limit of a server that is known to a gateway."""
         return node.context.server_signals.per_second(self.instance(node, name).key)
 
     def most_in_window(self, name: str, since: float) -> int:
-        """Most requests that a server got in a window."""
+        """Largest number of requests that a server got in a window."""
         return most_in_window((at for at in self.arrivals[name] if at >= since), WINDOW_SECONDS)
 
 
 def test_gateways_together_keep_to_a_limit_that_a_server_names() -> None:
-    """It gets no more than it bears from all of them; the others serve the rest."""
+    """A server gets no more than its limit from all gateways; other servers take the remainder."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
         await fleet.start({"s-1": "2", "s-2": "2.0", "s-3": ""})
-        await fleet.load(KNOWN_AFTER_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         since = asyncio.get_running_loop().time()
         await fleet.load(WINDOW_SECONDS + 1.0)
         most = {name: fleet.most_in_window(name, since) for name in ("s-1", "s-2")}
@@ -106,13 +102,13 @@
     run_with_gateway(scenario)
 
 
-def test_what_all_servers_limit_is_refused_at_once_and_the_limit_is_used() -> None:
-    """The refusal is true, and says when there may be room."""
+def test_requests_beyond_all_limits_are_refused_at_once_and_the_limits_are_used() -> None:
+    """The refusal is correct, and its Retry-After says when there may be capacity."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
         await fleet.start({"s-1": "4", "s-2": "4"})
-        await fleet.load(KNOWN_AFTER_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         since = asyncio.get_running_loop().time()
         fleet.answers.clear()
         await fleet.load(WINDOW_SECONDS + 1.0)
@@ -130,12 +126,12 @@
 
 
 def test_a_limit_that_ends_is_over_at_all_gateways() -> None:
-    """Who holds back doesn't see the server's answers, and has to be told."""
+    """A gateway that sends nothing does not see the server's answers and must be notified."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
         await fleet.start({"s-1": "2", "s-2": ""})
-        await fleet.load(KNOWN_AFTER_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         assert [fleet.limit_at(node, "s-1") for node in fleet.nodes] == [2.0] * GATEWAYS
         fleet.limits["s-1"] = ""
         await fleet.load(2.0)
@@ -148,7 +144,7 @@
 
 
 def test_gateways_that_have_not_used_a_server_know_its_limit() -> None:
-    """Also one that starts later: the server's need is the same."""
+    """This includes a gateway that starts later."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
@@ -164,18 +160,18 @@
     run_with_gateway(scenario)
 
 
-def test_a_lender_that_is_gone_is_replaced_and_nothing_more_is_sent() -> None:
-    """Its entry in the list of gateways stands on, as after a crash."""
+def test_stopped_quota_owner_is_replaced_and_the_limit_is_kept() -> None:
+    """The owner's entry in the list of gateways remains, as after a crash."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
         await fleet.start({"s-1": "2"})
-        await fleet.load(KNOWN_AFTER_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         key = fleet.instance(fleet.nodes[0], "s-1").key
         lender = fleet.nodes[0].context.permits.homes.lender(key, 0.0).name
-        gone = next(node for node in fleet.nodes if node.context.settings.name == lender)
-        gone.close()
-        fleet.nodes.remove(gone)
+        stopped = next(node for node in fleet.nodes if node.context.settings.name == lender)
+        stopped.close()
+        fleet.nodes.remove(stopped)
         since = asyncio.get_running_loop().time()
         await fleet.load(WINDOW_SECONDS + 2.0)
         assert 3 <= fleet.most_in_window("s-1", since) <= borne_in_window(2.0)
@@ -183,13 +179,13 @@
     run_with_gateway(scenario)
 
 
-def test_a_server_that_says_different_numbers_gets_no_more_than_the_greater() -> None:
-    """The newest word holds, over connections and gateways that disagree."""
+def test_server_with_changing_limits_gets_no_more_than_the_greatest() -> None:
+    """The newest limit applies, even when connections and gateways disagree."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
         await fleet.start({"s-1": "1", "s-2": ""})
-        await fleet.load(KNOWN_AFTER_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         since = asyncio.get_running_loop().time()
         for limit in ("3", "1", "2.5", "0", "3"):
             fleet.limits["s-1"] = limit
@@ -199,8 +195,8 @@
     run_with_gateway(scenario)
 
 
-def test_words_that_are_no_limit_change_nothing_and_are_told_once() -> None:
-    """What the server said before holds on."""
+def test_malformed_limits_change_nothing_and_are_logged_once() -> None:
+    """The previous limit stays in force."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
@@ -213,7 +209,7 @@
                 shown.append(fields["shown"])
 
         setattr(record._log, "emit", emit)  # noqa: B010
-        await fleet.load(KNOWN_AFTER_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         for word in ("nan", "-3", "nan", "1e308"):
             fleet.limits["s-1"] = word
             await fleet.load(1.2)
@@ -223,8 +219,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_request_is_not_sent_when_the_limit_comes_up_before_its_connection() -> None:
-    """It says nothing of the server, and goes elsewhere."""
+def test_request_is_not_sent_when_a_limit_is_received_while_connecting() -> None:
+    """The request goes to another server, and the first one's health is not affected."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
@@ -252,8 +248,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_begun_stream_is_not_offered_to_a_server_that_limits_its_requests() -> None:
-    """A second run beside the first is no work for a server in need."""
+def test_started_stream_is_not_offered_to_a_server_that_limits_its_requests() -> None:
+    """A second run of a request must not use up the capacity of a limited server."""
     began: list[str] = []
 
     async def silent_stream(
@@ -285,8 +281,8 @@
     run_with_gateway(scenario)
 
 
-def _turning_away(seconds: str) -> Behaviour:
-    """A server that takes nothing now, and says for how long."""
+def _rejecting(seconds: str) -> Behaviour:
+    """A server that rejects every request with the given Retry-After."""
 
     async def behave(
         server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
@@ -297,19 +293,19 @@
     return behave
 
 
-async def _slowly(
+async def _answer_slowly(
     server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    await asyncio.sleep(2 * SLOWER_SECONDS)
+    await asyncio.sleep(2 * UNLIMITED_DELAY_SECONDS)
     await serve_whole(server, request, writer)
 
 
-def test_a_server_that_says_when_it_takes_more_is_not_asked_before() -> None:
-    """It was asked again after 0.15 s, however long it had said."""
+def test_server_gets_no_request_before_its_retry_after() -> None:
+    """Guards against asking the server again after 0.15 s, whatever its Retry-After."""
 
     async def scenario(harness: Harness) -> None:
-        busy = await harness.add_server("s-1", "app", _turning_away("2.5"))
-        await harness.add_server("s-2", "app", _slowly)
+        busy = await harness.add_server("s-1", "app", _rejecting("2.5"))
+        await harness.add_server("s-2", "app", _answer_slowly)
         await harness.start()
         client = await harness.client()
         ends_at = asyncio.get_running_loop().time() + 1.5
@@ -321,12 +317,12 @@
     run_with_gateway(scenario)
 
 
-def test_callers_are_told_the_soonest_time_that_servers_said() -> None:
-    """A time that is none, or a date, says nothing."""
+def test_callers_get_the_earliest_retry_after_of_the_servers() -> None:
+    """A Retry-After that is not a number is ignored."""
 
     async def scenario(harness: Harness) -> None:
         for name, seconds in (("s-1", "2.5"), ("s-2", "3"), ("s-3", "soon")):
-            await harness.add_server(name, "app", _turning_away(seconds))
+            await harness.add_server(name, "app", _rejecting(seconds))
         await harness.start()
         client = await harness.client()
         result = await client.ask("/safe/")
@@ -337,7 +333,7 @@
 
 
 def test_operators_see_limits_and_which_request_met_one() -> None:
-    """By the command at any gateway, and from a request's id."""
+    """The command at any gateway shows limits, and the log shows them by request id."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
@@ -368,11 +364,11 @@
     return str(json.loads(result.body)["type"]).rpartition(":")[2]
 
 
-def test_a_refusal_for_a_limit_says_so_when_the_pause_ends_meanwhile() -> None:
-    """Callers were told that no server may take it, and to come back by no limit.
+def test_refusal_names_the_limit_when_the_pause_ends_meanwhile() -> None:
+    """The refusal gives the reason as of the selection, not as of a later lookup.
 
-    The servers were left out for their pauses, and the reason was looked up a moment later: on a
-    busy machine 0.05 s, when the pauses had just ended.
+    Servers are left out for their pauses. If the reason is looked up later (0.05 s on a busy
+    machine), the pauses may have ended, and callers get a refusal without the limit's Retry-After.
     """
 
     async def scenario(harness: Harness) -> None:
@@ -396,19 +392,19 @@
     run_with_gateway(scenario)
 
 
-def test_a_refusal_for_a_silent_lender_names_the_limit() -> None:
-    """The server is sound, and only its limit keeps the request from it."""
+def test_refusal_for_a_silent_quota_owner_names_the_limit() -> None:
+    """The server is healthy, and only its limit keeps the request from it."""
 
     async def scenario(harness: Harness) -> None:
         fleet = LimitedFleet(harness)
         await fleet.start({"s-1": "2"})
-        await fleet.load(KNOWN_AFTER_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         key = fleet.instance(fleet.nodes[0], "s-1").key
         home = fleet.nodes[0].context.permits.homes.lender(key, 0.0).name
-        asker = next(node for node in fleet.nodes if node.context.settings.name != home)
-        asker.context.permits.pauses.end(key)
-        asker.context.permits.send = lambda name, message: None
-        client = await Client.connect(asker.frontend_address)
+        requester = next(node for node in fleet.nodes if node.context.settings.name != home)
+        requester.context.permits.pauses.end(key)
+        requester.context.permits.send = lambda name, message: None
+        client = await Client.connect(requester.frontend_address)
         result = await client.ask("/safe/", "unheard")
         assert (result.status, _code(result)) == (503, "servers-at-limit")
 
--- a/tests/gateway/servers/test_shared_connections.py
+++ b/tests/gateway/servers/test_shared_connections.py
@@ -1,4 +1,4 @@
-"""Servers that take some connections from all gateways together, and reset what is beyond."""
+"""Servers that accept a number of connections from all gateways together and reset further ones."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 )
 from milletcourse.gateway.node import GatewayNode
 
-TAKES = 6
+MAX_CONNECTIONS = 6
 GATEWAYS = 3
-AT_ONCE = 4
-"""Requests that one gateway has at the server, while the others have none there."""
+CONCURRENT_REQUESTS = 4
+"""Requests that one gateway runs at the server while the others run none there."""
 
 
-def test_idle_connections_of_all_gateways_leave_room_for_requests() -> None:
-    """Each kept what it had needed at some time, and others' requests were reset."""
+def test_idle_connections_of_all_gateways_leave_capacity_for_requests() -> None:
+    """Guards against gateways that keep idle connections, so that others' requests are reset."""
 
     async def scenario(harness: Harness) -> None:
         open_connections: set[int] = set()
@@ -41,7 +41,7 @@
         await harness.add_server("s-1", "app", behave)
         services = configuration()["Services"]
         for service in services:
-            service["MaxConnections"] = TAKES
+            service["MaxConnections"] = MAX_CONNECTIONS
         harness.store.put("config", "main", configuration(Services=services))
         await harness.start_gateway()
         await harness.until(harness.is_ready)
@@ -52,13 +52,15 @@
         for node in nodes:
             await harness.until(lambda node=node: _knows_all(node))
         for node in nodes * 2:
-            clients = [await Client.connect(node.frontend_address) for _ in range(AT_ONCE)]
+            clients = [
+                await Client.connect(node.frontend_address) for _ in range(CONCURRENT_REQUESTS)
+            ]
             results = await asyncio.gather(
                 *(client.ask("/safe/", f"r-{number}") for number, client in enumerate(clients))
             )
             assert {result.status for result in results} == {200}
             await asyncio.sleep(0.02)
-        assert most <= TAKES
+        assert most <= MAX_CONNECTIONS
 
     run_with_gateway(scenario)
 
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -1,7 +1,8 @@
-"""Words of servers, sends, connections, restarts and lists in any order, against the pages' rules.
+"""Signals of servers, sends, connections, restarts and lists in any order, against the documented
+rules.
 
 Two gateways know the same servers. A request is sent in two steps, as in the product: a server is
-chosen, and when the connection to it is up the last check is asked before the bytes go out.
+selected, and after the connection is established the last check is made before the bytes are sent.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
 def answer_head(
     instance: str, status: int = 200, leaving: bool = False, rest: float | None = None
 ) -> AnswerHead:
-    """The head of an answer that says something of its server."""
+    """The head of an answer that carries signals of its server."""
     return AnswerHead(
         status=status,
         reason=b"",
@@ -74,7 +75,7 @@
 
 
 class ModelGateway:
-    """The product's own cores and checks, of one gateway."""
+    """One gateway, made of the product's own components and checks."""
 
     def __init__(self, name: str, now: list[float]) -> None:
         self._now = now
@@ -101,7 +102,7 @@
         )
 
     def now(self) -> float:
-        """The machine's time."""
+        """The time of the state machine."""
         return self._now[0]
 
     def choose(self) -> list[Instance]:
@@ -115,16 +116,16 @@
 
 
 @dataclass
-class Heard:
-    """What one gateway heard of one incarnation, by the machine's own account."""
+class ReceivedSignals:
+    """What one gateway received from one incarnation, as recorded by the state machine."""
 
-    left_at: float | None = None
+    leaving_at: float | None = None
     rests: list[tuple[float, float]] = field(default_factory=list)
     sent_at: list[float] = field(default_factory=list)
 
 
 class SignalMachine(RuleBasedStateMachine):
-    """Servers that say things, and gateways that send to them."""
+    """Servers that send signals, and gateways that send requests to them."""
 
     gateway_type = ModelGateway
 
@@ -134,20 +135,20 @@
         self.gateways = {name: self.gateway_type(name, self.clock) for name in GATEWAYS}
         self.started_ms = dict.fromkeys(NAMES, 1000)
         self.leaves = dict.fromkeys(NAMES, False)
-        self.heard: dict[tuple[str, str, int], Heard] = {}
+        self.received: dict[tuple[str, str, int], ReceivedSignals] = {}
         self.connecting: list[tuple[str, Instance]] = []
         for gateway in GATEWAYS:
             for name in NAMES:
                 self.list_shows(gateway, name, False)
 
-    def of(self, gateway: str, instance: Instance) -> Heard:
-        """The account of one gateway and one incarnation."""
+    def of(self, gateway: str, instance: Instance) -> ReceivedSignals:
+        """The record for one gateway and one incarnation."""
         key = (gateway, instance.name, instance.record.started_ms)
-        return self.heard.setdefault(key, Heard())
+        return self.received.setdefault(key, ReceivedSignals())
 
     @rule(seconds=st.floats(0.01, 4.0))
     def wait(self, seconds: float) -> None:
-        """Time goes by."""
+        """Time passes."""
         self.clock[0] += seconds
         for gateway in self.gateways.values():
             present = {instance.key for instance in gateway.table}
@@ -155,7 +156,7 @@
 
     @rule(gateway=st.sampled_from(GATEWAYS), name=st.sampled_from(NAMES), draining=st.booleans())
     def list_shows(self, gateway: str, name: str, draining: bool) -> None:
-        """The entry of a server is read, maybe an older one of the same start."""
+        """The entry of a server is read, possibly an older one of the same incarnation."""
         record = InstanceRecord(
             name, "app", f"{name}:1", draining=draining, started_ms=self.started_ms[name]
         )
@@ -164,29 +165,31 @@
         instance = here.table.get(name)
         assert instance is not None
         if draining:
-            heard = self.of(gateway, instance)
-            heard.left_at = heard.left_at if heard.left_at is not None else self.clock[0]
+            received = self.of(gateway, instance)
+            received.leaving_at = (
+                received.leaving_at if received.leaving_at is not None else self.clock[0]
+            )
 
     @rule(gateway=st.sampled_from(GATEWAYS), name=st.sampled_from(NAMES))
     def entry_goes(self, gateway: str, name: str) -> None:
-        """From the list that a gateway sees."""
+        """A server's entry is removed from the list that a gateway sees."""
         self.gateways[gateway].table.remove(name, self.clock[0])
 
     @rule(name=st.sampled_from(NAMES))
     def server_restarts(self, name: str) -> None:
-        """Under its name; entries tell of it later."""
+        """A server restarts under its name; entries show it later."""
         self.started_ms[name] += 1000
         self.leaves[name] = False
         self.connecting = [item for item in self.connecting if item[1].name != name]
 
     @rule(name=st.sampled_from(NAMES))
     def server_leaves(self, name: str) -> None:
-        """From now on its answers say so."""
+        """A server is shutting down; from now on its answers signal it."""
         self.leaves[name] = True
 
     @rule(gateway=st.sampled_from(GATEWAYS), name=st.sampled_from(NAMES))
     def order_ends(self, gateway: str, name: str) -> None:
-        """A server has its weights."""
+        """A server has loaded its weights."""
         instance = self.gateways[gateway].table.get(name)
         if instance is not None:
             instance.health.on_ready()
@@ -195,7 +198,7 @@
         gateway=st.sampled_from(GATEWAYS), pick=st.integers(0, 1), requests=st.sampled_from((1, 3))
     )
     def begin(self, gateway: str, pick: int, requests: int) -> None:
-        """Requests are to go to one of the servers that may be chosen."""
+        """Requests are assigned to one of the servers that may be selected."""
         chosen = self.gateways[gateway].choose()
         if chosen:
             self.connecting += [(gateway, chosen[pick % len(chosen)])] * requests
@@ -203,23 +206,23 @@
     @precondition(lambda self: bool(self.connecting))
     @rule()
     def entry_says_leaving_while_connecting(self) -> None:
-        """The word comes between the choice of a server and the send."""
+        """The signal arrives between the selection of a server and the send."""
         gateway, instance = self.connecting[-1]
         self.list_shows(gateway, instance.name, True)
 
     @rule(rest=st.one_of(st.none(), st.floats(0.5, 30.0)), stranger=st.booleans())
     def connection_is_up(self, rest: float | None, stranger: bool) -> None:
-        """The request goes out if it may, and its server answers at once."""
+        """The request is sent if the last check allows it, and its server answers at once."""
         if not self.connecting:
             return
         gateway, instance = self.connecting.pop(0)
         here = self.gateways[gateway]
         if not here.may_go_out(instance):
             return
-        heard = self.of(gateway, instance)
-        heard.sent_at.append(self.clock[0])
+        received = self.of(gateway, instance)
+        received.sent_at.append(self.clock[0])
         if stranger:
-            # Another server has the address now: what it says is its own.
+            # Another server has the address now, and its signals apply to that server only.
             head = answer_head("s-9", 421, leaving=True, rest=9.0)
             here.watch.on_answer(instance, head, self.clock[0])
             return
@@ -230,13 +233,13 @@
         here.watch.on_answer(instance, head, self.clock[0])
         if rest is not None:
             instance.health.on_result(AttemptResult.TURNED_AWAY, self.clock[0])
-            heard.rests.append((self.clock[0], rest))
-        if leaves and heard.left_at is None:
-            heard.left_at = self.clock[0]
+            received.rests.append((self.clock[0], rest))
+        if leaves and received.leaving_at is None:
+            received.leaving_at = self.clock[0]
 
     @rule(sender=st.sampled_from(GATEWAYS))
     def gateways_tell(self, sender: str) -> None:
-        """One tells the other what it knows."""
+        """One gateway reports what it knows to the other."""
         reports = self.gateways[sender].signals.to_tell(self.clock[0], 0.0)
         for name, gateway in self.gateways.items():
             if name != sender:
@@ -244,39 +247,41 @@
 
     @invariant()
     def no_send_after_the_word(self) -> None:
-        """To a server that leaves: none at all, far inside the bound."""
-        for heard in self.heard.values():
-            if heard.left_at is not None:
-                assert all(at <= heard.left_at for at in heard.sent_at)
+        """A leaving server gets no request, although the rule allows some for a short time."""
+        for received in self.received.values():
+            if received.leaving_at is not None:
+                assert all(at <= received.leaving_at for at in received.sent_at)
 
     @invariant()
     def rests_are_kept(self) -> None:
-        """Two requests of a gateway at most."""
-        for heard in self.heard.values():
-            for start, seconds in heard.rests:
+        """A gateway sends at most two requests to a server during its back-off."""
+        for received in self.received.values():
+            for start, seconds in received.rests:
                 inside = [
-                    at for at in heard.sent_at if start + REST_SLACK_SECONDS < at < start + seconds
+                    at
+                    for at in received.sent_at
+                    if start + REST_SLACK_SECONDS < at < start + seconds
                 ]
                 assert len(inside) <= MOST_IN_A_REST
 
     @invariant()
     def who_said_nothing_is_used(self) -> None:
-        """An incarnation that neither leaves nor rests is a candidate."""
+        """An incarnation that neither shuts down nor requested back-off is a candidate."""
         for name, gateway in self.gateways.items():
             chosen = {instance.name for instance in gateway.choose()}
             for instance in gateway.table:
-                if not self._has_a_word(name, instance):
+                if not self._has_signal(name, instance):
                     assert instance.name in chosen
 
-    def _has_a_word(self, gateway: str, instance: Instance) -> bool:
-        accounts = [
-            heard
-            for (_, name, started_ms), heard in self.heard.items()
+    def _has_signal(self, gateway: str, instance: Instance) -> bool:
+        records = [
+            received
+            for (_, name, started_ms), received in self.received.items()
             if (name, started_ms) == (instance.name, instance.record.started_ms)
         ]
         rests = self.of(gateway, instance).rests
         is_resting = any(self.clock[0] < start + seconds for start, seconds in rests)
-        return is_resting or any(heard.left_at is not None for heard in accounts)
+        return is_resting or any(received.leaving_at is not None for received in records)
 
 
 FIND_ONLY = (Phase.generate,)
@@ -286,7 +291,7 @@
 
 
 class FallsBackGateway(ModelGateway):
-    """When all have said that they want nothing, it asks them all the same, as before."""
+    """Known defect: when all servers refuse requests by signal, it sends to them anyway."""
 
     def choose(self) -> list[Instance]:
         """Servers that a request may go to."""
@@ -298,7 +303,7 @@
 
 
 class SkipsTheLastCheckGateway(ModelGateway):
-    """What is said while a connection comes up isn't heard."""
+    """Known defect: signals that arrive while connecting are ignored."""
 
     def may_go_out(self, instance: Instance) -> bool:
         """The last check."""
@@ -306,7 +311,7 @@
 
 
 class KeepsWordsByNameGateway(ModelGateway):
-    """A word outlives the start that said it."""
+    """Known defect: a signal outlives the incarnation that sent it."""
 
     def __init__(self, name: str, now: list[float]) -> None:
         super().__init__(name, now)
@@ -323,7 +328,7 @@
 
 
 class EndsRestsWithOrdersGateway(ModelGateway):
-    """New weights end a rest."""
+    """Known defect: new weights end a requested back-off."""
 
     def choose(self) -> list[Instance]:
         """Servers that a request may go to."""
@@ -346,12 +351,12 @@
 
 
 def machine_with(gateway: type[ModelGateway]) -> type[SignalMachine]:
-    """The machine over other gateways."""
+    """The state machine with another type of gateway."""
     return type(gateway.__name__, (SignalMachine,), {"gateway_type": gateway})
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.__name__)
 def test_a_gateway_with_a_known_defect_is_found(mutant: type[ModelGateway]) -> None:
-    """Each breaks a rule, or leaves a sound server unused."""
+    """Each defect violates a rule or leaves a healthy server unused."""
     with pytest.raises(AssertionError):
         run_state_machine_as_test(machine_with(mutant), settings=SEARCH)
