--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -329,7 +329,7 @@
         if step is not NextStep.REFUSE:
             if late:
                 return AnswerLate("the server did not answer before the deadline")
-            return AnswerLost("the connection closed before the server's answer was complete")
+            return AnswerLost("the server's answer was lost or incomplete")
         containment = self._containment()
         if containment is not None:
             return containment.failure()
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -120,13 +120,15 @@
         seconds = self._context.permits.retry_seconds(self._servers(), self._selected_at)
         if seconds is None and not self.met_limit:
             return self._unavailable(retry_after)
-        detail = "all servers of the service have reached their request limits"
+        detail = "the servers of the service have reached their request limits"
         return ServersAtLimit(detail, retry_after + (seconds or 0.0))
 
     def _unavailable(self, retry_after: float) -> Failure:
         signals = self._signals_of_all(self._selected_at)
         if Signal.RESTING in signals:
-            return ServersResting("all servers requested back-off", self._seconds_until_retry())
+            return ServersResting(
+                "every server requested back-off or is shutting down", self._seconds_until_retry()
+            )
         if Signal.LEAVING in signals:
             return ServersLeaving("all servers are shutting down", retry_after)
         return NoEngineAvailable("no server is available for the request", retry_after)
--- a/tests/gateway/clients/test_client_edge_cases.py
+++ b/tests/gateway/clients/test_client_edge_cases.py
@@ -158,7 +158,7 @@
 
 
 def test_descriptors_at_their_limit(tmp_path: Path) -> None:
-    """Connections beyond the limit are closed; open ones get answers, and new ones do afterwards."""
+    """Connections beyond the limit are closed; open ones and later ones get answers."""
 
     async def scenario(harness: Harness, gateway: GatewayProcess, _: Path) -> None:
         started = await gateway.wait_for("started")
--- a/tests/gateway/servers/test_leaving_servers.py
+++ b/tests/gateway/servers/test_leaving_servers.py
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize(("service", "path"), [("app", "/safe/"), ("engine", "/stream/")])
 def test_leaving_server_gets_no_requests(service: str, path: str) -> None:
-    """Guards against reading only the entry, which does not change during an outage of the store."""
+    """Guards against reading only the entry, which cannot change during a store outage."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness, service)
