--- a/src/milletcourse/gateway/clients/connection_limiter.py
+++ b/src/milletcourse/gateway/clients/connection_limiter.py
@@ -54,10 +54,10 @@
         """Close the connections that are idle longest; reconnecting costs a client a handshake."""
         since = self._context.now() - MIN_IDLE_SECONDS
         states = ((client.state(), client) for client in self.clients if client.is_idle)
-        resting = [
+        idle = [
             (state.idle_since, id(client), client)
             for state, client in states
             if state.idle_since < since and not state.unread_bytes
         ]
-        for _, _, client in sorted(resting)[:count]:
+        for _, _, client in sorted(idle)[:count]:
             client.close()
--- a/src/milletcourse/gateway/requests/answer_relay.py
+++ b/src/milletcourse/gateway/requests/answer_relay.py
@@ -24,7 +24,7 @@
         has_started: Whether the head of a stream has been sent to the client.
         last_event_id: Id of the event after which a stream resumes.
         failure: The latest failure returned by a server. It is relayed when no attempt succeeds.
-        first_seconds: Seconds from the request to the first byte of its answer, 0 before that byte.
+        first_byte_seconds: Seconds from the request to the first byte of its answer, else 0.
         longest_gap_seconds: Longest pause in seconds between two chunks of the answer.
     """
 
@@ -34,7 +34,7 @@
         self.has_started = False
         self.last_event_id = request.last_event_id
         self.failure: ServerFailure | None = None
-        self.first_seconds = 0.0
+        self.first_byte_seconds = 0.0
         self.longest_gap_seconds = 0.0
         self._last_chunk_at = 0.0
         self._request = request
@@ -70,8 +70,8 @@
 
     def _begin(self) -> None:
         self._last_chunk_at = self._recorder.now()
-        self.first_seconds = self._last_chunk_at - self._request.received_at
-        self._recorder.first_answer(self.first_seconds)
+        self.first_byte_seconds = self._last_chunk_at - self._request.received_at
+        self._recorder.first_answer(self.first_byte_seconds)
 
     def end_stream(self) -> None:
         """Mark the stream as complete."""
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -311,7 +311,7 @@
                 self._job.route,
                 instance.name,
                 self._plan.sends,
-                relay.first_seconds,
+                relay.first_byte_seconds,
                 relay.longest_gap_seconds,
                 self._search.signals_by_server,
             )
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -148,8 +148,8 @@
         """Seconds until the caller may retry, spread after the first server's back-off ends."""
         now = self._selected_at
         signals = self._context.server_signals
-        rests = [signals.rest(instance.key, now) for instance in self._allowed(now)]
-        first = min((rest for rest in rests if rest is not None), key=lambda rest: rest.left)
+        back_offs = [signals.rest(instance.key, now) for instance in self._allowed(now)]
+        first = min((item for item in back_offs if item is not None), key=lambda item: item.left)
         drawn = self._context.random.random()
         return return_seconds(first.left, first.seconds, self._job.rank, drawn)
 
--- a/src/milletcourse/gateway/servers/crash_detector.py
+++ b/src/milletcourse/gateway/servers/crash_detector.py
@@ -105,13 +105,13 @@
 
     def on_instance_terminated(self, name: str) -> None:
         """An incarnation has terminated: recent losses there count against their requests."""
-        ended = [loss for loss in self._unverified_losses if loss.instance == name]
-        if not ended:
+        confirmed = [loss for loss in self._unverified_losses if loss.instance == name]
+        if not confirmed:
             return
         self._unverified_losses = [
             loss for loss in self._unverified_losses if loss.instance != name
         ]
-        for loss in ended:
+        for loss in confirmed:
             self._evidence.on_end(loss.identity, loss.server, loss.sent_at, loss.lost_at)
         self._on_update()
 
--- a/src/milletcourse/gateway/servers/descriptors.py
+++ b/src/milletcourse/gateway/servers/descriptors.py
@@ -52,6 +52,6 @@
         settings_bound or UNBOUNDED_DESCRIPTORS,
     ]
     total = min(bounds)
-    rest = max(total - RESERVED_DESCRIPTORS, 0)
-    clients = max(int(rest * CLIENT_SHARE), MIN_CLIENTS)
-    return DescriptorPlan(total, clients, int(rest * IDLE_SHARE))
+    remaining = max(total - RESERVED_DESCRIPTORS, 0)
+    clients = max(int(remaining * CLIENT_SHARE), MIN_CLIENTS)
+    return DescriptorPlan(total, clients, int(remaining * IDLE_SHARE))
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -161,9 +161,11 @@
         if per_second is None:
             return None
         now = self._now()
-        lender = self.homes.lender(instance.key, now)
-        said = round(self._signals.age(instance.key, now), 3)
-        return ServerLimitState(instance.name, per_second, said, lender.name, lender.standing.value)
+        owner = self.homes.lender(instance.key, now)
+        age_seconds = round(self._signals.age(instance.key, now), 3)
+        return ServerLimitState(
+            instance.name, per_second, age_seconds, owner.name, owner.standing.value
+        )
 
     def retry_seconds(self, instances: Iterable[Instance], now: float) -> float | None:
         """Seconds after which a refused caller may be served by one of these servers.
--- a/tests/gateway/requests/test_silent_servers.py
+++ b/tests/gateway/requests/test_silent_servers.py
@@ -139,7 +139,7 @@
     os.close(writable)
 
 
-def stalled_after(data: Callable[[ReceivedRequest], bytes], rest: bytes) -> Behaviour:
+def stalled_after(data: Callable[[ReceivedRequest], bytes], remainder: bytes) -> Behaviour:
     """Starts to answer; the remainder arrives while the gateway's event loop is blocked."""
 
     async def behave(
@@ -151,7 +151,7 @@
         write_directly(writer, data(request))
         # The gateway reads the first part; the remainder arrives while its loop is blocked.
         await asyncio.sleep(0.05)
-        await stall(lambda: write_directly(writer, rest))
+        await stall(lambda: write_directly(writer, remainder))
 
     return behave
 
@@ -171,10 +171,12 @@
     return answer(200, b"whole", {"Request-Id": request_id, "Server-Signature": "s-1"})
 
 
-async def count_sends_in_stall(harness: Harness, target: str, service: str, held: Behaviour) -> int:
+async def count_sends_in_stall(
+    harness: Harness, target: str, service: str, behaviour: Behaviour
+) -> int:
     """How many sends it took when the answer arrived while the gateway was stalled."""
     version = 1 if service == "engine" else None
-    servers = [await harness.add_server(f"s-{n}", service, held, version) for n in (1, 2)]
+    servers = [await harness.add_server(f"s-{n}", service, behaviour, version) for n in (1, 2)]
     await harness.start()
     prompt = PROMPT if service == "engine" else {}
     await (await harness.client()).ask(target, "id-1", Deadline_Ms="9000", **prompt)
@@ -215,14 +217,16 @@
     found: dict[str, object] = {}
 
     async def stream(harness: Harness) -> None:
-        held = stalled_after(beginning, chunk(event(3)) + chunk(event(4)) + b"0\r\n\r\n")
+        behaviour = stalled_after(beginning, chunk(event(3)) + chunk(event(4)) + b"0\r\n\r\n")
         found["servers of a stream"] = await count_sends_in_stall(
-            harness, "/stream/", "engine", held
+            harness, "/stream/", "engine", behaviour
         )
 
     async def answered(harness: Harness) -> None:
-        held = stalled_after(nothing, whole("id-1"))
-        found["servers of an answer"] = await count_sends_in_stall(harness, "/safe/", "app", held)
+        behaviour = stalled_after(nothing, whole("id-1"))
+        found["servers of an answer"] = await count_sends_in_stall(
+            harness, "/safe/", "app", behaviour
+        )
 
     async def connect(harness: Harness) -> None:
         found["ejected"] = await _is_ejected_after_stalled_connect(harness)
--- a/tests/gateway/servers/test_crashing_requests.py
+++ b/tests/gateway/servers/test_crashing_requests.py
@@ -253,7 +253,7 @@
     async def scenario(harness: Harness) -> None:
         fleet = CrashingFleet(harness)
         nodes = await fleet.start()
-        cut = 0
+        interrupted = 0
         for number, node in enumerate(nodes):
             running = []
             for copy in range(UNRELATED_REQUESTS):
@@ -263,10 +263,10 @@
             await _ask(node, CRASHING_BODY, f"repeat-{number}")
             fleet.release()
             answers = await asyncio.gather(*running)
-            cut += sum(not got.whole for got in answers)
+            interrupted += sum(not got.whole for got in answers)
             assert {got.status for got in answers} == {200}
             await asyncio.sleep(PROPAGATION_SECONDS)
-        assert cut >= 1
+        assert interrupted >= 1
         assert (await _ask(nodes[0], CRASHING_BODY, "repeat-9")).status == 503
         fleet.release_for_good()
         for number, node in enumerate(nodes):
--- a/tests/gateway/servers/test_descriptors.py
+++ b/tests/gateway/servers/test_descriptors.py
@@ -48,24 +48,24 @@
     """A waiting connection is neither accepted nor reset."""
 
     async def scenario() -> None:
-        came: list[asyncio.BaseTransport] = []
+        accepted: list[asyncio.BaseTransport] = []
 
         class Counting(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
-                came.append(transport)
+                accepted.append(transport)
 
-        room = 2
+        capacity = 2
         listening = listening_socket("127.0.0.1", 0, 16)
-        acceptor = Acceptor(listening, Counting, lambda: room - len(came))
+        acceptor = Acceptor(listening, Counting, lambda: capacity - len(accepted))
         address = f"127.0.0.1:{listening.getsockname()[1]}"
         callers = [open_socket(address) for _ in range(5)]
-        while len(came) < 2:
+        while len(accepted) < 2:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.1)
-        assert len(came) == 2
-        room = 5
+        assert len(accepted) == 2
+        capacity = 5
         async with asyncio.timeout(5.0):
-            while len(came) < 5:
+            while len(accepted) < 5:
                 await asyncio.sleep(0.005)
         acceptor.close()
         acceptor.close()
--- a/tests/gateway/servers/test_server_backoff.py
+++ b/tests/gateway/servers/test_server_backoff.py
@@ -76,11 +76,11 @@
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness, "engine")
         await fleet.start({"s-1": Mood(), "s-2": Mood()}, gateways=1)
-        resting = await fleet.most_asked("/stream/")
-        await _load_until_back_off(fleet, resting, "60", "/stream/")
-        assert resting not in _candidates(fleet, "engine", 0.0)
-        fleet.instance(fleet.nodes[0], resting).note_version("model-1", 2)
-        assert resting not in _candidates(fleet, "engine", 0.0)
+        backing_off = await fleet.most_asked("/stream/")
+        await _load_until_back_off(fleet, backing_off, "60", "/stream/")
+        assert backing_off not in _candidates(fleet, "engine", 0.0)
+        fleet.instance(fleet.nodes[0], backing_off).note_version("model-1", 2)
+        assert backing_off not in _candidates(fleet, "engine", 0.0)
 
     run_with_gateway(scenario)
 
--- a/tests/gateway/servers/test_server_limits.py
+++ b/tests/gateway/servers/test_server_limits.py
@@ -168,8 +168,8 @@
         await fleet.start({"s-1": "2"})
         await fleet.load(PROPAGATION_SECONDS)
         key = fleet.instance(fleet.nodes[0], "s-1").key
-        lender = fleet.nodes[0].context.permits.homes.lender(key, 0.0).name
-        stopped = next(node for node in fleet.nodes if node.context.settings.name == lender)
+        owner = fleet.nodes[0].context.permits.homes.lender(key, 0.0).name
+        stopped = next(node for node in fleet.nodes if node.context.settings.name == owner)
         stopped.close()
         fleet.nodes.remove(stopped)
         since = asyncio.get_running_loop().time()
@@ -210,8 +210,8 @@
 
         setattr(record._log, "emit", emit)  # noqa: B010
         await fleet.load(PROPAGATION_SECONDS)
-        for word in ("nan", "-3", "nan", "1e308"):
-            fleet.limits["s-1"] = word
+        for malformed in ("nan", "-3", "nan", "1e308"):
+            fleet.limits["s-1"] = malformed
             await fleet.load(1.2)
         assert fleet.limit_at(fleet.nodes[0], "s-1") == 2.0
         assert shown == ["nan", "-3", "nan", "1e308"]
@@ -400,8 +400,8 @@
         await fleet.start({"s-1": "2"})
         await fleet.load(PROPAGATION_SECONDS)
         key = fleet.instance(fleet.nodes[0], "s-1").key
-        home = fleet.nodes[0].context.permits.homes.lender(key, 0.0).name
-        requester = next(node for node in fleet.nodes if node.context.settings.name != home)
+        owner = fleet.nodes[0].context.permits.homes.lender(key, 0.0).name
+        requester = next(node for node in fleet.nodes if node.context.settings.name != owner)
         requester.context.permits.pauses.end(key)
         requester.context.permits.send = lambda name, message: None
         client = await Client.connect(requester.frontend_address)
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -280,8 +280,8 @@
             if (name, started_ms) == (instance.name, instance.record.started_ms)
         ]
         rests = self.of(gateway, instance).rests
-        is_resting = any(self.clock[0] < start + seconds for start, seconds in rests)
-        return is_resting or any(received.leaving_at is not None for received in records)
+        is_backing_off = any(self.clock[0] < start + seconds for start, seconds in rests)
+        return is_backing_off or any(received.leaving_at is not None for received in records)
 
 
 FIND_ONLY = (Phase.generate,)
