--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -110,14 +110,14 @@
         """Schedule the end at the deadline; repeated after a suspension, which stops timers."""
         self._cancel_deadline_timer()
         seconds = max(self._seconds_left(), 0.0)
-        self._deadline_timer = self._context.loop.call_later(seconds, self._on_time_up)
+        self._deadline_timer = self._context.loop.call_later(seconds, self._on_deadline)
 
-    def _on_time_up(self) -> None:
+    def _on_deadline(self) -> None:
         """End at the deadline, after data that arrived during an event-loop stall is delivered."""
         if -self._seconds_left() > ABSENCE_SECONDS and not self._has_rechecked_deadline:
             self._has_rechecked_deadline = True
             loop = self._context.loop
-            self._deadline_timer = loop.call_later(SECOND_LOOK_SECONDS, self._on_time_up)
+            self._deadline_timer = loop.call_later(SECOND_LOOK_SECONDS, self._on_deadline)
             return
         self._end(LeaveCause.TIME_UP)
 
@@ -186,8 +186,8 @@
         """Another server did not continue the stream; the first one still serves it."""
         self._note_attempt_end(server_attempt, result)
         if server_attempt.attempt.loss in CLOSED_BY_SERVER:
-            watch = self._context.crash_watch
-            watch.on_loss(
+            detector = self._context.crash_watch
+            detector.on_loss(
                 self._job.identity, server_attempt.instance, server_attempt.attempt.sent_at
             )
         self._record_end(server_attempt, result, NextStep.FIRST_GOES_ON)
@@ -212,7 +212,7 @@
         seconds = self._context.now() - self._job.request.received_at
         self._servers.append(server_attempt.stream_record(result, seconds))
         if result is not AttemptResult.ANSWERED:
-            failed = server_attempt.failed(result, self._job.identity)
+            failed = server_attempt.failure_record(result, self._job.identity)
             record.attempt_failed(self._job.request, self._job.route, failed, step)
 
     async def _check_for_crash(self, server_attempt: ServerAttempt, result: AttemptResult) -> None:
@@ -220,13 +220,13 @@
 
         An answer is evidence against it, and a crashed server is evidence for it.
         """
-        watch = self._context.crash_watch
+        detector = self._context.crash_watch
         if result in (AttemptResult.ANSWERED, AttemptResult.FAILED):
-            watch.on_answer(self._job.identity)
+            detector.on_answer(self._job.identity)
             return
         if server_attempt.attempt.loss not in CLOSED_BY_SERVER:
             return
-        check = watch.on_loss(
+        check = detector.on_loss(
             self._job.identity, server_attempt.instance, server_attempt.attempt.sent_at
         )
         if self._plan.may_send_again(self._seconds_left()):
--- a/src/milletcourse/gateway/requests/server_attempt.py
+++ b/src/milletcourse/gateway/requests/server_attempt.py
@@ -51,7 +51,7 @@
             round(silence.stall_seconds, 3),
         )
 
-    def failed(self, result: AttemptResult, identity: int) -> FailedAttempt:
+    def failure_record(self, result: AttemptResult, identity: int) -> FailedAttempt:
         """The record of this attempt for the log line of a failed attempt.
 
         Args:
--- a/tests/gateway/requests/test_stream_handover.py
+++ b/tests/gateway/requests/test_stream_handover.py
@@ -223,14 +223,14 @@
     async def scenario(harness: Harness) -> None:
         await start_servers(harness, disconnecting_then(delayed_stream(60.0)))
         assert harness.node is not None
-        watch = harness.node.context.crash_watch
+        detector = harness.node.context.crash_watch
         asked = asyncio.Event()
 
         async def never() -> None:
             asked.set()
             await asyncio.Event().wait()
 
-        watch.on_loss = lambda *_: asyncio.ensure_future(never())  # type: ignore[method-assign]
+        detector.on_loss = lambda *_: asyncio.ensure_future(never())  # type: ignore[method-assign]
         client = await harness.client()
         client.send("/stream/", "id-1", Deadline_Ms="6000", **PROMPT)
         await asked.wait()
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -83,7 +83,7 @@
         self.signals = ServerSignals()
         pauses = AskPauses()
         record = Recorder(EventLog(name, None), Figures(), dict, self.now)
-        self.watch = SignalMonitor(
+        self.monitor = SignalMonitor(
             self.signals, pauses, self.table, record, lambda: None, lambda _: None
         )
         loads = LoadExchange(name, signals=self.signals)
@@ -93,7 +93,7 @@
             name,
             self.signals,
             pauses,
-            self.watch.on_reports,
+            self.monitor.on_reports,
             random.Random(1),
             AttendedClock(),
             self.now,
@@ -224,13 +224,13 @@
         if stranger:
             # Another server has the address now, and its signals apply to that server only.
             head = answer_head("s-9", 421, leaving=True, rest=9.0)
-            here.watch.on_answer(instance, head, self.clock[0])
+            here.monitor.on_answer(instance, head, self.clock[0])
             return
         is_current = instance.record.started_ms == self.started_ms[instance.name]
         leaves = is_current and self.leaves[instance.name]
         status = 200 if rest is None else 503
         head = answer_head(instance.name, status, leaves, rest)
-        here.watch.on_answer(instance, head, self.clock[0])
+        here.monitor.on_answer(instance, head, self.clock[0])
         if rest is not None:
             instance.health.on_result(AttemptResult.TURNED_AWAY, self.clock[0])
             received.rests.append((self.clock[0], rest))
@@ -243,7 +243,7 @@
         reports = self.gateways[sender].signals.to_tell(self.clock[0], 0.0)
         for name, gateway in self.gateways.items():
             if name != sender:
-                gateway.watch.on_reports(reports, True)
+                gateway.monitor.on_reports(reports, True)
 
     @invariant()
     def no_send_after_the_word(self) -> None:
