--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one server, up to its end."""
+"""One attempt of a request at one server, from connecting to its result."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from milletcourse.gateway.requests.answer_relay import AnswerRelay, ServerFailure
 from milletcourse.gateway.requests.dispatch_builder import DispatchBuilder
 from milletcourse.gateway.requests.exchange_job import ExchangeJob
-from milletcourse.gateway.servers.descriptors import OwnMeansError
+from milletcourse.gateway.servers.descriptors import LocalResourceError
 from milletcourse.gateway.servers.server_connection import LossCause, ServerConnection
 from milletcourse.gateway.servers.server_permits import Permit
 from milletcourse.gateway.state.context import GatewayContext
@@ -27,47 +27,48 @@
 from milletcourse.runtime.attended_timer import AttendedTimer
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Largest body of an answer that isn't a stream."""
+"""Largest body of an answer that is not a stream."""
 
 
 @dataclass(frozen=True)
 class Silence:
-    """How long a server said nothing.
+    """How long a server sent nothing.
 
     Attributes:
-        seconds: Since the request was sent, or the latest piece was handled, while this gateway
-            listened.
-        absent_seconds: How long this gateway's own event loop stood still beside.
+        seconds: Responsive time of this gateway's event loop since the request was sent or the
+            latest chunk was handled.
+        stall_seconds: Time in the same period during which the event loop was stalled. It is not
+            part of `seconds`.
     """
 
     seconds: float = 0.0
-    absent_seconds: float = 0.0
+    stall_seconds: float = 0.0
 
 
 class AttemptListener(Protocol):
-    """What an attempt tells of its stream, which another server may go on with."""
+    """Receives the progress of a stream that another server may continue."""
 
     def on_sent(self, attempt: Attempt) -> None:
-        """The server has got the request."""
+        """The request has been sent to the server."""
 
-    def on_piece(self, attempt: Attempt) -> None:
-        """A whole piece of the stream is about to be passed on."""
+    def on_events(self, attempt: Attempt) -> None:
+        """Complete events of the stream are about to be relayed."""
 
     def on_silent(self) -> None:
-        """The server of a stream that has begun is silent."""
+        """The server of a repeatable request is silent after its answer has started."""
 
 
 class Attempt:
-    """Sends a request to a server and takes its answer.
+    """Sends a request to a server and receives its answer.
 
     Attributes:
-        was_sent: The request, or a part of it, went to the server.
-        loss: Why the connection gave no whole answer, None as long as it may.
-        left: Why this gateway gave it up, None when it didn't.
-        silence: How long the server had been silent when it was given up.
+        was_sent: Whether the request, or a part of it, was sent to the server.
+        loss: Why the connection did not deliver a complete answer, None while it still may.
+        abort_cause: Why this gateway aborted the attempt, None when it did not.
+        silence: How long the server had been silent when the attempt was aborted.
         sent_at: Monotonic time of the send.
-        told_wait_seconds: Time for which the server that turned it away wants no more, None when it
-            didn't say.
+        server_retry_after_seconds: Retry-After of a server that rejected the request, None when it
+            gave none.
     """
 
     def __init__(
@@ -81,9 +82,9 @@
     ) -> None:
         self.was_sent = False
         self.loss: LossCause | None = None
-        self.left: AbortCause | None = None
+        self.abort_cause: AbortCause | None = None
         self.silence = Silence()
-        self.told_wait_seconds: float | None = None
+        self.server_retry_after_seconds: float | None = None
         self._listener = listener
         self._context = context
         self._job = job
@@ -96,33 +97,33 @@
         self._waiting_tokens = 0
         self._dispatch = DispatchBuilder(context, job, instance)
         self.sent_at = float("inf")
-        self._heard_at = float("inf")
-        """Attended time at which the server was heard last."""
-        self._absent_before = 0.0
-        self._answer_begun = False
+        self._last_received_at = float("inf")
+        """Responsive time of the event loop at which data was last received from the server."""
+        self._stall_seconds_before = 0.0
+        self._answer_started = False
 
     @property
     def is_at_server(self) -> bool:
-        """Whether the server works on it now, as far as is known."""
+        """Whether the server may be processing the request now."""
         return self._connection is not None
 
     def end(self, cause: AbortCause) -> None:
-        """Give the attempt up at once, also one whose connection is still coming up."""
+        """Abort the attempt at once, even while its connection is being established."""
         self._ended = True
-        self._leave(cause)
+        self._abort(cause)
 
-    def _leave(self, cause: AbortCause) -> None:
-        self.left = self.left or cause
+    def _abort(self, cause: AbortCause) -> None:
+        self.abort_cause = self.abort_cause or cause
         if self._connection is None:
             return
         self.silence = Silence(
             self._silent_seconds(),
-            self._context.attended.absent_seconds - self._absent_before,
+            self._context.attended.absent_seconds - self._stall_seconds_before,
         )
         self._connection.abort()
 
     async def run(self) -> AttemptResult:
-        """Carry it out; load and health of the server are kept."""
+        """Run the attempt, and account for the load and health of the server."""
         instance = self._instance
         job = self._job
         tokens = self._context.selector.work_tokens(
@@ -145,24 +146,24 @@
         return result
 
     def _release_tokens(self) -> None:
-        """The server has read the prompt, or the attempt is over."""
+        """Release the tokens counted as in flight: the prompt was read or the attempt is over."""
         self._instance.in_flight_tokens -= self._waiting_tokens
         self._waiting_tokens = 0
 
     def _note_health(self, result: AttemptResult) -> None:
-        if self.left is AbortCause.HANDED_OVER:
-            # Its silence has been noted.
+        if self.abort_cause is AbortCause.HANDED_OVER:
+            # The silence of the server has already been recorded in its health.
             self._instance.health.on_aborted()
-        elif result is AttemptResult.ANSWERED or self._tells_of_server():
+        elif result is AttemptResult.ANSWERED or self._reflects_server_health():
             self._context.note_result(self._instance, result)
         else:
             self._instance.health.on_aborted()
 
-    def _tells_of_server(self) -> bool:
-        """Whether an end without an answer is a sign of the server's health."""
+    def _reflects_server_health(self) -> bool:
+        """Whether an attempt that ended without an answer counts against the server's health."""
         if not self._ended:
             return True
-        return not self._answer_begun and self.silence.seconds >= MIN_SILENCE_SECONDS
+        return not self._answer_started and self.silence.seconds >= MIN_SILENCE_SECONDS
 
     # -- sending --------------------------------------------------------------------------------
 
@@ -172,16 +173,16 @@
         self._relay.note_phase(RequestPhase.CONNECTING)
         try:
             connection = await pool.acquire(address, self._seconds_left())
-        except OwnMeansError:
-            # It says nothing of the server, which would be ejected for it.
+        except LocalResourceError:
+            # Marked as ended, since the server must not be ejected for a lack of local resources.
             self._ended = True
-            self.left = AbortCause.LOCAL_RESOURCES
+            self.abort_cause = AbortCause.LOCAL_RESOURCES
             self._context.record.without_means()
             return AttemptResult.NOT_SENT
         if connection is None:
             return AttemptResult.NOT_SENT
         if not self._may_still_be_sent():
-            # It says nothing of the server, which would be ejected for it.
+            # Marked as ended, since the server must not be ejected for a request it never got.
             self._ended = True
             pool.release(connection)
             return AttemptResult.NOT_SENT
@@ -189,7 +190,7 @@
         self._relay.note_phase(RequestPhase.AT_SERVER)
         self._connection = connection
         self.sent_at = self._context.now()
-        self._note_heard()
+        self._note_received()
         self._context.signal_watch.on_send(self._instance)
         self._send(connection)
         self._listener.on_sent(self)
@@ -201,23 +202,23 @@
         finally:
             self._connection = None
             self._silence_timer.stop()
-        if result is AttemptResult.ANSWERED and not self._relay.begun:
+        if result is AttemptResult.ANSWERED and not self._relay.has_started:
             self._instance.on_answer_time(self._context.now() - self.sent_at)
         return result
 
-    def _note_heard(self) -> None:
-        self._heard_at = self._context.attended.seconds()
-        self._absent_before = self._context.attended.absent_seconds
+    def _note_received(self) -> None:
+        self._last_received_at = self._context.attended.seconds()
+        self._stall_seconds_before = self._context.attended.absent_seconds
 
     def _silent_seconds(self) -> float:
-        return self._context.attended.seconds() - self._heard_at
+        return self._context.attended.seconds() - self._last_received_at
 
     def _may_still_be_sent(self) -> bool:
-        """Whether nothing has come up against it while the connection did."""
+        """Check again, after the connection is established, that the request may be sent."""
         if self._ended or not self._context.may_use_keys(self._job.tenant):
             return False
-        self.left = self._context.permits.obstacle(self._permit, self._instance)
-        if self.left is not None:
+        self.abort_cause = self._context.permits.blocking_cause(self._permit, self._instance)
+        if self.abort_cause is not None:
             return False
         return self._context.crash_watch.containment(lambda: self._job.identity) is None
 
@@ -232,32 +233,32 @@
         connection.send(head + request.body, request.request_id, request.method == b"HEAD")
 
     def _seconds_left(self) -> float:
-        return self._job.end_at - self._context.now()
+        return self._job.deadline_at - self._context.now()
 
     # -- answers --------------------------------------------------------------------------------
 
     async def _receive(self, connection: ServerConnection) -> AttemptResult:
         self._silence_timer.expect_within(
-            min(first_event_timeout(self._job.route), self._seconds_to_start())
+            min(first_event_timeout(self._job.route), self._seconds_until_start_bound())
         )
         event = await connection.next_event()
         if event.head is None:
             return self._lost(connection, event.lost)
         head = event.head
-        self._answer_begun = True
+        self._answer_started = True
         self._context.signal_watch.on_answer(self._instance, head, self.sent_at)
         if head.weight_version is not None and self._job.request.model:
             self._instance.note_version(self._job.request.model, head.weight_version)
         if head.successful and head.event_stream and self._job.route.streaming:
-            return await self._take_stream(connection, head)
-        return await self._take_whole(connection, head)
+            return await self._receive_stream(connection, head)
+        return await self._receive_whole(connection, head)
 
     def _lost(self, connection: ServerConnection, loss: LossCause | None) -> AttemptResult:
-        self.loss = loss or LossCause.GARBLED
+        self.loss = loss or LossCause.MALFORMED
         connection.abort()
-        return AttemptResult.TRUNCATED if self._relay.begun else AttemptResult.LOST
+        return AttemptResult.TRUNCATED if self._relay.has_started else AttemptResult.LOST
 
-    async def _take_whole(self, connection: ServerConnection, head: AnswerHead) -> AttemptResult:
+    async def _receive_whole(self, connection: ServerConnection, head: AnswerHead) -> AttemptResult:
         pieces: list[bytes] = []
         size = 0
         while True:
@@ -275,7 +276,7 @@
     def _judge_whole(self, head: AnswerHead, body: bytes) -> AttemptResult:
         result = classify_answer(head, self._instance.name, self._dispatch.weight_version)
         if result is AttemptResult.REJECTED and head.back_off.seconds is not None:
-            self.told_wait_seconds = head.back_off.seconds
+            self.server_retry_after_seconds = head.back_off.seconds
         if result is AttemptResult.WRONG_INSTANCE and head.instance not in (
             "",
             self._instance.name,
@@ -286,8 +287,8 @@
             newest = self._context.gate.newest(model)
             now = self._context.now()
             self._instance.on_version_refused(model, self._dispatch.weight_version, newest, now)
-        elif self._relay.begun and result in (AttemptResult.ANSWERED, AttemptResult.FAILED):
-            # Not the rest of the stream that the client has begun to read.
+        elif self._relay.has_started and result in (AttemptResult.ANSWERED, AttemptResult.FAILED):
+            # A complete answer cannot continue the stream that the client is already reading.
             return AttemptResult.TRUNCATED
         elif result is AttemptResult.FAILED:
             self._relay.failure = ServerFailure(head, body)
@@ -295,24 +296,26 @@
             self._relay.pass_whole(head, body)
         return result
 
-    async def _take_stream(self, connection: ServerConnection, head: AnswerHead) -> AttemptResult:
+    async def _receive_stream(
+        self, connection: ServerConnection, head: AnswerHead
+    ) -> AttemptResult:
         if not head.signed or head.encoded:
-            return self._lost(connection, LossCause.GARBLED)
+            return self._lost(connection, LossCause.MALFORMED)
         splitter = EventSplitter()
         while True:
             event = await connection.next_event()
             if event.lost is not None or self._ended:
-                # What it said before it was given up may have come from another server since.
+                # Another server may have sent these events since this attempt was aborted.
                 return self._lost(connection, event.lost or LossCause.ABORTED)
             whole = splitter.feed(event.body) if event.body else b""
             if whole:
                 self._release_tokens()
-                self._note_heard()
-                self._listener.on_piece(self)
+                self._note_received()
+                self._listener.on_events(self)
                 self._relay.pass_events(head, whole, splitter.last_event_id)
                 self._silence_timer.expect_within(event_gap_timeout(self._job.route))
             if event.complete:
-                self._listener.on_piece(self)
+                self._listener.on_events(self)
                 self._relay.pass_events(head, splitter.take_remainder(), splitter.last_event_id)
                 self._relay.end_stream()
                 self._dispatch.on_whole_answer()
@@ -321,8 +324,8 @@
 
     # -- silence --------------------------------------------------------------------------------
 
-    def _seconds_to_start(self) -> float:
-        """Time until work on the server's weight version may not start any more."""
+    def _seconds_until_start_bound(self) -> float:
+        """Seconds until work on the server's weight version may no longer start."""
         if self._dispatch.weight_version is None:
             return float("inf")
         start_by = self._context.gate.start_by(
@@ -331,34 +334,37 @@
         return max(start_by - self._context.now(), 0.0)
 
     def _on_silent(self) -> None:
-        """Nothing has come for too long: let other requests avoid the server.
+        """Handle a server that was silent for too long, and keep other requests away from it.
 
-        Silence is no reason to end an answer that has begun: another server is asked to go on with
-        it meanwhile. One that hasn't begun may be asked for again, by the client at the latest.
+        An answer that has started is not aborted for silence. The stream is offered to another
+        server while the first one runs on. An answer that has not started can be requested again,
+        by this gateway or by the client.
         """
         if self._connection is None:
             return
-        seconds_to_start = float("inf") if self._relay.begun else self._seconds_to_start()
-        patience = self._seconds_of_patience()
-        if seconds_to_start > 0.0 and patience > 0.0:
-            self._silence_timer.expect_within(min(seconds_to_start, patience))
+        seconds_to_start = (
+            float("inf") if self._relay.has_started else self._seconds_until_start_bound()
+        )
+        remaining = self._remaining_tolerance_seconds()
+        if seconds_to_start > 0.0 and remaining > 0.0:
+            self._silence_timer.expect_within(min(seconds_to_start, remaining))
             return
         if seconds_to_start <= 0.0:
-            self._leave(AbortCause.VERSION_BOUND)
+            self._abort(AbortCause.VERSION_BOUND)
             return
-        if self._job.route.repeatable and not self._relay.begun:
-            self._leave(AbortCause.SERVER_SILENT)
+        if self._job.route.repeatable and not self._relay.has_started:
+            self._abort(AbortCause.SERVER_SILENT)
             return
         self._context.note_result(self._instance, AttemptResult.LOST)
-        again = MIN_SILENCE_SECONDS if self._relay.begun else float("inf")
+        again = MIN_SILENCE_SECONDS if self._relay.has_started else float("inf")
         self._silence_timer.expect_within(min(seconds_to_start, again))
         if self._job.route.repeatable:
             self._listener.on_silent()
 
-    def _seconds_of_patience(self) -> float:
-        """How much longer a silent server that answers others is waited for."""
+    def _remaining_tolerance_seconds(self) -> float:
+        """Seconds for which to wait on; a silent server that answers other requests gets longer."""
         route = self._job.route
-        usual = event_gap_timeout(route) if self._relay.begun else first_event_timeout(route)
+        usual = event_gap_timeout(route) if self._relay.has_started else first_event_timeout(route)
         silent = self._silent_seconds()
         return extra_silence_seconds(
             usual, silent, self._context.server_answers.answers_others(self._instance)
--- a/src/milletcourse/gateway/requests/visit.py
+++ b/src/milletcourse/gateway/requests/server_attempt.py
@@ -1,4 +1,4 @@
-"""A request at one server, and what the log says of it."""
+"""An attempt together with its server, and the records of it for the log."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 @dataclass
-class Visit:
-    """A request at one server.
+class ServerAttempt:
+    """An attempt at one server.
 
     Attributes:
         instance: The server.
-        attempt: The attempt there.
-        task: Runs the attempt; None when whoever opened it does.
+        attempt: The attempt at that server.
+        task: The task that runs the attempt; None when `result` runs it.
     """
 
     instance: Instance
@@ -26,36 +26,36 @@
     task: asyncio.Task[AttemptResult] | None = None
 
     async def result(self) -> AttemptResult:
-        """How the attempt ends."""
+        """Wait for the result of the attempt, and run it unless a task does."""
         return await (self.task if self.task is not None else self.attempt.run())
 
     @property
-    def left(self) -> str | None:
-        """Why this gateway gave the attempt up, None when it didn't."""
-        return self.attempt.left.value if self.attempt.left is not None else None
+    def abort_cause(self) -> str | None:
+        """Why this gateway aborted the attempt, None when it did not."""
+        return self.attempt.abort_cause.value if self.attempt.abort_cause is not None else None
 
-    def for_stream(self, result: AttemptResult, seconds: float) -> VisitedServer:
-        """What a cut stream's line tells of it.
+    def stream_record(self, result: AttemptResult, seconds: float) -> VisitedServer:
+        """The record of this attempt for the log line of a truncated stream.
 
         Args:
-            result: How the attempt ended.
-            seconds: From the request to that end.
+            result: Result of the attempt.
+            seconds: Time from the request to that result.
         """
         silence = self.attempt.silence
         return VisitedServer(
             self.instance.name,
             result,
-            self.left,
+            self.abort_cause,
             round(seconds, 3),
             round(silence.seconds, 3),
-            round(silence.absent_seconds, 3),
+            round(silence.stall_seconds, 3),
         )
 
-    def failed(self, result: AttemptResult, identity: int) -> FailedAttempt:
-        """What the line of an attempt without an answer tells.
+    def failure_record(self, result: AttemptResult, identity: int) -> FailedAttempt:
+        """The record of this attempt for the log line of a failed attempt.
 
         Args:
-            result: How the attempt ended.
+            result: Result of the attempt.
             identity: Identity of the request's content.
         """
         loss = self.attempt.loss
@@ -64,6 +64,6 @@
             self.instance.record.address,
             result,
             loss.value if loss is not None else None,
-            self.left,
+            self.abort_cause,
             identity,
         )
--- a/src/milletcourse/gateway/servers/crash_watch.py
+++ b/src/milletcourse/gateway/servers/crash_detector.py
@@ -1,8 +1,9 @@
-"""Finds out whether a server ended while it had requests, and under which requests it did.
+"""Detects servers that crashed, and the requests that were running there.
 
-A connection that closes in the middle of a request may be a defect of one connection only. So the
-server is asked for another one: where a process has ended, nothing listens. Where something does,
-the loss stays in doubt for a while: it may be another incarnation, and the entry may still go.
+A connection that closes during a request may be a failure of that connection only. The gateway
+therefore opens another one: after a process has terminated, nothing listens at its address. If
+something does, the loss stays unverified for some seconds, since the listener may be a new
+incarnation, and the server's entry may still be removed.
 """
 
 from __future__ import annotations
@@ -17,11 +18,12 @@
 from milletcourse.gateway.servers.connection_pool import ConnectionPool
 from milletcourse.gateway.telling.recorder import Recorder
 
-DOUBT_SECONDS = 5.0
-"""A loss counts if its server turns out to have ended within this time: entries of servers that
-ended go after three heartbeats of 1.2 s, and the watch tells of it soon after."""
-MAX_DOUBTFUL = 512
-"""Losses in doubt; beyond them the oldest are dropped."""
+UNVERIFIED_SECONDS = 5.0
+"""A loss counts as a crash if the server is found to have terminated within this time. Entries of
+terminated servers are removed after three missed heartbeats of 1.2 s, and the watch reports it soon
+after."""
+MAX_UNVERIFIED_LOSSES = 512
+"""Maximum number of unverified losses; beyond it the oldest are dropped."""
 
 
 class _Loss(msgspec.Struct, frozen=True):
@@ -34,11 +36,11 @@
     lost_at: float
 
 
-class CrashWatch:
-    """Turns lost connections into evidence against requests, and says what is contained.
+class CrashDetector:
+    """Turns lost connections into evidence against requests, and tells which are contained.
 
     Attributes:
-        listeners: Called when there is evidence that may have to be kept.
+        listeners: Called when there is new evidence that may have to be stored.
     """
 
     def __init__(
@@ -46,48 +48,48 @@
         evidence: CrashEvidence,
         pool: ConnectionPool,
         record: Recorder,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
     ) -> None:
-        """No loss yet.
+        """Start without any loss.
 
         Args:
-            evidence: Where ends of servers are noted.
+            evidence: Where crashes of servers are recorded.
             pool: Connections to servers.
-            record: Where containments are told to operators; its clock counts.
-            on_news: Called when there is evidence that the other gateways should hear of.
+            record: Reports containments to operators; its clock is used.
+            on_update: Called when there is evidence that must be sent to the other gateways.
         """
         self.listeners: list[Callable[[], None]] = []
         self._evidence = evidence
         self._pool = pool
         self._record = record
         self._now = record.now
-        self._tell_gateways = on_news
-        self._doubtful: list[_Loss] = []
+        self._notify_gateways = on_update
+        self._unverified_losses: list[_Loss] = []
         self._checks: dict[str, asyncio.Task[None]] = {}
 
     def containment(self, identity: Callable[[], int]) -> Containment | None:
-        """Why a request may not be sent to servers, None when it may.
+        """The containment that keeps a request from servers, None when it may be sent.
 
         Args:
-            identity: Works the identity of the request out; only done while there is evidence.
+            identity: Computes the identity of the request; called only while there is evidence.
         """
         if not self._evidence:
             return None
         return self._evidence.containment(identity(), self._now())
 
     def on_answer(self, identity: int) -> None:
-        """A server answered a request in whole, so the request doesn't end servers."""
+        """A server answered the request completely, so the request does not crash servers."""
         if self._evidence.on_answer(identity, self._now()):
-            self._on_news()
+            self._on_update()
 
     def on_loss(self, identity: int, instance: Instance, sent_at: float) -> asyncio.Task[None]:
         """A server closed the connection of a request that was sent to it.
 
         Returns:
-            The check of whether the server has ended.
+            The check of whether the server has terminated.
         """
         loss = _Loss(identity, instance.name, instance.key, sent_at, self._now())
-        self._doubtful = [*self._doubtful[-MAX_DOUBTFUL + 1 :], loss]
+        self._unverified_losses = [*self._unverified_losses[-MAX_UNVERIFIED_LOSSES + 1 :], loss]
         check = self._checks.get(instance.name)
         if check is None:
             check = asyncio.get_running_loop().create_task(self._check(instance))
@@ -97,44 +99,48 @@
     async def _check(self, instance: Instance) -> None:
         try:
             if await self._pool.is_refused(instance.record.address):
-                self.on_instance_ended(instance.name)
+                self.on_instance_terminated(instance.name)
         finally:
             del self._checks[instance.name]
 
-    def on_instance_ended(self, name: str) -> None:
-        """An incarnation has ended: what was lost there lately counts against its requests."""
-        ended = [loss for loss in self._doubtful if loss.instance == name]
-        if not ended:
+    def on_instance_terminated(self, name: str) -> None:
+        """An incarnation has terminated: recent losses there count against their requests."""
+        confirmed = [loss for loss in self._unverified_losses if loss.instance == name]
+        if not confirmed:
             return
-        self._doubtful = [loss for loss in self._doubtful if loss.instance != name]
-        for loss in ended:
+        self._unverified_losses = [
+            loss for loss in self._unverified_losses if loss.instance != name
+        ]
+        for loss in confirmed:
             self._evidence.on_crash(loss.identity, loss.server, loss.sent_at, loss.lost_at)
-        self._on_news()
+        self._on_update()
 
     def release(self, identity: int) -> None:
-        """An operator wants a contained request sent again."""
+        """Release a contained request on behalf of an operator."""
         self._evidence.release(identity, self._now())
         self._record.released(identity)
-        self._on_news()
+        self._on_update()
 
-    def note_contained(self) -> None:
-        """Say which requests aren't sent to servers any more, since the last call."""
+    def report_contained(self) -> None:
+        """Report the requests that were newly contained since the last call."""
         for containment in self._evidence.take_newly_contained(self._now()):
             self._record.contained(containment)
 
-    def _on_news(self) -> None:
-        self.note_contained()
+    def _on_update(self) -> None:
+        self.report_contained()
         for listener in self.listeners:
             listener()
-        self._tell_gateways()
+        self._notify_gateways()
 
     def sweep(self) -> None:
-        """Forget what is too old."""
+        """Drop losses and evidence that have expired."""
         now = self._now()
-        self._doubtful = [loss for loss in self._doubtful if now - loss.lost_at < DOUBT_SECONDS]
+        self._unverified_losses = [
+            loss for loss in self._unverified_losses if now - loss.lost_at < UNVERIFIED_SECONDS
+        ]
         self._evidence.expire(now)
 
     def close(self) -> None:
-        """End all checks."""
+        """Cancel all running checks."""
         for check in list(self._checks.values()):
             check.cancel()
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -1,6 +1,7 @@
-"""Permits to send to servers: the one place that each send passes, asked last before it goes out.
+"""Permits to send to servers, checked for every request immediately before it is sent.
 
-What a server says of itself is asked there: that it leaves, that it rests, how much it takes.
+The check covers all signals of a server: that it is shutting down, that it requested back-off, and
+its request limit.
 """
 
 from __future__ import annotations
@@ -24,10 +25,11 @@
 from milletcourse.runtime.attended_clock import AttendedClock
 from milletcourse.runtime.attended_timer import attended_timeout
 
-ASK_SECONDS = 0.15
-"""A lender in another region replies within this time; a request waits no longer for one."""
-PERMIT_SECONDS = 1.0
-"""A request that was held up for longer must not be sent: its unit would add to later ones."""
+PERMIT_REQUEST_TIMEOUT_SECONDS = 0.15
+"""How long a request waits for a quota owner's reply; one in another region replies in less."""
+PERMIT_VALIDITY_SECONDS = 1.0
+"""A request that is delayed for longer must not be sent, since its permit would add to those of
+later requests and exceed the server's limit."""
 
 
 _SIGNAL_CAUSES = {
@@ -42,7 +44,7 @@
 
     Attributes:
         key: Identity of the server's incarnation.
-        valid_until: Monotonic time.
+        valid_until: Monotonic time at which the permit expires.
     """
 
     key: int
@@ -51,17 +53,19 @@
 
 SendMessage = Callable[[str, PermitMessage], None]
 """Sends a message to a gateway by name."""
-TakeReports = Callable[[Iterable[SignalReport], bool], None]
-"""Takes what another gateway knows, and whether others have to hear of it from here."""
+ReportHandler = Callable[[Iterable[SignalReport], bool], None]
+"""Handles reports of another gateway; the flag says whether this gateway must forward them."""
 
 
 class ServerPermits:
-    """Asks the lender of a server's limit for each send to it, and lends to the other gateways.
+    """Requests a permit from the quota owner of a server for each send, and grants permits.
+
+    For the servers whose quota it owns, this gateway grants permits to all gateways.
 
     Attributes:
-        homes: Which gateway lends which limit.
-        pauses: Servers whose lender had no unit lately.
-        send: Sends messages; what is sent before it is set is lost.
+        homes: Which gateway owns the quota of which server.
+        pauses: Servers whose quota owner recently had no permit left.
+        send: Sends messages; messages sent before it is set are lost.
     """
 
     def __init__(
@@ -69,25 +73,25 @@
         own_name: str,
         signals: ServerSignals,
         pauses: PermitRetryDelays,
-        on_reports: TakeReports,
+        on_reports: ReportHandler,
         random_source: random.Random,
         clock: AttendedClock,
         now: Callable[[], float],
         members: Callable[[], int],
         figures: Figures,
     ) -> None:
-        """Nothing asked or lent yet.
+        """Start without any permit requested or granted.
 
         Args:
             own_name: Name of this gateway.
-            signals: What servers say of themselves.
-            pauses: Servers that aren't asked for room now.
-            on_reports: Takes what an asker knows of a server's limit.
-            random_source: Spreads asks.
-            clock: Time by which the silence of lenders is judged.
+            signals: Signals of servers: limits, shutdowns and requested back-off.
+            pauses: Servers for which no permits are requested at present.
+            on_reports: Handles what a requester knows of a server's limit.
+            random_source: Spreads requests for permits in time.
+            clock: Responsive time of the event loop, used for timeouts of quota owners.
             now: Monotonic time.
-            members: How many gateways there are, as far as is known.
-            figures: Counts what is asked.
+            members: Number of known gateways.
+            figures: Counts permit requests.
         """
         self.homes = QuotaOwnerSelector(own_name)
         self.pauses = pauses
@@ -95,19 +99,19 @@
         self._own_name = own_name
         self._signals = signals
         self._on_reports = on_reports
-        self._lender = QuotaOwner(random_source)
+        self._quota_owner = QuotaOwner(random_source)
         self._clock = clock
         self._now = now
         self._members = members
         self._figures = figures
-        self._numbers = count(1)
-        self._waiting: dict[tuple[str, int], asyncio.Future[PermitMessage]] = {}
-        """Replies that requests wait for, by lender and number."""
+        self._request_numbers = count(1)
+        self._pending_replies: dict[tuple[str, int], asyncio.Future[PermitMessage]] = {}
+        """Awaited replies by quota owner and request number."""
 
     # -- sends ----------------------------------------------------------------------------------
 
     async def take(self, instance: Instance, rank: int) -> Permit | None:
-        """A permit to send a request to a server; None when it has what it takes.
+        """A permit to send a request to a server; None when its quota is used up.
 
         Args:
             instance: The server.
@@ -117,22 +121,22 @@
         per_second = self._signals.send_rate(key)
         if per_second is None:
             return self.without_limit(instance)
-        reply = await self._ask(key, per_second, rank)
+        reply = await self._request_permit(key, per_second, rank)
         self._figures.on_unit_asked(reply.granted)
         if reply.granted:
-            return Permit(key, self._now() + PERMIT_SECONDS)
+            return Permit(key, self._now() + PERMIT_VALIDITY_SECONDS)
         self.pauses.on_denied(key, reply, per_second, self._now())
         return None
 
     def without_limit(self, instance: Instance) -> Permit:
-        """A permit that is good until the server names a limit."""
+        """A permit that is valid as long as the server has no limit."""
         return Permit(instance.key, float("-inf"))
 
-    def obstacle(self, permit: Permit, instance: Instance) -> AbortCause | None:
-        """Why a request may not go out now, None when it may: asked last before it does.
+    def blocking_cause(self, permit: Permit, instance: Instance) -> AbortCause | None:
+        """Why a request may not be sent now, None when it may; checked immediately before the send.
 
-        The server may have said something of itself while the connection to it came up, or its
-        permit may have become old.
+        While the connection was being established, a signal of the server may have arrived, or the
+        permit may have expired.
         """
         signal = self._signals.signal(instance.key, self._now())
         if signal is not None:
@@ -143,66 +147,70 @@
         return None if is_valid else AbortCause.SERVER_LIMIT
 
     def is_limited(self, instance: Instance) -> bool:
-        """Whether a server names a limit."""
+        """Whether a server has a request limit in force."""
         return self._signals.per_second(instance.key) is not None
 
     def state(self, instance: Instance) -> ServerLimitState | None:
-        """What is known of a server's limit, None when it names none."""
+        """The known state of a server's limit, None when it has none."""
         per_second = self._signals.per_second(instance.key)
         if per_second is None:
             return None
         now = self._now()
-        lender = self.homes.select(instance.key, now)
-        said = round(self._signals.limit_age(instance.key, now), 3)
-        return ServerLimitState(instance.name, per_second, said, lender.name, lender.role.value)
+        owner = self.homes.select(instance.key, now)
+        age_seconds = round(self._signals.limit_age(instance.key, now), 3)
+        return ServerLimitState(
+            instance.name, per_second, age_seconds, owner.name, owner.role.value
+        )
 
-    def promise(self, instances: Iterable[Instance], now: float) -> float | None:
+    def retry_seconds(self, instances: Iterable[Instance], now: float) -> float | None:
         """Seconds after which a refused caller may be served by one of these servers.
 
-        None when none of them was passed over for its limit.
+        None when none of them was left out for its limit.
 
         Args:
             instances: The servers.
-            now: Monotonic time at which they were passed over.
+            now: Monotonic time at which they were left out.
         """
         return self.pauses.retry_after_seconds([instance.key for instance in instances], now)
 
-    async def _ask(self, key: int, per_second: float, rank: int) -> PermitReply:
+    async def _request_permit(self, key: int, per_second: float, rank: int) -> PermitReply:
         chosen = self.homes.select(key, self._now())
         if chosen.name == self._own_name:
-            return self._lend(key, per_second, chosen.role, self._own_name, rank)
-        reply = await self._ask_lender(chosen, key, rank)
+            return self._grant(key, per_second, chosen.role, self._own_name, rank)
+        reply = await self._request_from_owner(chosen, key, rank)
         if reply is not None:
             self.homes.on_reply(chosen.name)
             return reply
         self.homes.on_no_reply(chosen.name, self._now())
         self._figures.on_lender_silent()
-        # What another lender has is for the next request: this one has waited long enough.
+        # Another quota owner is asked by the next request only: this one has waited long enough.
         return PermitReply(False)
 
-    async def _ask_lender(self, chosen: SelectedOwner, key: int, rank: int) -> PermitReply | None:
-        number = next(self._numbers)
+    async def _request_from_owner(
+        self, chosen: SelectedOwner, key: int, rank: int
+    ) -> PermitReply | None:
+        request_number = next(self._request_numbers)
         future = asyncio.get_running_loop().create_future()
-        self._waiting[chosen.name, number] = future
+        self._pending_replies[chosen.name, request_number] = future
         self.send(
             chosen.name,
             PermitMessage(
                 PermitStep.ASK,
                 self._own_name,
                 key,
-                number,
+                request_number,
                 self._signals.per_second(key),
                 min(round(self._signals.limit_age(key, self._now()) * 1000.0), MAX_AGE_MS),
                 rank,
             ),
         )
         try:
-            async with attended_timeout(self._clock, ASK_SECONDS):
+            async with attended_timeout(self._clock, PERMIT_REQUEST_TIMEOUT_SECONDS):
                 message = await future
         except TimeoutError:
             return None
         finally:
-            del self._waiting[chosen.name, number]
+            del self._pending_replies[chosen.name, request_number]
         if message.step is PermitStep.GRANT:
             return GRANTED
         return PermitReply(
@@ -215,49 +223,51 @@
     # -- messages -------------------------------------------------------------------------------
 
     def on_message(self, message: PermitMessage) -> None:
-        """Another gateway asks for a unit, or replies."""
+        """Handle another gateway's request for a permit, or its reply to one."""
         if message.step is PermitStep.ASK:
-            self._on_ask(message)
+            self._on_request(message)
             return
-        waiting = self._waiting.get((message.sender, message.request_number))
+        waiting = self._pending_replies.get((message.sender, message.request_number))
         if waiting is not None and not waiting.done():
             waiting.set_result(message)
 
-    def _on_ask(self, ask: PermitMessage) -> None:
-        if ask.per_second is not None:
-            self._on_reports([SignalReport(ask.key, ask.per_second, ask.limit_age_ms)], False)
-        per_second = self._signals.send_rate(ask.key)
+    def _on_request(self, request: PermitMessage) -> None:
+        if request.per_second is not None:
+            self._on_reports(
+                [SignalReport(request.key, request.per_second, request.limit_age_ms)], False
+            )
+        per_second = self._signals.send_rate(request.key)
         reply = GRANTED
         if per_second is not None:
-            standing = self.homes.own_role(ask.key)
-            reply = self._lend(ask.key, per_second, standing, ask.sender, ask.priority)
+            standing = self.homes.own_role(request.key)
+            reply = self._grant(request.key, per_second, standing, request.sender, request.priority)
         self.send(
-            ask.sender,
+            request.sender,
             PermitMessage(
                 PermitStep.GRANT if reply.granted else PermitStep.DENY,
                 self._own_name,
-                ask.key,
-                ask.request_number,
+                request.key,
+                request.request_number,
                 permit_wait_ms=wire_ms(reply.permit_seconds),
                 retry_after_ms=wire_ms(reply.retry_seconds),
                 requesters=reply.requesters,
             ),
         )
 
-    def _lend(
-        self, key: int, per_second: float, standing: OwnerRole, asker: str, rank: int
+    def _grant(
+        self, key: int, per_second: float, standing: OwnerRole, requester: str, rank: int
     ) -> PermitReply:
-        return self._lender.request_permit(
-            key, per_second, standing, self._members(), asker, rank, self._now()
+        return self._quota_owner.request_permit(
+            key, per_second, standing, self._members(), requester, rank, self._now()
         )
 
     def sweep(self, servers: Callable[[], Collection[int]]) -> None:
-        """Forget what is over.
+        """Drop expired state.
 
         Args:
-            servers: Tells the identities of the servers' incarnations that there are.
+            servers: Returns the identities of the existing server incarnations.
         """
         now = self._now()
-        self._lender.drop_idle(now)
+        self._quota_owner.drop_idle(now)
         self._signals.expire(now, servers)
         self.pauses.expire(now)
--- a/src/milletcourse/gateway/servers/signal_watch.py
+++ b/src/milletcourse/gateway/servers/signal_monitor.py
@@ -1,4 +1,4 @@
-"""Takes what answers and other gateways tell of what servers say, and tells what changed."""
+"""Collects the signals of servers from answers and other gateways, and reports what changed."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from milletcourse.gateway.telling.recorder import Recorder
 
 
-class SignalWatch:
-    """Keeps what servers say of themselves as it is now."""
+class SignalMonitor:
+    """Keeps the signals of servers current: limits, shutdowns and requested back-off."""
 
     def __init__(
         self,
@@ -29,46 +29,47 @@
         pauses: PermitRetryDelays,
         instances: InstanceTable,
         record: Recorder,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
         on_leaving: Callable[[Instance], None],
     ) -> None:
-        """Nothing heard yet.
+        """Start without any signal.
 
         Args:
-            signals: Where it is kept.
-            pauses: Servers that aren't asked for room now: a changed limit ends that.
+            signals: Stores the signals.
+            pauses: Servers for which no permits are requested; a changed limit ends the pause.
             instances: The servers.
-            record: Where changes are told to operators.
-            on_news: Called when there is news that the other gateways need at once.
-            on_leaving: Called when a server is first heard to leave.
+            record: Reports changes to operators.
+            on_update: Called when there is an update that the other gateways need at once.
+            on_leaving: Called when a server first signals that it is shutting down.
         """
         self._signals = signals
         self._pauses = pauses
         self._instances = instances
         self._record = record
-        self._on_news = on_news
+        self._on_update = on_update
         self._on_leaving = on_leaving
         instances.on_renamed = signals.on_renamed
         instances.on_draining = self._on_draining
 
     def on_answer(self, instance: Instance, head: AnswerHead, sent_at: float) -> None:
-        """The head of an answer says something of its server.
+        """Apply the signals in the head of an answer to a request.
 
         Args:
-            instance: The server that was asked.
+            instance: The server that the request was sent to.
             head: Head of the answer.
             sent_at: Monotonic time of the request's send.
         """
         if not _is_from(head, instance):
             return
-        self._take_limit(instance, head, sent_at)
-        self._take_leaving(instance, head)
-        self._take_rest(instance, head)
+        self._apply_limit(instance, head, sent_at)
+        self._apply_leaving(instance, head)
+        self._apply_backoff(instance, head)
 
     def on_reply(self, instance: Instance, head: AnswerHead, sent_at: float) -> None:
-        """A server's reply to an order, or its report, says something of it.
+        """Apply the signals in a server's reply to an order or in its load report.
 
-        Not that a limit has ended: only answers to requests are said to name it each time.
+        A missing limit does not end the limit here: servers must repeat it only in answers to
+        requests.
 
         Args:
             instance: The server that replied.
@@ -76,18 +77,18 @@
             sent_at: Monotonic time of the call's send.
         """
         if head.limit.per_second is not None or head.limit.unreadable:
-            self._take_limit(instance, head, sent_at)
-        self._take_leaving(instance, head)
-        self._take_rest(instance, head)
+            self._apply_limit(instance, head, sent_at)
+        self._apply_leaving(instance, head)
+        self._apply_backoff(instance, head)
 
-    def on_reports(self, reports: Iterable[SignalReport], passes_on: bool) -> None:
-        """Another gateway tells what servers said.
+    def on_reports(self, reports: Iterable[SignalReport], is_relayed: bool) -> None:
+        """Apply signals that another gateway reports.
 
         Args:
-            reports: What they said.
-            passes_on: Others depend on this gateway to hear of it.
+            reports: The reported signals.
+            is_relayed: Whether other gateways depend on this one to receive them.
         """
-        changes = self._signals.merge(reports, self._record.now(), passes_on)
+        changes = self._signals.merge(reports, self._record.now(), is_relayed)
         if not changes:
             return
         by_key = {instance.key: instance for instance in self._instances}
@@ -98,33 +99,33 @@
             if item.change is not None:
                 self._on_limit_change(instance, item.change, item.per_second, SOURCE_PEER)
             if item.is_leaving:
-                self._tell_leaving(instance, SOURCE_PEER)
-        if passes_on:
-            self._on_news()
+                self._report_leaving(instance, SOURCE_PEER)
+        if is_relayed:
+            self._on_update()
 
     def on_send(self, instance: Instance) -> None:
-        """A request goes to a server: count it when the server said something that bounds that."""
+        """Count a request that is sent to a server with a signal in force."""
         tally = self._record.tally
         if self._signals.per_second(instance.key) is not None:
             tally.on_limited_send(instance.name)
         if self.is_leaving(instance):
             tally.on_leaving_send(instance.name)
-        elif self.is_resting(instance):
+        elif self.is_backing_off(instance):
             tally.on_resting_send(instance.name)
 
     def is_leaving(self, instance: Instance) -> bool:
-        """Whether a server said, in any way, that it is about to end."""
+        """Whether a server signalled in any way that it is shutting down."""
         return self._signals.signal(instance.key, self._record.now()) is Signal.LEAVING
 
-    def is_resting(self, instance: Instance) -> bool:
-        """Whether a server asked this gateway for rest, and still has it."""
+    def is_backing_off(self, instance: Instance) -> bool:
+        """Whether a back-off that a server requested from this gateway is in force."""
         return self._signals.signal(instance.key, self._record.now()) is Signal.BACKING_OFF
 
-    # -- inside ---------------------------------------------------------------------------------
+    # -- internals ------------------------------------------------------------------------------
 
-    def _take_limit(self, instance: Instance, head: AnswerHead, sent_at: float) -> None:
+    def _apply_limit(self, instance: Instance, head: AnswerHead, sent_at: float) -> None:
         if head.limit.unreadable:
-            # What it said before holds on.
+            # The previous limit stays in force.
             self._record.signals.unreadable(instance.name, "limit", head.limit.unreadable)
             return
         now = self._record.now()
@@ -132,25 +133,25 @@
         change = self._signals.on_answer(instance.key, per_second, sent_at, now)
         if change is not None:
             self._on_limit_change(instance, change, per_second, SOURCE_ANSWER)
-            self._on_news()
+            self._on_update()
 
-    def _take_leaving(self, instance: Instance, head: AnswerHead) -> None:
+    def _apply_leaving(self, instance: Instance, head: AnswerHead) -> None:
         if head.leaving.unreadable:
             self._record.signals.unreadable(instance.name, "leaving", head.leaving.unreadable)
         if head.leaving.is_leaving and self._signals.on_leaving(instance.key, self._record.now()):
-            self._tell_leaving(instance, SOURCE_ANSWER)
-            self._on_news()
+            self._report_leaving(instance, SOURCE_ANSWER)
+            self._on_update()
 
     def _on_draining(self, instance: Instance) -> None:
-        """Its entry says so: all gateways see it there, so that nobody needs to be told."""
+        """Apply the draining state of a server's entry, which every gateway reads for itself."""
         if self._signals.on_entry_leaving(instance.key, self._record.now()):
-            self._tell_leaving(instance, SOURCE_ENTRY)
+            self._report_leaving(instance, SOURCE_ENTRY)
 
-    def _tell_leaving(self, instance: Instance, told_by: str) -> None:
-        self._record.signals.leaving(instance.name, told_by)
+    def _report_leaving(self, instance: Instance, source: str) -> None:
+        self._record.signals.leaving(instance.name, source)
         self._on_leaving(instance)
 
-    def _take_rest(self, instance: Instance, head: AnswerHead) -> None:
+    def _apply_backoff(self, instance: Instance, head: AnswerHead) -> None:
         if head.back_off.unreadable:
             self._record.signals.unreadable(instance.name, "rest", head.back_off.unreadable)
         if not head.back_off.seconds:
@@ -159,17 +160,17 @@
             self._record.signals.resting(instance.name, head.back_off.seconds)
 
     def _on_limit_change(
-        self, instance: Instance, change: LimitChange, per_second: float | None, told_by: str
+        self, instance: Instance, change: LimitChange, per_second: float | None, source: str
     ) -> None:
         self._pauses.clear(instance.key)
-        self._record.signals.limit(instance.name, change, per_second, told_by)
+        self._record.signals.limit(instance.name, change, per_second, source)
 
 
 def _is_from(head: AnswerHead, instance: Instance) -> bool:
-    """Whether an answer is of the server that was asked, and not of one that has its address now.
+    """Whether an answer comes from the given server and not from a new one at its address.
 
-    Servers that run a request are the one that it names; whoever answers that it is misdirected may
-    be any.
+    A server runs a request only if the request names it. A 421 answer without an instance id may
+    come from any server.
     """
     if not head.instance:
         return head.status != MISDIRECTED
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -37,10 +37,10 @@
 from milletcourse.exchange.rollout.version_gate import VersionGate
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
 from milletcourse.gateway.servers.connection_pool import ConnectionPool
-from milletcourse.gateway.servers.crash_watch import CrashWatch
+from milletcourse.gateway.servers.crash_detector import CrashDetector
 from milletcourse.gateway.servers.descriptors import descriptor_plan
 from milletcourse.gateway.servers.server_permits import ServerPermits
-from milletcourse.gateway.servers.signal_watch import SignalWatch
+from milletcourse.gateway.servers.signal_monitor import SignalMonitor
 from milletcourse.gateway.state.cache_store_reach import CacheStoreReach
 from milletcourse.gateway.state.server_answers import ServerAnswers
 from milletcourse.gateway.state.settings import GatewaySettings
@@ -129,7 +129,7 @@
         self.news_listeners: list[Callable[[], None]] = []
         self.server_signals = ServerSignals()
         pauses = PermitRetryDelays()
-        self.signal_watch = SignalWatch(
+        self.signal_watch = SignalMonitor(
             self.server_signals,
             pauses,
             self.instances,
@@ -176,7 +176,7 @@
             self.descriptors.idle_servers,
             self._connection_part,
         )
-        self.crash_watch = CrashWatch(self.crash_evidence, self.pool, self.record, self._on_news)
+        self.crash_watch = CrashDetector(self.crash_evidence, self.pool, self.record, self._on_news)
         self.gateways = 0
         self._budgets: dict[str, RetryBudget] = {}
         self._suspected: set[str] = set()
@@ -352,7 +352,7 @@
     def _on_restarted(self, before: Instance) -> None:
         """A server has started again under its name: what it had at work ended with it."""
         self.record.instance_restarted(before.name)
-        self.crash_watch.on_instance_ended(before.name)
+        self.crash_watch.on_instance_terminated(before.name)
         for listener in self.restart_listeners:
             listener(before)
 
@@ -371,7 +371,7 @@
         if Mechanism.INCARNATION_CHECK not in self.mechanisms or not self.instances.terminate(name):
             return False
         self.record.instance_ended(name, successor)
-        self.crash_watch.on_instance_ended(name)
+        self.crash_watch.on_instance_terminated(name)
         return True
 
     def _on_news(self) -> None:
--- a/tests/gateway/requests/test_stream_handover_machine.py
+++ b/tests/gateway/requests/test_stream_handover_machine.py
@@ -1,4 +1,4 @@
-"""Attempts at two servers in any order of events: one speaks, and none outlives its request."""
+"""Attempts at two servers in any order of events: one is relayed, and none outlives its request."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from milletcourse.exchange.messages.messages import AbortCause, AttemptResult
+from milletcourse.gateway.requests.server_attempt import ServerAttempt
 from milletcourse.gateway.requests.stream_handover import StreamHandover
-from milletcourse.gateway.requests.visit import Visit
 
 
 class FakeAttempt:
-    """An attempt that does what the test says."""
+    """An attempt that is controlled by the test."""
 
     def __init__(self) -> None:
         self.result: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
-        self.left: AbortCause | None = None
+        self.abort_cause: AbortCause | None = None
         self.loss = None
         self.was_sent = False
         self.ended = False
 
     async def run(self) -> AttemptResult:
-        """Until it has a result."""
+        """Wait until the test sets a result."""
         return await self.result
 
     def end(self, cause: AbortCause) -> None:
-        """It is given up; its end shows later, and only what was sent tells why."""
+        """Abort the attempt; its result follows later, and it has a cause only if it was sent."""
         self.ended = True
-        if self.was_sent and self.left is None:
-            self.left = cause
+        if self.was_sent and self.abort_cause is None:
+            self.abort_cause = cause
 
     @property
     def speaks(self) -> bool:
-        """Whether a piece of it would be passed on."""
+        """Whether an event of this attempt would be relayed."""
         return self.was_sent and not self.ended and not self.result.done()
 
 
 class OneStream(RuleBasedStateMachine):
-    """A request with a first server, and those that are asked to go on."""
+    """A request with a first server, and the servers to which its stream is offered."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = asyncio.new_event_loop()
-        self.offers: list[Visit] = []
-        self.failed: list[Visit] = []
+        self.offers: list[ServerAttempt] = []
+        self.failed: list[ServerAttempt] = []
         self.is_over = False
         self.was_offered_late = False
         context: Any = SimpleNamespace(
@@ -56,20 +56,22 @@
             log=SimpleNamespace(emit=lambda *_, **__: None),
         )
         self.handover = StreamHandover(
-            context, lambda _: self.open(), lambda visit, _: self.failed.append(visit)
+            context,
+            lambda _: self.open(),
+            lambda server_attempt, _: self.failed.append(server_attempt),
         )
         self.do(self.begin)
 
     def teardown(self) -> None:
-        """Nothing runs on."""
-        for visit in self.offers:
-            if visit.task is not None:
-                visit.task.cancel()
+        """Cancel all tasks."""
+        for server_attempt in self.offers:
+            if server_attempt.task is not None:
+                server_attempt.task.cancel()
         self.settle()
         self.loop.close()
 
     def do(self, step: Callable[[], None]) -> None:
-        """Carry a step out on the loop, and let what it causes happen."""
+        """Run a step on the event loop and let its consequences take effect."""
 
         async def body() -> None:
             step()
@@ -78,23 +80,23 @@
         self.settle()
 
     def settle(self) -> None:
-        """Some turns of the loop."""
+        """Run some iterations of the event loop."""
         for _ in range(4):
             self.loop.run_until_complete(asyncio.sleep(0))
 
     def begin(self) -> None:
-        """The first server has the stream."""
+        """Start with the stream at the first server."""
         attempt: Any = FakeAttempt()
         attempt.was_sent = True
         instance: Any = SimpleNamespace(name="first")
-        self.handover.current = Visit(instance, attempt)
+        self.handover.current = ServerAttempt(instance, attempt)
 
-    def open(self) -> Visit:
-        """Another server may go on."""
+    def open(self) -> ServerAttempt:
+        """Create an attempt at another server."""
         self.was_offered_late = self.was_offered_late or self.is_over
         attempt: Any = FakeAttempt()
         instance: Any = SimpleNamespace(name=f"other-{len(self.offers)}")
-        self.offers.append(Visit(instance, attempt))
+        self.offers.append(ServerAttempt(instance, attempt))
         return self.offers[-1]
 
     @property
@@ -105,55 +107,55 @@
 
     @property
     def offered(self) -> Any:
-        """The attempt at the server that was asked last."""
+        """The attempt at the server to which the stream was offered last."""
         return self.offers[-1].attempt if self.offers else None
 
     def pending(self) -> bool:
-        """Whether the server that was asked last has no result yet."""
+        """Whether the attempt that was offered last has no result yet."""
         return bool(self.offers) and not self.offered.result.done()
 
     @precondition(lambda self: not self.is_over and self.current.speaks)
     @rule()
     def silent(self) -> None:
-        """The server that has the stream says nothing."""
+        """The server that runs the stream is silent."""
         self.do(self.handover.on_silent)
 
     @precondition(lambda self: self.pending() and not self.offered.ended)
     @rule()
     def send(self) -> None:
-        """The connection to the other one came up."""
+        """The connection to the successor is established and the request sent."""
         self.offered.was_sent = True
         self.do(lambda: self.handover.on_sent(self.offered))
 
     @precondition(lambda self: not self.is_over and self.current.speaks)
     @rule()
     def piece_of_the_first(self) -> None:
-        """It goes on."""
-        self.do(lambda: self.handover.on_piece(self.current))
+        """The current server sends an event."""
+        self.do(lambda: self.handover.on_events(self.current))
 
     @precondition(lambda self: not self.is_over and self.pending() and self.offered.speaks)
     @rule()
     def piece_of_the_other(self) -> None:
-        """The other one begins."""
+        """The successor sends an event."""
         attempt = self.offered
-        self.do(lambda: self.handover.on_piece(attempt))
+        self.do(lambda: self.handover.on_events(attempt))
 
     @precondition(lambda self: not self.is_over)
     @rule()
     def overlap_over(self) -> None:
-        """Both had the stream for as long as they may."""
+        """The time for which both servers may run the stream is over."""
         self.do(self.handover._on_overlap_over)
 
     @precondition(lambda self: self.pending() and self.offered is not self.current)
     @rule()
     def other_ends(self) -> None:
-        """It turned the stream away, or its end shows."""
+        """The successor rejects the stream, or its abort completes."""
         self.do(lambda: self.offered.result.set_result(AttemptResult.REJECTED))
 
     @precondition(lambda self: not self.is_over and not self.current.result.done())
     @rule()
     def first_ends(self) -> None:
-        """It broke off, or was ended: whoever was asked takes over, or the request is over."""
+        """The current attempt fails or was aborted: the successor takes over if there is one."""
 
         def step() -> None:
             self.current.result.set_result(AttemptResult.TRUNCATED)
@@ -167,10 +169,10 @@
     @precondition(lambda self: not self.is_over and self.current.speaks)
     @rule()
     def first_finishes(self) -> None:
-        """Its last piece has come."""
+        """The current server sends its last event."""
 
         def step() -> None:
-            self.handover.on_piece(self.current)
+            self.handover.on_events(self.current)
             self.current.result.set_result(AttemptResult.ANSWERED)
             self.is_over = True
             self.handover.close()
@@ -180,7 +182,7 @@
     @precondition(lambda self: not self.is_over)
     @rule()
     def client_leaves(self) -> None:
-        """Both are ended."""
+        """The client disconnects, and both attempts are aborted."""
 
         def step() -> None:
             self.handover.end(AbortCause.CLIENT_DISCONNECTED)
@@ -195,24 +197,26 @@
         self.settle()
 
     def alive(self) -> list[Any]:
-        """Attempts that a server works on, or will."""
+        """Attempts that a server runs or will run."""
         attempts = {id(self.current): self.current}
-        attempts |= {id(visit.attempt): visit.attempt for visit in self.offers}
+        attempts |= {
+            id(server_attempt.attempt): server_attempt.attempt for server_attempt in self.offers
+        }
         return [item for item in attempts.values() if not item.result.done() and not item.ended]
 
     @invariant()
     def at_most_two_have_the_stream(self) -> None:
-        """One, and one that is asked."""
+        """The current server, and one to which the stream is offered."""
         assert len(self.alive()) <= 2
 
     @invariant()
     def a_finished_request_is_offered_to_nobody(self) -> None:
-        """Its client may have sent the next one."""
+        """The client may have sent its next request."""
         assert not self.was_offered_late
 
     @invariant()
     def none_outlives_its_request(self) -> None:
-        """What is over is worked on by nobody."""
+        """No successor continues after the request is over."""
         if self.is_over:
             assert not [item for item in self.alive() if item is not self.current]
 
