--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -17,10 +17,10 @@
 from milletcourse.gateway.servers.call_client import CallClient
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.store.directory import ContainedRequest, GatewayDirectory, GatewayEntry
+from milletcourse.gateway.store.event_handlers import ConfigurationSink, InstanceSink, TargetSink
 from milletcourse.gateway.store.kind_mirror import KindMirror, KindSink
 from milletcourse.gateway.store.object_store import ObjectStoreClient
 from milletcourse.gateway.store.registration import Registration
-from milletcourse.gateway.store.sinks import ConfigurationSink, InstanceSink, TargetSink
 from milletcourse.gateway.store.store_comparison import StoreState, compare_kinds
 from milletcourse.gateway.store.store_feed import StoreFeed
 from milletcourse.gateway.store.store_sync import StoreSync, WatchedKind
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -37,8 +37,8 @@
 from milletcourse.gateway.servers.descriptors import descriptor_plan
 from milletcourse.gateway.servers.server_permits import ServerPermits
 from milletcourse.gateway.servers.signal_watch import SignalWatch
-from milletcourse.gateway.state.cache_store_reach import CacheStoreReach
-from milletcourse.gateway.state.server_answers import ServerAnswers
+from milletcourse.gateway.state.answer_rates import ServerAnswers
+from milletcourse.gateway.state.cache_store_availability import CacheStoreReach
 from milletcourse.gateway.state.settings import GatewaySettings
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
--- a/tests/defect_searches.py
+++ b/tests/defect_searches.py
@@ -33,7 +33,7 @@
 from exchange.rollout import test_lease_machine
 from gateway import test_sleep_machines
 from gateway.servers import test_signal_machine
-from gateway.store import test_told_contents_machine
+from gateway.store import test_feed_contents_machine
 
 PROCESSES = 4
 DEFAULT_RUNS = 50
@@ -57,7 +57,7 @@
 def searches() -> dict[str, Search]:
     """All searches by name."""
     signals = test_signal_machine
-    contents = test_told_contents_machine
+    contents = test_feed_contents_machine
     leases = test_lease_machine
     found = {
         "stop: CarelessMachine": Search(
