--- a/src/milletcourse/experiments/return_model.py
+++ b/src/milletcourse/experiments/return_model.py
@@ -17,19 +17,19 @@
 import msgspec
 
 from milletcourse.exchange.messages.store_place import StorePlace
-from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
+from milletcourse.gateway.store.kind_mirror import KindMirror, NoOpEventHandler
 from milletcourse.gateway.store.kind_watch import (
-    FIRST_PAUSE_SECONDS,
-    MAX_PAUSE_SECONDS,
-    SPREAD_SECONDS,
+    INITIAL_BACKOFF_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    RESUME_SPREAD_SECONDS,
 )
 from milletcourse.gateway.store.object_store import StoredObject
 from milletcourse.gateway.store.registration import (
-    LOOK_SECONDS,
-    SHORTEST_LOOK,
+    CHECK_INTERVAL_SECONDS,
+    MIN_CHECK_INTERVAL_SHARE,
 )
 from milletcourse.gateway.store.registration import (
-    MAX_PAUSE_SECONDS as MAX_WRITE_PAUSE_SECONDS,
+    MAX_BACKOFF_SECONDS as MAX_WRITE_PAUSE_SECONDS,
 )
 
 ZONES = 4
@@ -167,15 +167,15 @@
 
     def _first_call(self, gateway: int) -> float:
         """Time from the return until a gateway's next call: it was pausing after a failed one."""
-        pause = min(max(self._away, FIRST_PAUSE_SECONDS), MAX_PAUSE_SECONDS)
-        return pause * self._random.random() + SPREAD_SECONDS * self._random.random()
+        pause = min(max(self._away, INITIAL_BACKOFF_SECONDS), MAX_BACKOFF_SECONDS)
+        return pause * self._random.random() + RESUME_SPREAD_SECONDS * self._random.random()
 
     def _list(self, gateway: int, now: float) -> None:
         """All kinds; a page that is refused is asked for again."""
         pages = KINDS - 2 + sum(math.ceil(size / PAGE_OBJECTS) for size in self._sizes())
         done = sum(self._reads.takes(now + page * CALL_SECONDS) for page in range(pages))
         if done < pages:
-            self._push(now + MAX_PAUSE_SECONDS * (0.5 + self._random.random()), gateway, "list")
+            self._push(now + MAX_BACKOFF_SECONDS * (0.5 + self._random.random()), gateway, "list")
             return
         known_at = now + pages * CALL_SECONDS
         self._on_known(gateway, known_at)
@@ -194,7 +194,7 @@
 
     def _bytes_told(self) -> int:
         """What one follower is told of the gateways' list, of which some entries are lost."""
-        mirror = KindMirror("gateways", IgnoringSink())
+        mirror = KindMirror("gateways", NoOpEventHandler())
         before, after = StorePlace(1, 900), StorePlace(2, 500)
         spec = b'{"address":"10.0.0.1:9000","zone":"zone-1","feed":"10.0.0.1:9000"}'
         names = [f"front-{number}" for number in range(self._gateways)]
@@ -216,14 +216,16 @@
         self._push(now + wait, gateway, "write")
 
     def _look(self) -> float:
-        return LOOK_SECONDS * (SHORTEST_LOOK + (1.0 - SHORTEST_LOOK) * self._random.random())
+        return CHECK_INTERVAL_SECONDS * (
+            MIN_CHECK_INTERVAL_SHARE + (1.0 - MIN_CHECK_INTERVAL_SHARE) * self._random.random()
+        )
 
     def _write(self, gateway: int, now: float) -> None:
         if self._writes.takes(now):
             self._written.add(gateway)
             self._listed_at = max(self._listed_at, now + CALL_SECONDS)
             return
-        share = SHORTEST_LOOK + (1.0 - SHORTEST_LOOK) * self._random.random()
+        share = MIN_CHECK_INTERVAL_SHARE + (1.0 - MIN_CHECK_INTERVAL_SHARE) * self._random.random()
         self._push(now + MAX_WRITE_PAUSE_SECONDS * share, gateway, "write")
 
     def _figures(self, last: float) -> ReturnFigures:
--- a/src/milletcourse/gateway/clients/client_gate.py
+++ b/src/milletcourse/gateway/clients/client_gate.py
@@ -45,7 +45,7 @@
             return room
         waiting = waiting_connections(listening)
         context.record.clients_waiting(len(self.clients), waiting)
-        context.short_of_room_until = context.now() + SHORT_SECONDS
+        context.short_of_descriptors_until = context.now() + SHORT_SECONDS
         self._close_resting(min(waiting, CLOSED_TOGETHER))
         return 0
 
--- a/src/milletcourse/gateway/fleet/cache_store_probe.py
+++ b/src/milletcourse/gateway/fleet/cache_store_probe.py
@@ -54,7 +54,7 @@
 
 
 class CacheStoreProbe:
-    """Keeps `CacheStoreReach.lost` current."""
+    """Keeps `CacheStoreAvailability.unreachable` current."""
 
     def __init__(self, context: GatewayContext, calls: Caller, dialect: CacheStoreDialect) -> None:
         self._context = context
@@ -69,9 +69,9 @@
         await asyncio.sleep(self._context.random.random() * self.pause_seconds())
         while True:
             await asyncio.sleep(self.pause_seconds())
-            table = self._context.table
+            table = self._context.route_table
             addresses = [store.store_address for store in table.cache_stores] if table else []
-            self._context.cache_store_reach.lost.intersection_update(addresses)
+            self._context.cache_store_availability.unreachable.intersection_update(addresses)
             await asyncio.gather(*map(self.look, addresses))
 
     def pause_seconds(self) -> float:
@@ -85,7 +85,7 @@
         reply = await self._calls.call(address, call, TIMEOUT_SECONDS)
         if reply is not None:
             self._note(address, self._dialect.read_sign(reply))
-        self._context.cache_store_reach.note(address, reply is not None)
+        self._context.cache_store_availability.record_probe(address, reply is not None)
 
     def _note(self, address: str, sign: SignOfLife | None) -> None:
         """Go on from what a store says; one that is busy refuses without saying anything."""
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -35,8 +35,8 @@
         self._transport: asyncio.DatagramTransport | None = None
         self.holds_lease = False
         context.on_instance_ended = self._tell_ended
-        context.cache_store_reach.on_found = self._tell_cache_store
-        context.news_listeners.append(self._tick)
+        context.cache_store_availability.on_observed = self._tell_cache_store
+        context.update_listeners.append(self._tick)
         context.permits.send = self._send_unit_message
 
     def set_gateways(self, gateways: list[GatewayRecord], readers: list[str]) -> None:
@@ -91,7 +91,7 @@
             self._take_cache_store(notice)
             return
         if notice.state is ServerState.ENDED:
-            self._context.end_instance(notice.subject, "told", notice.started_ms)
+            self._context.retire_instance(notice.subject, "told", notice.started_ms)
             return
         table = self._context.instances
         table.on_start_seen(notice.subject, notice.started_ms)
@@ -105,11 +105,11 @@
             instance.health.on_order(now + INITIAL_LOAD_SECONDS)
 
     def _take_cache_store(self, notice: ServerNotice) -> None:
-        table = self._context.table
+        table = self._context.route_table
         stores = table.cache_stores if table is not None else []
         if any(store.store_address == notice.subject for store in stores):
             reachable = notice.state is ServerState.STORE_FOUND
-            self._context.cache_store_reach.set(notice.subject, reachable)
+            self._context.cache_store_availability.set_reachable(notice.subject, reachable)
 
     def _tell_cache_store(self, address: str, reachable: bool) -> None:
         state = ServerState.STORE_FOUND if reachable else ServerState.STORE_LOST
@@ -132,7 +132,7 @@
 
     def _tick(self) -> None:
         context = self._context
-        context.note_sleep()
+        context.handle_suspension()
         reader = context.followed_reader
         now = context.now()
         uses = context.tenant_limits.tick(now)
--- a/src/milletcourse/gateway/fleet/roll_out_service.py
+++ b/src/milletcourse/gateway/fleet/roll_out_service.py
@@ -78,7 +78,10 @@
         self._renew_seconds = min(MAX_RENEW_SECONDS, (duration - margin) / 2)
         watch = context.signal_watch
         self._plan = RollOut(
-            context.gate, context.server_answers.request_rate, watch.is_leaving, watch.is_resting
+            context.gate,
+            context.server_answer_rates.request_rate,
+            watch.is_leaving,
+            watch.is_resting,
         )
         context.restart_listeners.append(self._plan.on_restarted)
         self._next_lease_call = 0.0
@@ -89,7 +92,7 @@
         """Work until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            self._context.note_sleep()
+            self._context.handle_suspension()
             if not self._takes_part() or not self._plan.has_work(self._context.instances):
                 continue
             await self._keep_lease()
@@ -157,7 +160,7 @@
             stored, sent_at = await self._store.replace(
                 self._lease_kind, self._lease_name, spec, claim.expected
             )
-        self._lease.on_written(claim, stored.place, sent_at)
+        self._lease.on_written(claim, stored.position, sent_at)
         self._next_lease_call = sent_at + self._renew_seconds
 
     def _observe(self, stored: StoredObject) -> None:
@@ -166,7 +169,7 @@
         except msgspec.MsgspecError:
             self._context.log.emit("object-malformed", name=stored.name)
             return
-        self._lease.on_observed(spec, stored.place, self._context.now())
+        self._lease.on_observed(spec, stored.position, self._context.now())
 
     def _note_holder(self) -> None:
         holder = self._lease.is_held(self._context.now())
--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -17,8 +17,12 @@
 from milletcourse.gateway.servers.call_client import CallClient
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.store.directory import ContainedRequest, GatewayDirectory, GatewayEntry
-from milletcourse.gateway.store.event_handlers import ConfigurationSink, InstanceSink, TargetSink
-from milletcourse.gateway.store.kind_mirror import KindMirror, KindSink
+from milletcourse.gateway.store.event_handlers import (
+    ConfigurationEventHandler,
+    InstanceEventHandler,
+    TargetEventHandler,
+)
+from milletcourse.gateway.store.kind_mirror import KindEventHandler, KindMirror
 from milletcourse.gateway.store.object_store import ObjectStoreClient
 from milletcourse.gateway.store.registration import Registration
 from milletcourse.gateway.store.store_comparison import StoreState, compare_kinds
@@ -100,19 +104,19 @@
             self._context.record.store.entry_written_again,
         )
         self._spawn(registration.run())
-        self._context.crash_watch.listeners.append(registration.on_news)
-        self._context.on_return_news = registration.on_news
+        self._context.crash_watch.listeners.append(registration.on_change)
+        self._context.on_restore_update = registration.on_change
 
     def _gateways_listed_at(self) -> StorePlace | None:
         mirrors = [kind.mirror for kind in self._watched]
-        return next(mirror.place for mirror in mirrors if mirror.kind == self._gateways_kind)
+        return next(mirror.position for mirror in mirrors if mirror.kind == self._gateways_kind)
 
     async def compare_with_store(self) -> StoreState:
         """What this gateway knows of the store, and how that differs from what it holds."""
         context = self._context
         mirrors = [kind.mirror for kind in self._watched]
         kinds = await compare_kinds(self._store, mirrors, context.now())
-        version = context.table.version if context.table is not None else None
+        version = context.route_table.version if context.route_table is not None else None
         return StoreState(
             context.settings.name, version, context.reads_store, context.followed_reader, kinds
         )
@@ -130,7 +134,7 @@
             confirmed_era = context.confirmed_era.latest
         return msgspec.structs.replace(
             location,
-            contained=[ContainedRequest.of(report) for report in reports],
+            contained=[ContainedRequest.from_report(report) for report in reports],
             confirmed_era=confirmed_era,
             lost_configuration=context.lost_configuration.version if context.reads_store else 0,
         )
@@ -147,7 +151,7 @@
         """A gateway found requests that end servers."""
         context = self._context
         try:
-            reports = [request.report() for request in entry.contained[:MAX_TOLD]]
+            reports = [request.to_report() for request in entry.contained[:MAX_TOLD]]
         except ValueError as error:
             context.log.emit("object-malformed", name=entry.address, error=str(error)[:200])
             return
@@ -166,7 +170,7 @@
         """Tell other gateways what the store holds at the first free port; empty without one."""
         settings = self._context.settings
         mirrors = [kind.mirror for kind in self._watched]
-        feed = StoreFeed(self._context, mirrors, proven=mirrors[0])
+        feed = StoreFeed(self._context, mirrors, proof_mirror=mirrors[0])
         first, last = settings.internal_ports
         for port in range(first, last + 1):
             try:
@@ -200,18 +204,20 @@
 ) -> tuple[WatchedKind, ...]:
     """What is followed in the object store, and who takes it."""
     kinds = adapter.kinds
-    configuration = ConfigurationSink(
+    configuration = ConfigurationEventHandler(
         context, kinds.configuration_name, adapter.decode_configuration
     )
-    instances = InstanceSink(context, adapter.decode_instance)
-    targets = TargetSink(context, adapter.decode_target)
+    instances = InstanceEventHandler(context, adapter.decode_instance)
+    targets = TargetEventHandler(context, adapter.decode_target)
 
-    def mirror(kind: str, sink: KindSink) -> KindMirror:
+    def mirror(kind: str, sink: KindEventHandler) -> KindMirror:
         return KindMirror(kind, sink, context.record.store)
 
     # The configuration comes first: it is asked for most often.
     return (
-        WatchedKind(mirror(kinds.configuration, configuration), context.reading.watch_wait),
+        WatchedKind(
+            mirror(kinds.configuration, configuration), context.replication_times.watch_wait
+        ),
         # Many pages: read stale, and brought up to date by the first watch.
         WatchedKind(mirror(kinds.instances, instances), INSTANCE_WAIT_SECONDS, True),
         WatchedKind(mirror(kinds.targets, targets), TARGET_WAIT_SECONDS),
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -159,9 +159,9 @@
         """Bounds on time, kept without a timer for each connection."""
         while True:
             due_at = self.context.now() + SWEEP_SECONDS
-            self.context.attended.expect_turn(SWEEP_SECONDS)
+            self.context.responsive_clock.expect_turn(SWEEP_SECONDS)
             await asyncio.sleep(SWEEP_SECONDS)
-            self.context.note_sleep()
+            self.context.handle_suspension()
             now = self._seen_running_at = self.context.now()
             if now - due_at > LATE_SECONDS:
                 self.context.record.loop_late(now - due_at)
@@ -171,8 +171,8 @@
             self.context.instances.expire_doubtful(now)
             self._fleet.sweep(now)
             self.context.gate.forget_before(now)
-            self.context.note_suspicions()
-            self.context.note_limits()
+            self.context.report_suspicions()
+            self.context.report_limits()
             self.context.crash_watch.sweep()
             self.context.permits.sweep(self._server_keys)
 
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -92,7 +92,7 @@
         self._permit = permit
         self._ended = False
         self._connection: ServerConnection | None = None
-        self._silence_timer = AttendedTimer(context.attended, self._on_silent)
+        self._silence_timer = AttendedTimer(context.responsive_clock, self._on_silent)
         self._waiting_tokens = 0
         self._dispatch = DispatchBuilder(context, job, instance)
         self.sent_at = float("inf")
@@ -117,7 +117,7 @@
             return
         self.silence = Silence(
             self._silent_seconds(),
-            self._context.attended.absent_seconds - self._absent_before,
+            self._context.responsive_clock.absent_seconds - self._absent_before,
         )
         self._connection.abort()
 
@@ -206,11 +206,11 @@
         return result
 
     def _note_heard(self) -> None:
-        self._heard_at = self._context.attended.seconds()
-        self._absent_before = self._context.attended.absent_seconds
+        self._heard_at = self._context.responsive_clock.seconds()
+        self._absent_before = self._context.responsive_clock.absent_seconds
 
     def _silent_seconds(self) -> float:
-        return self._context.attended.seconds() - self._heard_at
+        return self._context.responsive_clock.seconds() - self._heard_at
 
     def _may_still_be_sent(self) -> bool:
         """Whether nothing has come up against it while the connection did."""
@@ -361,5 +361,5 @@
         usual = gap_seconds(route) if self._relay.begun else first_event_seconds(route)
         silent = self._silent_seconds()
         return patience_left(
-            usual, silent, self._context.server_answers.answers_others(self._instance)
+            usual, silent, self._context.server_answer_rates.answered_recently(self._instance)
         )
--- a/src/milletcourse/gateway/requests/dispatch_builder.py
+++ b/src/milletcourse/gateway/requests/dispatch_builder.py
@@ -83,7 +83,7 @@
         store = job.table.cache_store(
             zone or self._instance.record.zone, chain.keys[chain.shared - 1]
         )
-        if store is None or store.store_address in context.cache_store_reach.lost:
+        if store is None or store.store_address in context.cache_store_availability.unreachable:
             return None
         return store
 
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -223,7 +223,7 @@
             await asyncio.wait((check,), timeout=MAX_CHECK_SECONDS)
 
     def _stream_cut(self) -> StreamCut:
-        table = self._context.table
+        table = self._context.route_table
         return StreamCut(
             self._servers,
             self._end_cause.value if self._end_cause is not None else None,
--- a/src/milletcourse/gateway/requests/exchange_runner.py
+++ b/src/milletcourse/gateway/requests/exchange_runner.py
@@ -43,10 +43,10 @@
 
     def _open(self, received: ClientRequest, client: ClientConnection) -> Exchange:
         context = self._context
-        context.note_sleep()
+        context.handle_suspension()
         if context.refusing:
             raise FailureError(Draining("this gateway stops", context.retry_after()))
-        table = context.table
+        table = context.route_table
         if table is None:
             raise FailureError(NotReady("no configuration yet", context.retry_after()))
         request = context.dialect.read_request(
--- a/src/milletcourse/gateway/state/answer_rates.py
+++ b/src/milletcourse/gateway/state/answer_rates.py
@@ -10,11 +10,11 @@
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.exchange.servers.server_health import TALLY_HALF_LIFE_SECONDS
 
-ANSWERS_TO_RATE = math.log(2.0) / TALLY_HALF_LIFE_SECONDS
+DECAYED_COUNT_TO_RATE = math.log(2.0) / TALLY_HALF_LIFE_SECONDS
 """A steady rate keeps a count that halves in a half-life at the rate divided by this."""
 
 
-class ServerAnswers:
+class ServerAnswerRates:
     """Adds up what this gateway counted and what the others told."""
 
     def __init__(
@@ -31,13 +31,13 @@
         """
         if Mechanism.ROLL_OUT_WEIGHING not in self._mechanisms:
             return 0.0
-        return self._count(instance) * ANSWERS_TO_RATE
+        return self._decayed_answers(instance) * DECAYED_COUNT_TO_RATE
 
-    def answers_others(self, instance: Instance) -> bool:
+    def answered_recently(self, instance: Instance) -> bool:
         """Whether a server lately answered requests of this gateway or of others."""
-        return self._count(instance) > 0
+        return self._decayed_answers(instance) > 0
 
-    def _count(self, instance: Instance) -> float:
+    def _decayed_answers(self, instance: Instance) -> float:
         now = self._now()
         own = instance.health.tally(now).good
         return own + self._loads.others_load(instance.key, now).good
--- a/src/milletcourse/gateway/state/cache_store_availability.py
+++ b/src/milletcourse/gateway/state/cache_store_availability.py
@@ -8,7 +8,7 @@
 from milletcourse.gateway.telling.event_log import EventLog
 
 
-class CacheStoreReach:
+class CacheStoreAvailability:
     """Keeps the stores that don't answer out of use.
 
     Attributes:
@@ -24,29 +24,29 @@
             stores: What is kept of the stores; a lost one may have lost what it had.
             log: Where changes are told to operators.
         """
-        self.lost: set[str] = set()
-        self.on_found: Callable[[str, bool], None] | None = None
+        self.unreachable: set[str] = set()
+        self.on_observed: Callable[[str, bool], None] | None = None
         self._stores = stores
         self._log = log
 
-    def note(self, address: str, reachable: bool) -> None:
+    def record_probe(self, address: str, reachable: bool) -> None:
         """This gateway asked a store for a sign of life.
 
         That it gave none is told each time, since gateways that started meanwhile don't know it.
         """
-        is_news = self.set(address, reachable)
-        if self.on_found is not None and (is_news or not reachable):
-            self.on_found(address, reachable)
+        is_new = self.set_reachable(address, reachable)
+        if self.on_observed is not None and (is_new or not reachable):
+            self.on_observed(address, reachable)
 
-    def set(self, address: str, reachable: bool) -> bool:
+    def set_reachable(self, address: str, reachable: bool) -> bool:
         """Take a store out of use or back into it; True when that is news."""
-        was_reachable = address not in self.lost
+        was_reachable = address not in self.unreachable
         if was_reachable == reachable:
             return False
         if reachable:
-            self.lost.discard(address)
+            self.unreachable.discard(address)
         else:
-            self.lost.add(address)
+            self.unreachable.add(address)
             self._stores.on_lost(address)
         self._log.emit("cache-store-reached" if reachable else "cache-store-lost", address=address)
         return True
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -37,8 +37,8 @@
 from milletcourse.gateway.servers.descriptors import descriptor_plan
 from milletcourse.gateway.servers.server_permits import ServerPermits
 from milletcourse.gateway.servers.signal_watch import SignalWatch
-from milletcourse.gateway.state.answer_rates import ServerAnswers
-from milletcourse.gateway.state.cache_store_availability import CacheStoreReach
+from milletcourse.gateway.state.answer_rates import ServerAnswerRates
+from milletcourse.gateway.state.cache_store_availability import CacheStoreAvailability
 from milletcourse.gateway.state.settings import GatewaySettings
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
@@ -49,9 +49,9 @@
 
 FRESHNESS_MARGIN_SECONDS = 0.4
 """Keys are refused this long before the bound on revocation."""
-BUDGET_SHARE = 0.8
+RETRY_BUDGET_SHARE = 0.8
 """Share of the allowed retries that the gateways use; the rest covers uneven windows."""
-UNKNOWN_GATEWAYS = 10
+ASSUMED_GATEWAYS = 10
 """Divides what all gateways share until the list of them is known."""
 MAX_SHOWN_AGE_SECONDS = 999.0
 """Shown for a proof that there never was."""
@@ -66,10 +66,10 @@
     Attributes:
         mechanisms: Those that are switched on.
         planned_stop: The planned stop that is under way, None before.
-        reading: How often the state of the object store is asked for.
+        replication_times: How often the state of the object store is asked for.
         descriptors: Who may have how many of this process' descriptors.
         short_of_room_until: Clients waited to be accepted a moment before this time.
-        attended: Time by which the silence of others is judged.
+        responsive_clock: Time by which the silence of others is judged.
         lag: Which requests the configuration in force may decide while a newer one is on its way.
         effects: What the latest configurations changed.
         confirmed_era: Whether the configuration in the store may be believed after a return.
@@ -99,20 +99,20 @@
         self.dialect = dialect
         self.random = random_source
         self.log = log
-        self.record = Recorder(log, figures, self._belief, self.now)
-        self.table: RouteTable | None = None
+        self.record = Recorder(log, figures, self._reported_state, self.now)
+        self.route_table: RouteTable | None = None
         self.planned_stop: PlannedStop | None = None
         self.loop = asyncio.get_running_loop()
         bounds = settings.bounds
-        self.reading = self._reading_times(settings)
+        self.replication_times = self._replication_times_of(settings)
         self.reads_store = False
         self.followed_reader = ""
         self.freshness = ProofOfFreshness(
-            self._key_bound(settings), bounds.fail_closed, self.reading.calm_age
+            self._key_bound(settings), bounds.fail_closed, self.replication_times.calm_age
         )
         self.lag = ConfigurationLag(bounds.config_apply)
         self.effects = EffectHistory()
-        self.on_return_news: Callable[[], None] = lambda: None
+        self.on_restore_update: Callable[[], None] = lambda: None
         self.confirmed_era = ConfirmedEra(self._on_era_confirmed)
         self.lost_configuration = LostConfiguration(lambda: self.configuration_version)
         self.instances = InstanceTable()
@@ -121,8 +121,8 @@
         self.instances.on_restarted = self._on_restarted
         self.wake_listeners: set[Callable[[], None]] = set()
         self._sleep_detector = SleepDetector()
-        self.attended = AttendedClock()
-        self.news_listeners: list[Callable[[], None]] = []
+        self.responsive_clock = AttendedClock()
+        self.update_listeners: list[Callable[[], None]] = []
         self.server_signals = ServerSignals()
         pauses = AskPauses()
         self.signal_watch = SignalWatch(
@@ -130,8 +130,8 @@
             pauses,
             self.instances,
             self.record,
-            self._on_news,
-            self._on_leaving,
+            self._announce_update,
+            self._on_draining,
         )
         self.permits = ServerPermits(
             settings.name,
@@ -139,7 +139,7 @@
             pauses,
             self.signal_watch.on_reports,
             random_source,
-            self.attended,
+            self.responsive_clock,
             self.now,
             lambda: self.members,
             figures,
@@ -147,12 +147,12 @@
         self.gate = VersionGate(bounds.version)
         self.crash_evidence = CrashEvidence()
         self.loads = LoadExchange(settings.name, self.crash_evidence, self.server_signals)
-        self.server_answers = ServerAnswers(self.loads, mechanisms, self.now)
+        self.server_answer_rates = ServerAnswerRates(self.loads, mechanisms, self.now)
         self.tenant_limits = TenantLimits(
             SummedUse(self.loads, lambda: self.members), bounds.limit_tolerance
         )
         self.cache_stores = CacheStorePlan()
-        self.cache_store_reach = CacheStoreReach(self.cache_stores, log)
+        self.cache_store_availability = CacheStoreAvailability(self.cache_stores, log)
         self.selector = InstanceSelector(
             self.instances,
             self.gate,
@@ -163,16 +163,18 @@
             pauses,
         )
         self.weights = WeightedChoice(random_source)
-        self.short_of_room_until = float("-inf")
+        self.short_of_descriptors_until = float("-inf")
         self.descriptors = descriptor_plan(settings.max_descriptors)
         self.pool = ConnectionPool(
             dialect,
             self._on_opened,
-            self.attended,
+            self.responsive_clock,
             self.descriptors.idle_servers,
-            self._connection_part,
+            self._connection_quota,
+        )
+        self.crash_watch = CrashWatch(
+            self.crash_evidence, self.pool, self.record, self._announce_update
         )
-        self.crash_watch = CrashWatch(self.crash_evidence, self.pool, self.record, self._on_news)
         self.gateways = 0
         self._budgets: dict[str, RetryBudget] = {}
         self._suspected: set[str] = set()
@@ -181,7 +183,7 @@
         """Monotonic seconds, those of a suspended machine included."""
         return elapsed_seconds()
 
-    def note_sleep(self) -> None:
+    def handle_suspension(self) -> None:
         """Notice that the machine was suspended, before anything is served, sent or renewed.
 
         All that ends by time is kept by a clock that counts the sleep, so it has ended already;
@@ -198,9 +200,9 @@
         """Take changed bounds into force; addresses stay as they are until a restart."""
         bounds = settings.bounds
         self.settings = settings
-        self.reading = self._reading_times(settings)
+        self.replication_times = self._replication_times_of(settings)
         self.freshness.set_bound(
-            self._key_bound(settings), bounds.fail_closed, self.reading.calm_age
+            self._key_bound(settings), bounds.fail_closed, self.replication_times.calm_age
         )
         self.lag.apply_seconds = bounds.config_apply
         self.gate.bound_seconds = bounds.version
@@ -211,7 +213,7 @@
     def _key_bound(settings: GatewaySettings) -> float:
         return settings.bounds.revoke - FRESHNESS_MARGIN_SECONDS
 
-    def _reading_times(self, settings: GatewaySettings) -> ReadingTimes:
+    def _replication_times_of(self, settings: GatewaySettings) -> ReadingTimes:
         return reading_times(self._key_bound(settings), settings.bounds.config_apply)
 
     def own_loads(self) -> list[InstanceLoad]:
@@ -241,11 +243,11 @@
     @property
     def members(self) -> int:
         """Gateways that share what is bounded for all of them together."""
-        return self.gateways or UNKNOWN_GATEWAYS
+        return self.gateways or ASSUMED_GATEWAYS
 
     def limits(self) -> EdgeLimits:
         """Bounds on what clients send; defaults before the first configuration."""
-        return self.table.limits if self.table is not None else EdgeLimits()
+        return self.route_table.limits if self.route_table is not None else EdgeLimits()
 
     @property
     def stopping(self) -> bool:
@@ -260,16 +262,16 @@
 
     def asks_clients_to_leave(self) -> bool:
         """Whether answers ask clients to close their connections: others need the room."""
-        return self.stopping or self.now() < self.short_of_room_until
+        return self.stopping or self.now() < self.short_of_descriptors_until
 
     @property
     def configuration_version(self) -> int:
         """Version in force, 0 before the first."""
-        return self.table.version if self.table is not None else 0
+        return self.route_table.version if self.route_table is not None else 0
 
     def _on_era_confirmed(self, era: int, evidence: EraEvidence) -> None:
         self.record.store.era_confirmed(era, evidence)
-        self.on_return_news()
+        self.on_restore_update()
 
     def on_lost_configuration(self, version: int) -> None:
         """A version that is in force at another gateway isn't in the store.
@@ -279,7 +281,7 @@
         if not self.lost_configuration.on_told(version):
             return
         self.freshness.forget()
-        if self.table is not None:
+        if self.route_table is not None:
             self.record.store.configuration_lost(version, self.configuration_version)
 
     def on_unanswered(self, request: UnansweredRequest) -> None:
@@ -288,7 +290,7 @@
 
     def is_ready(self) -> bool:
         """Whether clients should be sent here."""
-        knows_all = self.table is not None and self.instances.is_listed
+        knows_all = self.route_table is not None and self.instances.is_listed
         return knows_all and not self.stopping and self.freshness.allows_keys(self.now())
 
     def budget(self, service: str) -> RetryBudget:
@@ -298,14 +300,14 @@
             bounds = self.settings.bounds
             budget = self._budgets[service] = shared_retry_budget(
                 self.now(),
-                ratio=bounds.retry_ratio * BUDGET_SHARE,
-                slack=bounds.retry_slack * BUDGET_SHARE,
+                ratio=bounds.retry_ratio * RETRY_BUDGET_SHARE,
+                slack=bounds.retry_slack * RETRY_BUDGET_SHARE,
                 window_seconds=bounds.budget_window,
                 members=self.members,
             )
         return budget
 
-    def note_limits(self) -> None:
+    def report_limits(self) -> None:
         """Say which tenants were refused over their limits since the last call."""
         for state in self.tenant_limits.due_notes(self.now()):
             self.record.limited(state)
@@ -331,17 +333,21 @@
 
     def note_successor(self, instance: Instance, successor: str) -> None:
         """Another server answered at the address of one, so that incarnation has ended."""
-        is_news = self.end_instance(instance.name, successor, instance.record.started_ms)
-        if is_news and self.on_instance_ended is not None:
+        is_new = self.retire_instance(instance.name, successor, instance.record.started_ms)
+        if is_new and self.on_instance_ended is not None:
             self.on_instance_ended(instance)
 
-    def _connection_part(self, address: str) -> int:
+    def _connection_quota(self, address: str) -> int:
         """Connections to a server that this gateway keeps at most."""
-        service = self.table.service(self.instances.service_at(address)) if self.table else None
+        service = (
+            self.route_table.service(self.instances.service_at(address))
+            if self.route_table
+            else None
+        )
         takes = service.max_connections if service is not None else 0
         return connection_part(takes, self.members, self.settings.name, address)
 
-    def _on_leaving(self, instance: Instance) -> None:
+    def _on_draining(self, instance: Instance) -> None:
         """A server leaves: it closes its connections after their next answer."""
         self.pool.close_to(instance.record.address)
 
@@ -352,7 +358,7 @@
         for listener in self.restart_listeners:
             listener(before)
 
-    def end_instance(self, name: str, successor: str, started_ms: int) -> bool:
+    def retire_instance(self, name: str, successor: str, started_ms: int) -> bool:
         """Take an incarnation out of use; True when this wasn't known.
 
         Args:
@@ -370,13 +376,13 @@
         self.crash_watch.on_instance_ended(name)
         return True
 
-    def _on_news(self) -> None:
+    def _announce_update(self) -> None:
         """Let the other gateways know at once."""
         self.loads.on_news()
-        for listener in self.news_listeners:
+        for listener in self.update_listeners:
             listener()
 
-    def note_suspicions(self) -> None:
+    def report_suspicions(self) -> None:
         """Say which servers all gateways together found sick or well since the last call."""
         now = self.now()
         suspected = {
@@ -392,8 +398,8 @@
         if address != self.settings.store:
             self.record.tally.on_connection()
 
-    def _belief(self) -> dict[str, Any]:
+    def _reported_state(self) -> dict[str, Any]:
         return {
-            "configuration": self.table.version if self.table is not None else None,
+            "configuration": self.route_table.version if self.route_table is not None else None,
             "proof_age": round(min(self.freshness.age(self.now()), MAX_SHOWN_AGE_SECONDS), 3),
         }
--- a/src/milletcourse/gateway/store/change_log.py
+++ b/src/milletcourse/gateway/store/change_log.py
@@ -15,7 +15,7 @@
 MAX_CHANGES = 2048
 MAX_BYTES = 1024 * 1024
 """Of all contents and patches; a follower that is further behind is told all objects."""
-PATCHED_BYTES = 1024
+MIN_PATCHED_BYTES = 1024
 """A content of this size is told as a patch."""
 
 
@@ -31,10 +31,10 @@
         patch: Makes its content from the one before; None for a small one.
     """
 
-    at: StorePlace
+    observed_at: StorePlace
     name: str
-    place: StorePlace
-    gone: bool
+    position: StorePlace
+    deleted: bool
     spec: bytes
     patch: ContentPatch | None
 
@@ -54,11 +54,11 @@
         self._gaps: deque[tuple[StorePlace, StorePlace]] = deque()
         """States between which changes aren't known one by one, just how the ends differ."""
 
-    def begin(self, place: StorePlace) -> None:
+    def start_at(self, position: StorePlace) -> None:
         """Nothing before this state is known."""
-        self._start = place
+        self._start = position
 
-    def note(self, change: ObjectChange, before: bytes | None, place: StorePlace) -> None:
+    def append(self, change: ObjectChange, before: bytes | None, position: StorePlace) -> None:
         """A change has become known.
 
         Args:
@@ -67,18 +67,18 @@
             place: State of the store with it.
         """
         stored = change.stored
-        is_large = not change.gone and len(stored.spec) >= PATCHED_BYTES
+        is_large = not change.deleted and len(stored.spec) >= MIN_PATCHED_BYTES
         patch = change.patch or _patch(before, stored.spec) if is_large else None
-        spec = b"" if change.gone or is_large else stored.spec
-        logged = LoggedChange(place, stored.name, stored.place, change.gone, spec, patch)
+        spec = b"" if change.deleted or is_large else stored.spec
+        logged = LoggedChange(position, stored.name, stored.position, change.deleted, spec, patch)
         self._changes.append(logged)
         self._bytes += logged.size
         while len(self._changes) > MAX_CHANGES or self._bytes > MAX_BYTES:
             dropped = self._changes.popleft()
             self._bytes -= dropped.size
-            self._start = dropped.at
+            self._start = dropped.observed_at
 
-    def note_gap(self, begin: StorePlace, end: StorePlace) -> None:
+    def add_gap(self, begin: StorePlace, end: StorePlace) -> None:
         """What lies between two states isn't known one by one."""
         if begin == end:
             return
@@ -87,19 +87,19 @@
             _, last = self._gaps.popleft()
             self._start = last if self._start is None else max(self._start, last)
 
-    def covers(self, place: StorePlace | None) -> TypeGuard[StorePlace]:
+    def covers(self, position: StorePlace | None) -> TypeGuard[StorePlace]:
         """Whether what differs from a state is kept: not from one within a gap."""
-        if place is None or self._start is None or place < self._start:
+        if position is None or self._start is None or position < self._start:
             return False
-        return not any(begin < place < end for begin, end in self._gaps)
+        return not any(begin < position < end for begin, end in self._gaps)
 
-    def has_after(self, place: StorePlace) -> bool:
+    def has_after(self, position: StorePlace) -> bool:
         """Whether a change became known after a state."""
-        return bool(self._changes) and self._changes[-1].at > place
+        return bool(self._changes) and self._changes[-1].observed_at > position
 
-    def after(self, place: StorePlace) -> list[LoggedChange]:
+    def after(self, position: StorePlace) -> list[LoggedChange]:
         """Changes that became known after a state."""
-        return [change for change in self._changes if change.at > place]
+        return [change for change in self._changes if change.observed_at > position]
 
     def patch(self, name: str, base: int, result: int) -> ContentPatch | None:
         """A patch of an object's content by the sums of both contents."""
--- a/src/milletcourse/gateway/store/directory.py
+++ b/src/milletcourse/gateway/store/directory.py
@@ -11,8 +11,8 @@
 from milletcourse.exchange.messages.peer_messages import CrashEnd, CrashReport
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
 from milletcourse.exchange.reading.store_reading import GatewayRecord
-from milletcourse.gateway.store.kind_mirror import IgnoringSink
-from milletcourse.gateway.store.object_store import UNREADABLE, ObjectChange, StoredObject
+from milletcourse.gateway.store.kind_mirror import NoOpEventHandler
+from milletcourse.gateway.store.object_store import DECODE_ERRORS, ObjectChange, StoredObject
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.runtime.addresses import split_address
 from milletcourse.runtime.clock import elapsed_seconds
@@ -20,7 +20,7 @@
 MAX_IDENTITY = 2**64 - 1
 MAX_GATEWAYS = 512
 """Further ones are neither told nor followed."""
-KEPT_SECONDS = 5.0
+MISSING_ENTRY_RETENTION_SECONDS = 5.0
 """Gateways that are missing in an older copy of the list are kept this long: those that live write
 their entries again within two seconds, and what all share is divided by their number."""
 
@@ -37,11 +37,11 @@
     ends: list[CrashEnd]
 
     @classmethod
-    def of(cls, report: CrashReport) -> ContainedRequest:
+    def from_report(cls, report: CrashReport) -> ContainedRequest:
         """The stored form of a report."""
         return cls(identity_text(report.identity), report.ends)
 
-    def report(self) -> CrashReport:
+    def to_report(self) -> CrashReport:
         """The report; raises `ValueError` when the identity is none."""
         identity = int(self.content, 16)
         if not 0 <= identity <= MAX_IDENTITY:
@@ -76,7 +76,7 @@
     lost_configuration: int = 0
 
 
-class GatewayDirectory(IgnoringSink):
+class GatewayDirectory(NoOpEventHandler):
     """Follows the list; the known gateways stay known while the store is away.
 
     Attributes:
@@ -106,11 +106,11 @@
         self._log = log
         self.is_listed = asyncio.Event()
         self.own_entry: GatewayEntry | None = None
-        self.own_place: StorePlace | None = None
+        self.own_position: StorePlace | None = None
         self._others: dict[str, GatewayRecord] = {}
         self._missing: dict[str, GatewayRecord] = {}
         self._confirmed_eras: dict[str, int] = {}
-        self._kept_until = float("-inf")
+        self._retained_until = float("-inf")
         self._listeners: list[Callable[[list[GatewayRecord]], None]] = []
 
     @property
@@ -123,59 +123,59 @@
         self._listeners.append(listener)
 
     def on_list(self, objects: list[StoredObject], sent_at: float) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
         before = self._others
         self._others = {}
         self._confirmed_eras = {}
-        self.own_entry, self.own_place = None, None
+        self.own_entry, self.own_position = None, None
         for stored in objects:
-            self._note(stored)
+            self._apply_entry(stored)
         for name, record in before.items():
             if name not in self._others:
-                self._miss(record)
-        self._tell()
+                self._retain(record)
+        self._notify()
         self.is_listed.set()
 
     def on_changes(self, changes: tuple[ObjectChange, ...], sent_at: float) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
         if not changes:
             return
         for change in changes:
-            if change.gone:
-                self._drop(change.stored.name)
+            if change.deleted:
+                self._remove(change.stored.name)
             else:
-                self._note(change.stored)
-        self._tell()
+                self._apply_entry(change.stored)
+        self._notify()
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
-        """See `KindSink`: what the store lost isn't gone yet."""
+    def on_new_era(self, position: StorePlace, before: StorePlace | None) -> None:
+        """See `KindEventHandler`: what the store lost isn't gone yet."""
         if before is not None:
-            self._kept_until = self._now() + KEPT_SECONDS
+            self._retained_until = self._now() + MISSING_ENTRY_RETENTION_SECONDS
 
     def expire_missing(self, now: float) -> None:
         """Drop gateways that did not write their entries again."""
-        if self._missing and now >= self._kept_until:
+        if self._missing and now >= self._retained_until:
             self._missing.clear()
-            self._tell()
+            self._notify()
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         self._confirmed_eras.pop(name, None)
         if name == self._own_name:
-            self.own_entry, self.own_place = None, None
+            self.own_entry, self.own_position = None, None
         record = self._others.pop(name, None)
         if record is not None:
-            self._miss(record)
+            self._retain(record)
 
-    def _miss(self, record: GatewayRecord) -> None:
-        if self._now() < self._kept_until:
+    def _retain(self, record: GatewayRecord) -> None:
+        if self._now() < self._retained_until:
             self._missing[record.name] = record
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         others = [*self._others.values(), *self._missing.values()]
         for listener in self._listeners:
             listener(others)
 
-    def _note(self, stored: StoredObject) -> None:
+    def _apply_entry(self, stored: StoredObject) -> None:
         entry = decode_entry(stored.spec)
         self._others.pop(stored.name, None)
         self._confirmed_eras.pop(stored.name, None)
@@ -185,7 +185,7 @@
         if entry is not None and entry.confirmed_era > UNKNOWN_ERA:
             self._confirmed_eras[stored.name] = entry.confirmed_era
         if stored.name == self._own_name:
-            self.own_entry, self.own_place = entry, stored.place
+            self.own_entry, self.own_position = entry, stored.position
             return
         if len(self._others) >= MAX_GATEWAYS:
             return
@@ -204,6 +204,6 @@
         split_address(entry.address)
         if entry.feed:
             split_address(entry.feed)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     return entry
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -26,11 +26,11 @@
 from milletcourse.gateway.store.kind_mirror import KindMirror
 from milletcourse.gateway.store.store_feed import CONTENT_PATH, FEED_PATH
 
-FEED_MARGIN_SECONDS = 0.4
+FEED_TIMEOUT_MARGIN_SECONDS = 0.4
 """A reader that answers this much later than asked for is taken as silent."""
-QUICK_SECONDS = 0.1
+QUICK_REFUSAL_SECONDS = 0.1
 """A refusal this soon shows a live machine, whose process may just be starting."""
-CONTENT_SECONDS = 3.0
+CONTENT_TIMEOUT_SECONDS = 3.0
 """A content that doesn't begin to come by now is given up. The reader sends it to all its followers
 at once; whether it lives shows in its answers meanwhile."""
 
@@ -38,7 +38,7 @@
 class FeedOutcome(Enum):
     """What a question to a reader gave."""
 
-    FED = "fed"
+    SYNCED = "fed"
     REFUSED = "refused"
     """It can't vouch for what it knows, or its process isn't there."""
     SILENT = "silent"
@@ -73,20 +73,20 @@
         self._calls = calls
         self._plan = plan
         self._mirrors = {mirror.kind: mirror for mirror in mirrors}
-        self._proven = mirrors[0]
+        self._proof_mirror = mirrors[0]
         self._spawn = spawn
-        self._reader = ""
+        self._reader_name = ""
         self._pending = PendingContents()
         self._proved_at = float("-inf")
         """Of the latest answer."""
         self._fetches: dict[str, asyncio.Task[None]] = {}
         self._is_content_missing = False
 
-    async def ask(
+    async def poll(
         self,
         reader: GatewayRecord,
         hold_seconds: float,
-        margin_seconds: float = FEED_MARGIN_SECONDS,
+        margin_seconds: float = FEED_TIMEOUT_MARGIN_SECONDS,
     ) -> FeedOutcome:
         """Ask a reader what came, and take it.
 
@@ -95,9 +95,9 @@
             hold_seconds: How long it keeps the question while there is no news.
             margin_seconds: Time beyond that after which it is taken as silent.
         """
-        if reader.name != self._reader:
-            self.leave()
-            self._reader = reader.name
+        if reader.name != self._reader_name:
+            self.disconnect()
+            self._reader_name = reader.name
         context = self._context
         positions = self._positions()
         question = FeedQuestion(
@@ -107,7 +107,7 @@
             context.configuration_version,
             context.confirmed_era.latest,
         )
-        asked_at = self._context.now()
+        sent_at = self._context.now()
         reply = await self._calls.call(
             reader.feed,
             Call("POST", FEED_PATH, encode_question(question)),
@@ -115,31 +115,31 @@
         )
         answer = decode_answer(reply.body) if reply is not None and reply.status == 200 else None
         if reply is None or answer is None:
-            return self._on_no_answer(reader, reply, asked_at)
+            return self._on_no_answer(reader, reply, sent_at)
         self._proved_at = reply.sent_at + answer.proof_offset
-        self._take(answer, {item.kind: item.place for item in positions}, reader)
+        self._apply_answer(answer, {item.kind: item.place for item in positions}, reader)
         if self._is_content_missing:
-            self.leave()
+            self.disconnect()
             self._plan.on_failed(reader.name, self._context.now(), answered=False)
             return FeedOutcome.CONTENT_MISSING
         self._plan.on_fed(reader.name)
-        return FeedOutcome.FED if self._is_current(answer) else FeedOutcome.OUTDATED
+        return FeedOutcome.SYNCED if self._is_current(answer) else FeedOutcome.OUTDATED
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         """The reader is left; what it announced doesn't come from it any more."""
         for task in self._fetches.values():
             task.cancel()
         self._fetches.clear()
         self._pending.clear()
-        self._reader = ""
+        self._reader_name = ""
         self._is_content_missing = False
 
     def _on_no_answer(
-        self, reader: GatewayRecord, reply: Reply | None, asked_at: float
+        self, reader: GatewayRecord, reply: Reply | None, sent_at: float
     ) -> FeedOutcome:
-        self.leave()
+        self.disconnect()
         now = self._context.now()
-        answered = reply is not None or now - asked_at < QUICK_SECONDS
+        answered = reply is not None or now - sent_at < QUICK_REFUSAL_SECONDS
         self._plan.on_failed(reader.name, now, answered)
         return FeedOutcome.REFUSED if answered else FeedOutcome.SILENT
 
@@ -147,18 +147,18 @@
         """Whether the store would tell no more than the reader does."""
         age = self._context.now() - self._proved_at
         if answer.is_receiving:
-            return age <= self._context.reading.max_receiving_age
-        return age <= self._context.reading.calm_age
+            return age <= self._context.replication_times.max_receiving_age
+        return age <= self._context.replication_times.calm_age
 
     def _positions(self) -> list[FeedPosition]:
         return [
-            FeedPosition(kind, self._pending.position(kind, mirror.place))
+            FeedPosition(kind, self._pending.position(kind, mirror.position))
             for kind, mirror in self._mirrors.items()
         ]
 
     # -- taking ---------------------------------------------------------------------------------
 
-    def _take(
+    def _apply_answer(
         self, answer: FeedAnswer, asked: dict[str, StorePlace | None], reader: GatewayRecord
     ) -> None:
         self._context.confirmed_era.on_told(answer.confirmed_era)
@@ -167,50 +167,54 @@
         for fed in answer.kinds:
             if fed.kind not in self._mirrors:
                 continue
-            self._apply_all(self._pending.take(fed, asked[fed.kind]))
+            self._apply_updates(self._pending.take(fed, asked[fed.kind]))
             if fed.kind in self._pending:
-                is_proven = fed.kind == self._proven.kind
+                is_proven = fed.kind == self._proof_mirror.kind
                 effect = answer.effect if is_proven else None
                 self._mirrors[fed.kind].on_announced(effect, not_out_at)
-                self._fetch(reader, fed.kind)
-        told = {fed.kind for fed in answer.kinds}
+                self._start_fetch(reader, fed.kind)
+        reported_kinds = {fed.kind for fed in answer.kinds}
         for kind, mirror in self._mirrors.items():
             if kind in self._pending:
                 mirror.on_pending_proof(self._proved_at)
-            elif kind not in told:
+            elif kind not in reported_kinds:
                 mirror.on_proof(self._proved_at)
-        is_news = self._proven.kind in told or answer.is_receiving
-        if not is_news and self._proven.kind not in self._pending:
+        has_change = self._proof_mirror.kind in reported_kinds or answer.is_receiving
+        if not has_change and self._proof_mirror.kind not in self._pending:
             self._context.on_lost_configuration(answer.configuration)
-        if answer.is_receiving and not_out_at is not None and self._proven.kind not in told:
-            self._proven.on_announced(None, not_out_at)
-
-    def _apply_all(self, updates: list[FedUpdate]) -> None:
+        if (
+            answer.is_receiving
+            and not_out_at is not None
+            and self._proof_mirror.kind not in reported_kinds
+        ):
+            self._proof_mirror.on_announced(None, not_out_at)
+
+    def _apply_updates(self, updates: list[FedUpdate]) -> None:
         for update in updates:
             kind = update.fed.kind
             mirror = self._mirrors[kind]
             # While more waits behind it, it isn't all that there is.
-            is_all = kind not in self._pending and update is updates[-1]
-            proved_at = self._proved_at if is_all else mirror.proved_at
+            is_last = kind not in self._pending and update is updates[-1]
+            proved_at = self._proved_at if is_last else mirror.proved_at
             try:
-                if not mirror.on_fed(update, proved_at):
+                if not mirror.apply_update(update, proved_at):
                     self._pending.drop(kind)
                     return
             except PatchError as error:
                 problem = error.problem.value
-                self._context.record.store.content_differs(kind, self._reader, problem)
+                self._context.record.store.content_differs(kind, self._reader_name, problem)
                 self._pending.on_misfit(kind)
                 self._is_content_missing = update.fed.whole
                 return
 
     # -- contents -------------------------------------------------------------------------------
 
-    def _fetch(self, reader: GatewayRecord, kind: str) -> None:
+    def _start_fetch(self, reader: GatewayRecord, kind: str) -> None:
         running = self._fetches.get(kind)
         if running is None or running.done():
-            self._fetches[kind] = self._spawn(self._fetch_all(reader, kind))
+            self._fetches[kind] = self._spawn(self._fetch_contents(reader, kind))
 
-    async def _fetch_all(self, reader: GatewayRecord, kind: str) -> None:
+    async def _fetch_contents(self, reader: GatewayRecord, kind: str) -> None:
         """One after the other, since each is made from the one before."""
         while (question := self._pending.missing(kind)) is not None:
             patch = await self._fetch_one(reader, question)
@@ -218,13 +222,13 @@
                 self._pending.drop(kind)
                 self._is_content_missing = True
                 return
-            self._apply_all(self._pending.on_patch(question, patch))
+            self._apply_updates(self._pending.on_patch(question, patch))
 
     async def _fetch_one(
         self, reader: GatewayRecord, question: ContentQuestion
     ) -> ContentPatch | None:
         call = Call("POST", CONTENT_PATH, encode_content_question(question))
-        reply = await self._calls.call(reader.feed, call, CONTENT_SECONDS)
+        reply = await self._calls.call(reader.feed, call, CONTENT_TIMEOUT_SECONDS)
         patch = decode_patch(reply.body) if reply is not None and reply.status == 200 else None
         if patch is None or patch.is_announcement or patch.result != question.result:
             return None
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -19,19 +19,19 @@
 from milletcourse.exchange.messages.feed_messages import FedKind, FedObject
 from milletcourse.exchange.messages.store_place import StorePlace
 from milletcourse.exchange.reading.pending_contents import FedUpdate
-from milletcourse.gateway.store.change_log import PATCHED_BYTES, ChangeLog, LoggedChange
+from milletcourse.gateway.store.change_log import MIN_PATCHED_BYTES, ChangeLog, LoggedChange
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
 from milletcourse.gateway.telling.store_recorder import StoreReturn
 
-INLINE_BYTES = 4096
+MAX_INLINE_PATCH_BYTES = 4096
 """A larger patch is announced, and told to those that ask for it."""
-PATCH_SHARE = 8
+ASSUMED_COMPRESSION_RATIO = 8
 """Patches of one object that weigh as much as this part of its content may weigh more than the
 content, compressed."""
 _NO_SPEC = msgspec.Raw(b"null")
 
 
-class KindSink(Protocol):
+class KindEventHandler(Protocol):
     """Takes what a mirror learns."""
 
     def on_list(self, objects: list[StoredObject], sent_at: float) -> None:
@@ -43,7 +43,7 @@
     def on_unavailable(self) -> None:
         """A call failed."""
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
+    def on_new_era(self, position: StorePlace, before: StorePlace | None) -> None:
         """The store was found in an era; what it holds now is handed on next.
 
         Args:
@@ -66,28 +66,28 @@
         """Nothing but what was announced had come when a call was sent at this time."""
 
 
-class IgnoringSink:
-    """A `KindSink` that takes nothing; others take what they need of it."""
+class NoOpEventHandler:
+    """A `KindEventHandler` that takes nothing; others take what they need of it."""
 
     def on_list(self, objects: list[StoredObject], sent_at: float) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
 
     def on_changes(self, changes: tuple[ObjectChange, ...], sent_at: float) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
 
     def on_unavailable(self) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
-        """See `KindSink`."""
+    def on_new_era(self, position: StorePlace, before: StorePlace | None) -> None:
+        """See `KindEventHandler`."""
 
     def on_change_announced(
         self, effect: ConfigurationEffect | None, not_out_at: float | None
     ) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
 
     def on_pending_proof(self, sent_at: float) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
 
 
 class MirrorListener(Protocol):
@@ -114,18 +114,20 @@
         on_news: Called after each change.
     """
 
-    def __init__(self, kind: str, sink: KindSink, listener: MirrorListener | None = None) -> None:
+    def __init__(
+        self, kind: str, handler: KindEventHandler, listener: MirrorListener | None = None
+    ) -> None:
         self.kind = kind
-        self.place: StorePlace | None = None
+        self.position: StorePlace | None = None
         self.is_confirmed = True
         self.proved_at = float("-inf")
         self.is_receiving = False
-        self.on_news: Callable[[], None] | None = None
-        self._sink = sink
+        self.on_change: Callable[[], None] | None = None
+        self._handler = handler
         self._listener = listener
         self._objects: dict[str, StoredObject] = {}
         self._log = ChangeLog()
-        self._whole: dict[str, ContentPatch] = {}
+        self._full_patches: dict[str, ContentPatch] = {}
         """Patches from no content, as far as somebody needed them."""
 
     # -- learning -------------------------------------------------------------------------------
@@ -133,48 +135,48 @@
     def on_list(
         self,
         objects: list[StoredObject],
-        place: StorePlace,
+        position: StorePlace,
         sent_at: float,
         is_stale: bool = False,
     ) -> None:
         """All objects as they were at a state; one that is older than what is known is void."""
-        if self.place is not None and place < self.place:
+        if self.position is not None and position < self.position:
             if self._listener is not None:
-                self._listener.list_outdated(self.kind, place, self.place)
+                self._listener.list_outdated(self.kind, position, self.position)
             return
-        if not is_stale or self.place is None:
+        if not is_stale or self.position is None:
             self.is_confirmed = not is_stale
         listed = {stored.name: stored for stored in objects}
-        news = tuple(self._differences(listed))
-        if self.place is not None:
-            self._log.note_gap(self.place, place)
-        for change in news:
-            self._log.note(change, self._content(change.stored.name), place)
+        changes = tuple(self._differences(listed))
+        if self.position is not None:
+            self._log.add_gap(self.position, position)
+        for change in changes:
+            self._log.append(change, self._content(change.stored.name), position)
         self._objects = listed
-        self._advance(place, news, sent_at)
-        self._sink.on_list(objects, sent_at)
-        self._tell()
+        self._advance(position, changes, sent_at)
+        self._handler.on_list(objects, sent_at)
+        self._notify()
 
     def on_changes(self, changes: ObjectChanges, sent_at: float) -> None:
         """What came since some known state; maybe nothing, maybe what is known by now."""
-        if self.place is None:
+        if self.position is None:
             return
-        news = changes.changes if changes.place > self.place else ()
-        for change in news:
+        new_changes = changes.changes if changes.position > self.position else ()
+        for change in new_changes:
             name = change.stored.name
-            self._log.note(change, self._content(name), changes.place)
-            if change.gone:
+            self._log.append(change, self._content(name), changes.position)
+            if change.deleted:
                 self._objects.pop(name, None)
             else:
                 self._objects[name] = change.stored
-        self._advance(max(changes.place, self.place), news, sent_at)
-        self._sink.on_changes(news, sent_at)
-        if news:
-            self._tell()
+        self._advance(max(changes.position, self.position), new_changes, sent_at)
+        self._handler.on_changes(new_changes, sent_at)
+        if new_changes:
+            self._notify()
 
     def on_unavailable(self) -> None:
         """A call failed."""
-        self._sink.on_unavailable()
+        self._handler.on_unavailable()
 
     def on_list_coming(self) -> None:
         """A list is coming from the store; it may show nothing new."""
@@ -187,53 +189,55 @@
             not_out_at: Monotonic time at which it wasn't out yet, None when only proofs tell.
         """
         self.is_receiving = True
-        self._sink.on_change_announced(None, not_out_at)
+        self._handler.on_change_announced(None, not_out_at)
 
     def on_announced(self, effect: ConfigurationEffect | None, not_out_at: float | None) -> None:
         """A reader has announced a change whose content is still to come."""
-        self._sink.on_change_announced(effect, not_out_at)
+        self._handler.on_change_announced(effect, not_out_at)
 
     def on_pending_proof(self, sent_at: float) -> None:
         """A reader proves that only what it announced had come."""
-        self._sink.on_pending_proof(sent_at)
+        self._handler.on_pending_proof(sent_at)
 
     def _differences(self, listed: dict[str, StoredObject]) -> Iterable[ObjectChange]:
-        if self.place is None:
+        if self.position is None:
             # Followers that know nothing are told all; there is nothing to compare with.
             return
         for name, stored in self._objects.items():
             if name not in listed:
-                yield ObjectChange(stored, gone=True)
+                yield ObjectChange(stored, deleted=True)
         for name, stored in listed.items():
             known = self._objects.get(name)
             if known is None or known.spec != stored.spec:
-                yield ObjectChange(stored, gone=False)
+                yield ObjectChange(stored, deleted=False)
 
     def _content(self, name: str) -> bytes | None:
         known = self._objects.get(name)
         return known.spec if known is not None else None
 
-    def _advance(self, place: StorePlace, news: tuple[ObjectChange, ...], sent_at: float) -> None:
-        if self.place is None:
-            self._log.begin(place)
-            self._sink.on_era(place, None)
-        elif place.era > self.place.era:
-            self._note_return(self.place, place, news)
-        self.place = place
+    def _advance(
+        self, position: StorePlace, changes: tuple[ObjectChange, ...], sent_at: float
+    ) -> None:
+        if self.position is None:
+            self._log.start_at(position)
+            self._handler.on_new_era(position, None)
+        elif position.era > self.position.era:
+            self._on_restore(self.position, position, changes)
+        self.position = position
         self.proved_at = max(self.proved_at, sent_at)
 
-    def _note_return(
-        self, before: StorePlace, place: StorePlace, news: tuple[ObjectChange, ...]
+    def _on_restore(
+        self, before: StorePlace, position: StorePlace, changes: tuple[ObjectChange, ...]
     ) -> None:
-        self._sink.on_era(place, before)
+        self._handler.on_new_era(position, before)
         if self._listener is not None:
-            missing = [change.stored.name for change in news if change.gone]
-            changed = [change.stored.name for change in news if not change.gone]
-            self._listener.returned(StoreReturn(self.kind, before, place, missing, changed))
+            missing = [change.stored.name for change in changes if change.deleted]
+            changed = [change.stored.name for change in changes if not change.deleted]
+            self._listener.returned(StoreReturn(self.kind, before, position, missing, changed))
 
-    def _tell(self) -> None:
-        if self.on_news is not None:
-            self.on_news()
+    def _notify(self) -> None:
+        if self.on_change is not None:
+            self.on_change()
 
     def specs(self) -> dict[str, bytes]:
         """Content of all objects by name."""
@@ -241,30 +245,30 @@
 
     # -- telling --------------------------------------------------------------------------------
 
-    def has_news(self, place: StorePlace | None) -> bool:
+    def has_changes(self, position: StorePlace | None) -> bool:
         """Whether something came after a state."""
-        if self.place is None or (place is not None and place >= self.place):
+        if self.position is None or (position is not None and position >= self.position):
             return False
-        if place is None or place.era < self.place.era or not self._log.covers(place):
+        if position is None or position.era < self.position.era or not self._log.covers(position):
             return True
-        return self._log.has_after(place)
+        return self._log.has_after(position)
 
-    def since(self, place: StorePlace | None, as_patches: bool = False) -> FedKind | None:
+    def since(self, position: StorePlace | None, as_patches: bool = False) -> FedKind | None:
         """What came after a state, None when it is known up to there at most.
 
         Args:
             place: The state.
             as_patches: Large contents are told as patches, or announced; else as they are now.
         """
-        if self.place is None or (place is not None and place >= self.place):
+        if self.position is None or (position is not None and position >= self.position):
             return None
-        if not self._log.covers(place):
-            objects = [self._fed(stored, as_patches) for stored in self._objects.values()]
-            return FedKind(self.kind, self.place, True, objects)
-        changes = self._without_overtaken(self._log.after(place), as_patches)
-        return FedKind(self.kind, self.place, False, [*changes])
+        if not self._log.covers(position):
+            objects = [self._to_fed_object(stored, as_patches) for stored in self._objects.values()]
+            return FedKind(self.kind, self.position, True, objects)
+        changes = self._without_superseded(self._log.after(position), as_patches)
+        return FedKind(self.kind, self.position, False, [*changes])
 
-    def _without_overtaken(
+    def _without_superseded(
         self, changes: list[LoggedChange], as_patches: bool
     ) -> Iterable[FedObject]:
         """Changes in their order; large contents that a later one has overtaken don't go twice."""
@@ -276,30 +280,36 @@
                 last[change.name] = change
         for change in changes:
             if change.patch is None:
-                spec = _NO_SPEC if change.gone else msgspec.Raw(change.spec)
-                yield FedObject(change.name, change.place, spec, change.gone)
-            elif as_patches and not self._costs_more(change.name, patch_bytes[change.name]):
-                yield _fed_patch(change.name, change.place, change.patch)
+                spec = _NO_SPEC if change.deleted else msgspec.Raw(change.spec)
+                yield FedObject(change.name, change.position, spec, change.deleted)
+            elif as_patches and not self._patches_exceed_content(
+                change.name, patch_bytes[change.name]
+            ):
+                yield _to_fed_patch(change.name, change.position, change.patch)
             elif change is last[change.name] and (stored := self._objects.get(change.name)):
-                yield self._fed(stored, as_patches)
+                yield self._to_fed_object(stored, as_patches)
 
-    def _costs_more(self, name: str, patch_bytes: int) -> bool:
+    def _patches_exceed_content(self, name: str, patch_bytes: int) -> bool:
         """Whether patches weigh more than the content that they lead to."""
         stored = self._objects.get(name)
-        if stored is None or patch_bytes * PATCH_SHARE < len(stored.spec):
+        if stored is None or patch_bytes * ASSUMED_COMPRESSION_RATIO < len(stored.spec):
             return False
-        return patch_bytes > len(self._whole_patch(stored).steps)
+        return patch_bytes > len(self._full_patch(stored).steps)
 
-    def _fed(self, stored: StoredObject, as_patch: bool) -> FedObject:
-        if as_patch and len(stored.spec) >= PATCHED_BYTES:
-            return _fed_patch(stored.name, stored.place, self._whole_patch(stored))
-        return FedObject(stored.name, stored.place, msgspec.Raw(stored.spec))
+    def _to_fed_object(self, stored: StoredObject, as_patch: bool) -> FedObject:
+        if as_patch and len(stored.spec) >= MIN_PATCHED_BYTES:
+            return _to_fed_patch(stored.name, stored.position, self._full_patch(stored))
+        return FedObject(stored.name, stored.position, msgspec.Raw(stored.spec))
 
-    def _whole_patch(self, stored: StoredObject) -> ContentPatch:
-        kept = self._whole.get(stored.name)
+    def _full_patch(self, stored: StoredObject) -> ContentPatch:
+        kept = self._full_patches.get(stored.name)
         if kept is None or kept.result != content_sum(stored.spec):
-            kept = self._whole[stored.name] = whole_patch(stored.spec)
-            self._whole = {name: self._whole[name] for name in self._whole if name in self._objects}
+            kept = self._full_patches[stored.name] = whole_patch(stored.spec)
+            self._full_patches = {
+                name: self._full_patches[name]
+                for name in self._full_patches
+                if name in self._objects
+            }
         return kept
 
     def patch(self, name: str, base: int, result: int) -> ContentPatch | None:
@@ -308,24 +318,24 @@
         stored = self._objects.get(name)
         if logged is not None or base != NO_CONTENT_SUM or stored is None:
             return logged
-        return self._whole_patch(stored) if content_sum(stored.spec) == result else None
+        return self._full_patch(stored) if content_sum(stored.spec) == result else None
 
-    def on_fed(self, update: FedUpdate, sent_at: float) -> bool:
+    def apply_update(self, update: FedUpdate, sent_at: float) -> bool:
         """A reader tells what came, with all contents; False for what goes on from another state.
 
         Raises:
             PatchError: A content differs from what was announced; nothing is taken then.
         """
         fed = update.fed
-        if not fed.whole and update.since != self.place:
+        if not fed.whole and update.since != self.position:
             # Something was learnt in another way meanwhile.
             return False
         changes = tuple(self._changes_of(fed))
         if fed.whole:
-            self.on_list(_left_after(changes), fed.place, sent_at)
+            self.on_list(_remaining_objects(changes), fed.place, sent_at)
             return True
-        if self.place is not None and fed.place > self.place:
-            self._log.note_gap(self.place, fed.place)
+        if self.position is not None and fed.place > self.position:
+            self._log.add_gap(self.position, fed.place)
         self.on_changes(ObjectChanges(changes, fed.place), sent_at)
         return True
 
@@ -342,21 +352,21 @@
 
     def on_proof(self, sent_at: float) -> None:
         """A reader proves that nothing else had come when a call was sent at this time."""
-        if self.place is not None:
+        if self.position is not None:
             self.proved_at = max(self.proved_at, sent_at)
-            self._sink.on_changes((), sent_at)
+            self._handler.on_changes((), sent_at)
 
 
-def _left_after(changes: Iterable[ObjectChange]) -> list[StoredObject]:
+def _remaining_objects(changes: Iterable[ObjectChange]) -> list[StoredObject]:
     """Objects that are there after all changes."""
     left: dict[str, StoredObject] = {}
     for change in changes:
         left.pop(change.stored.name, None)
-        if not change.gone:
+        if not change.deleted:
             left[change.stored.name] = change.stored
     return [*left.values()]
 
 
-def _fed_patch(name: str, place: StorePlace, patch: ContentPatch) -> FedObject:
-    is_small = len(patch.steps) <= INLINE_BYTES
-    return FedObject(name, place, _NO_SPEC, patch=patch if is_small else patch.announcement())
+def _to_fed_patch(name: str, position: StorePlace, patch: ContentPatch) -> FedObject:
+    is_small = len(patch.steps) <= MAX_INLINE_PATCH_BYTES
+    return FedObject(name, position, _NO_SPEC, patch=patch if is_small else patch.announcement())
--- a/src/milletcourse/gateway/store/kind_watch.py
+++ b/src/milletcourse/gateway/store/kind_watch.py
@@ -18,21 +18,21 @@
 )
 from milletcourse.runtime.clock import elapsed_seconds
 
-FIRST_PAUSE_SECONDS = 0.05
-MAX_PAUSE_SECONDS = 0.4
+INITIAL_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 0.4
 """After a failed call: short, since a bound on time runs from the store's acknowledgement."""
-MAX_FOLLOWER_PAUSE_SECONDS = 1.5
+MAX_FOLLOWER_BACKOFF_SECONDS = 1.5
 """The same at a gateway that stands in for its reader: it goes back to it as soon as that one
 reaches the store, so its own calls matter less."""
-CONFIRM_SECONDS = 5.0
+CONFIRM_DELAY_SECONDS = 5.0
 """A first list that was read stale is read fresh after this time."""
-LATE_SECONDS = 0.2
+LATE_ANSWER_SECONDS = 0.2
 """An answer with content that took so long beyond its wait proves little: what came after it is
 asked for at once."""
-OVERTAKEN_BYTES = 64 * 1024
+MAX_SUPERSEDED_BYTES = 64 * 1024
 """Contents that a late answer brought in vain; with so much, lists are read in place of changes."""
-LIST_PAUSE_SECONDS = 0.05
-SPREAD_SECONDS = 0.1
+LIST_INTERVAL_SECONDS = 0.05
+RESUME_SPREAD_SECONDS = 0.1
 """Watches that waited for their leader go on within this time, not all at once."""
 
 
@@ -54,25 +54,25 @@
         random_source: random.Random,
         stale_lists: bool = False,
         leader: KindWatch | None = None,
-        max_pause_seconds: float = MAX_PAUSE_SECONDS,
+        max_backoff_seconds: float = MAX_BACKOFF_SECONDS,
     ) -> None:
         self.reached = asyncio.Event()
         self._leader = leader
-        self._max_pause_seconds = max_pause_seconds
+        self._max_backoff_seconds = max_backoff_seconds
         self._store = store
         self._mirror = mirror
         self._wait_seconds = wait_seconds
         self._random = random_source
         self._stale_lists = stale_lists
-        self._history_gone = False
-        self._place = mirror.place
+        self._history_lost = False
+        self._place = mirror.position
         self._failures = 0
         self._is_late = False
         self._overrun_seconds = 0.0
-        self._lists = False
+        self._uses_lists = False
         self._confirm_at = float("inf")
-        if stale_lists and (mirror.place is None or not mirror.is_confirmed):
-            self._confirm_at = elapsed_seconds() + CONFIRM_SECONDS
+        if stale_lists and (mirror.position is None or not mirror.is_confirmed):
+            self._confirm_at = elapsed_seconds() + CONFIRM_DELAY_SECONDS
 
     async def run(self) -> None:
         """Follow the kind until cancelled."""
@@ -90,16 +90,16 @@
             except StoreError as error:
                 self._place = None
                 self._mirror.is_receiving = self._is_late = False
-                self._history_gone = error.problem is StoreProblem.HISTORY_GONE
-                if error.problem is StoreProblem.HISTORY_GONE and self._failures == 0:
+                self._history_lost = error.problem is StoreProblem.HISTORY_LOST
+                if error.problem is StoreProblem.HISTORY_LOST and self._failures == 0:
                     self._failures = 1
                     continue
-                await self._pause()
+                await self._back_off()
 
     async def _step(self) -> None:
         if elapsed_seconds() >= self._confirm_at and not self._mirror.is_confirmed:
-            self._place, self._history_gone = None, True
-        if self._place is None or self._lists:
+            self._place, self._history_lost = None, True
+        if self._place is None or self._uses_lists:
             await self._list()
             return
         kind = self._mirror.kind
@@ -111,53 +111,53 @@
             kind, self._place, wait_seconds, lambda: self._mirror.on_change_coming(not_out_at)
         )
         self._mirror.on_changes(changes, sent_at)
-        self._place = max(changes.place, self._place)
+        self._place = max(changes.position, self._place)
         self._overrun_seconds = max(elapsed_seconds() - sent_at - wait_seconds, 0.0)
-        self._note_lateness(self._overrun_seconds)
-        if self._is_late and _overtaken_bytes(changes) >= OVERTAKEN_BYTES:
+        self._update_lateness(self._overrun_seconds)
+        if self._is_late and _superseded_bytes(changes) >= MAX_SUPERSEDED_BYTES:
             # Changes come faster than their contents: a list has each object once.
-            self._lists = True
+            self._uses_lists = True
 
-    def _note_lateness(self, seconds: float) -> None:
+    def _update_lateness(self, seconds: float) -> None:
         """An answer has come, so much later than it could have; without content it proves enough.
 
         Args:
             seconds: How long it took beyond the time for which it was held.
         """
-        self._is_late = self._mirror.is_receiving and seconds > LATE_SECONDS
+        self._is_late = self._mirror.is_receiving and seconds > LATE_ANSWER_SECONDS
         self._mirror.is_receiving = self._is_late
 
     async def _list(self) -> None:
         kind = self._mirror.kind
-        stale = self._stale_lists and not self._history_gone
-        before = self._mirror.specs() if self._lists else {}
-        objects, place, sent_at = await list_as_of_now(
+        stale = self._stale_lists and not self._history_lost
+        before = self._mirror.specs() if self._uses_lists else {}
+        objects, position, sent_at = await list_current(
             self._store, kind, stale, on_content=self._mirror.on_list_coming
         )
-        known = self._mirror.place
-        if stale and known is not None and place.era > known.era:
+        known = self._mirror.position
+        if stale and known is not None and position.era > known.era:
             # It may show what the store has lost since.
-            raise StoreError(StoreProblem.HISTORY_GONE)
-        self._mirror.on_list(objects, place, sent_at, stale)
-        self._place = place
-        self._note_lateness(elapsed_seconds() - sent_at)
-        if self._lists:
-            self._lists = self._is_late and before != self._mirror.specs()
-            await asyncio.sleep(LIST_PAUSE_SECONDS)
-
-    async def _pause(self) -> None:
+            raise StoreError(StoreProblem.HISTORY_LOST)
+        self._mirror.on_list(objects, position, sent_at, stale)
+        self._place = position
+        self._update_lateness(elapsed_seconds() - sent_at)
+        if self._uses_lists:
+            self._uses_lists = self._is_late and before != self._mirror.specs()
+            await asyncio.sleep(LIST_INTERVAL_SECONDS)
+
+    async def _back_off(self) -> None:
         self.reached.clear()
         self._mirror.on_unavailable()
         if self._leader is not None and not self._leader.reached.is_set():
             await self._leader.reached.wait()
-            await asyncio.sleep(SPREAD_SECONDS * self._random.random())
+            await asyncio.sleep(RESUME_SPREAD_SECONDS * self._random.random())
             return
-        pause = min(FIRST_PAUSE_SECONDS * 2**self._failures, self._max_pause_seconds)
+        backoff = min(INITIAL_BACKOFF_SECONDS * 2**self._failures, self._max_backoff_seconds)
         self._failures = min(self._failures + 1, 8)
-        await asyncio.sleep(pause * (0.5 + self._random.random()))
+        await asyncio.sleep(backoff * (0.5 + self._random.random()))
 
 
-async def list_as_of_now(
+async def list_current(
     store: ObjectStoreClient,
     kind: str,
     stale: bool,
@@ -176,24 +176,24 @@
         attempts_seconds: See `ObjectStoreClient.list_all`.
         on_content: See there.
     """
-    objects, place, sent_at = await store.list_all(kind, stale, attempts_seconds, on_content)
+    objects, position, sent_at = await store.list_all(kind, stale, attempts_seconds, on_content)
     if not stale:
-        return objects, place, sent_at
+        return objects, position, sent_at
     # A stale page proves nothing about now; together with the watch it does.
-    since, watched_at = await store.watch(kind, place, 0.0)
-    return _brought_up_to_date(objects, since), max(since.place, place), watched_at
+    since, watched_at = await store.watch(kind, position, 0.0)
+    return _with_changes(objects, since), max(since.position, position), watched_at
 
 
-def _brought_up_to_date(objects: list[StoredObject], since: ObjectChanges) -> list[StoredObject]:
+def _with_changes(objects: list[StoredObject], since: ObjectChanges) -> list[StoredObject]:
     listed = {stored.name: stored for stored in objects}
     for change in since.changes:
         listed.pop(change.stored.name, None)
-        if not change.gone:
+        if not change.deleted:
             listed[change.stored.name] = change.stored
     return list(listed.values())
 
 
-def _overtaken_bytes(changes: ObjectChanges) -> int:
+def _superseded_bytes(changes: ObjectChanges) -> int:
     """Bytes of contents that later changes of the same answer replace."""
     last = {change.stored.name: change for change in changes.changes}
     return sum(
--- a/src/milletcourse/gateway/store/object_store.py
+++ b/src/milletcourse/gateway/store/object_store.py
@@ -20,10 +20,10 @@
 
 CALL_TIMEOUT_SECONDS = 1.0
 """A call whose answer doesn't begin by now is given up."""
-PAGE_ATTEMPTS = 4
+MAX_PAGE_ATTEMPTS = 4
 MIN_ATTEMPT_SECONDS = 0.1
 """A page that is asked for at all may begin to come for so long."""
-FIRST_PAGE_PAUSE_SECONDS = 0.05
+INITIAL_PAGE_BACKOFF_SECONDS = 0.05
 """Before a refused page is asked for again; doubled each time, with jitter."""
 SERVER_ERROR_STATUS = 500
 """From this status on a reply says that the store did nothing."""
@@ -31,7 +31,7 @@
 """A watch that answers this much later than asked for is taken as hung."""
 
 
-UNREADABLE = (msgspec.MsgspecError, ValueError, RecursionError)
+DECODE_ERRORS = (msgspec.MsgspecError, ValueError, RecursionError)
 """What decoders raise for content that another writer may have put into the store."""
 
 
@@ -45,7 +45,7 @@
     """
 
     name: str
-    place: StorePlace
+    position: StorePlace
     spec: bytes
 
 
@@ -60,7 +60,7 @@
     """
 
     objects: tuple[StoredObject, ...]
-    place: StorePlace
+    position: StorePlace
     more: bool
     unreadable: int = 0
 
@@ -75,7 +75,7 @@
     """
 
     stored: StoredObject
-    gone: bool
+    deleted: bool
     patch: ContentPatch | None = None
 
 
@@ -89,7 +89,7 @@
     """
 
     changes: tuple[ObjectChange, ...]
-    place: StorePlace
+    position: StorePlace
     unreadable: int = 0
 
 
@@ -97,7 +97,7 @@
     """Why a call gave nothing."""
 
     UNAVAILABLE = "unavailable"
-    HISTORY_GONE = "history-gone"
+    HISTORY_LOST = "history-gone"
     """What was asked for, or was told, belongs to a history that the store has lost."""
     CONFLICT = "conflict"
     NOT_FOUND = "not-found"
@@ -135,7 +135,7 @@
     def read_page(self, reply: Reply) -> ObjectPage:
         """Understand a page."""
 
-    def watch_call(self, kind: str, place: StorePlace, wait_seconds: float) -> Call:
+    def watch_call(self, kind: str, position: StorePlace, wait_seconds: float) -> Call:
         """Changes of a kind after a state of the store; waits for one."""
 
     def read_changes(self, reply: Reply) -> ObjectChanges:
@@ -147,7 +147,7 @@
     def create_call(self, kind: str, name: str, spec: bytes) -> Call:
         """Make an object that isn't there."""
 
-    def replace_call(self, kind: str, name: str, spec: bytes, place: StorePlace) -> Call:
+    def replace_call(self, kind: str, name: str, spec: bytes, position: StorePlace) -> Call:
         """Replace an object whose last change is known."""
 
     def read_object(self, reply: Reply) -> StoredObject:
@@ -199,7 +199,7 @@
         self._listener = era_listener
         self.era: int | None = None
         self._watches: set[asyncio.Task[Reply]] = set()
-        self._outdated_watches: set[asyncio.Task[Reply]] = set()
+        self._cancelled_watches: set[asyncio.Task[Reply]] = set()
 
     async def list_all(
         self,
@@ -212,7 +212,7 @@
 
         The place is the earliest of all pages, so that changes between pages are seen again. A
         page that the store refuses is asked for again, since beginning anew would add to its load.
-        Pages of two eras make no list: raises `HISTORY_GONE`.
+        Pages of two eras make no list: raises `HISTORY_LOST`.
 
         Args:
             kind: Kind of the objects.
@@ -224,7 +224,7 @@
         attempts_end_at = elapsed_seconds() + attempts_seconds
         objects: list[StoredObject] = []
         after = ""
-        place: StorePlace | None = None
+        position: StorePlace | None = None
         sent_at = 0.0
         while True:
             page, page_sent_at = await self._page(kind, after, stale, attempts_end_at, on_content)
@@ -234,13 +234,13 @@
             if page.more and page.unreadable and not page.objects:
                 # Nothing tells where the next page begins.
                 raise StoreError(StoreProblem.UNAVAILABLE)
-            if place is None:
-                place, sent_at = page.place, page_sent_at
-            if page.place.era != place.era:
-                raise StoreError(StoreProblem.HISTORY_GONE)
-            place = min(place, page.place)
+            if position is None:
+                position, sent_at = page.position, page_sent_at
+            if page.position.era != position.era:
+                raise StoreError(StoreProblem.HISTORY_LOST)
+            position = min(position, page.position)
             if not page.more or not page.objects:
-                return objects, place, sent_at
+                return objects, position, sent_at
             after = page.objects[-1].name
 
     async def _page(
@@ -251,26 +251,30 @@
         attempts_end_at: float,
         on_content: Callable[[], None] | None,
     ) -> tuple[ObjectPage, float]:
-        pause = FIRST_PAGE_PAUSE_SECONDS
+        backoff = INITIAL_PAGE_BACKOFF_SECONDS
         call = self._dialect.list_call(kind, after, stale)
         attempts = 1
         while True:
-            left = max(attempts_end_at - elapsed_seconds(), MIN_ATTEMPT_SECONDS)
+            remaining = max(attempts_end_at - elapsed_seconds(), MIN_ATTEMPT_SECONDS)
             try:
-                reply = await self._send(kind, call, min(CALL_TIMEOUT_SECONDS, left), on_content)
+                reply = await self._send(
+                    kind, call, min(CALL_TIMEOUT_SECONDS, remaining), on_content
+                )
                 return self._dialect.read_page(reply), reply.sent_at
             except StoreError as error:
-                is_last = attempts >= PAGE_ATTEMPTS or elapsed_seconds() + pause > attempts_end_at
-                if is_last or error.problem is StoreProblem.HISTORY_GONE:
+                is_last = (
+                    attempts >= MAX_PAGE_ATTEMPTS or elapsed_seconds() + backoff > attempts_end_at
+                )
+                if is_last or error.problem is StoreProblem.HISTORY_LOST:
                     raise
-                await asyncio.sleep(pause * (0.5 + self._random.random()))
-                pause *= 2
+                await asyncio.sleep(backoff * (0.5 + self._random.random()))
+                backoff *= 2
                 attempts += 1
 
     async def watch(
         self,
         kind: str,
-        place: StorePlace,
+        position: StorePlace,
         wait_seconds: float,
         on_content: Callable[[], None] | None = None,
     ) -> tuple[ObjectChanges, float]:
@@ -278,17 +282,17 @@
 
         `on_content` is told when the answer that is coming carries some.
 
-        Raises `HISTORY_GONE` when the store has come back from an older copy since that state, also
+        Raises `HISTORY_LOST` when the store has come back from an older copy since that state, also
         while the call waits: what comes after the same revision then is another history.
         """
-        if self._has_ended(place.era):
-            raise StoreError(StoreProblem.HISTORY_GONE)
-        call = self._dialect.watch_call(kind, place, wait_seconds)
+        if self._is_past_era(position.era):
+            raise StoreError(StoreProblem.HISTORY_LOST)
+        call = self._dialect.watch_call(kind, position, wait_seconds)
         first_byte_seconds = wait_seconds + WATCH_MARGIN_SECONDS
         reply = await self._send_within_era(kind, call, first_byte_seconds, on_content)
         changes = self._dialect.read_changes(reply)
-        if changes.place.era != place.era:
-            raise StoreError(StoreProblem.HISTORY_GONE)
+        if changes.position.era != position.era:
+            raise StoreError(StoreProblem.HISTORY_LOST)
         if changes.unreadable:
             self._on_unreadable(kind, changes.unreadable)
         return changes, reply.sent_at
@@ -304,7 +308,7 @@
         return self._dialect.read_object(reply), reply.sent_at
 
     async def replace(
-        self, kind: str, name: str, spec: bytes, place: StorePlace
+        self, kind: str, name: str, spec: bytes, position: StorePlace
     ) -> tuple[StoredObject, float]:
         """Replace an object; raises a conflict when its last change is another one.
 
@@ -312,12 +316,12 @@
         given out again. The store may end an era while the call is on its way, so the place of the
         result tells whether the condition was still worth anything.
         """
-        if self._has_ended(place.era):
+        if self._is_past_era(position.era):
             raise StoreError(StoreProblem.CONFLICT)
-        reply = await self._send(kind, self._dialect.replace_call(kind, name, spec, place))
+        reply = await self._send(kind, self._dialect.replace_call(kind, name, spec, position))
         return self._dialect.read_object(reply), reply.sent_at
 
-    def _has_ended(self, era: int) -> bool:
+    def _is_past_era(self, era: int) -> bool:
         return self.era is not None and era < self.era
 
     async def _send_within_era(
@@ -333,12 +337,12 @@
         try:
             return await task
         except asyncio.CancelledError:
-            if task not in self._outdated_watches or _is_being_cancelled():
+            if task not in self._cancelled_watches or _is_being_cancelled():
                 raise
-            raise StoreError(StoreProblem.HISTORY_GONE) from None
+            raise StoreError(StoreProblem.HISTORY_LOST) from None
         finally:
             self._watches.discard(task)
-            self._outdated_watches.discard(task)
+            self._cancelled_watches.discard(task)
 
     async def _send(
         self,
@@ -353,11 +357,11 @@
         self._on_call(kind, reply is not None and reply.status < SERVER_ERROR_STATUS)
         if reply is None:
             raise StoreError(StoreProblem.UNAVAILABLE)
-        self._note_era(kind, reply)
+        self._check_era(kind, reply)
         return reply
 
-    def _note_era(self, kind: str, reply: Reply) -> None:
-        """Take the era of an answer; raises `HISTORY_GONE` for one of an era that has ended.
+    def _check_era(self, kind: str, reply: Reply) -> None:
+        """Take the era of an answer; raises `HISTORY_LOST` for one of an era that has ended.
 
         One without a readable era, after others with it, gives nothing.
         """
@@ -371,19 +375,19 @@
             raise StoreError(StoreProblem.UNAVAILABLE)
         if self.era is not None and era < self.era:
             self._listener.answer_outdated(kind, era, self.era)
-            raise StoreError(StoreProblem.HISTORY_GONE)
+            raise StoreError(StoreProblem.HISTORY_LOST)
         if self.era is None or era > self.era:
             before, self.era = self.era, era
             self._listener.era(before, era)
             if before is not None:
-                self._give_up_watches()
+                self._cancel_watches()
 
-    def _give_up_watches(self) -> None:
+    def _cancel_watches(self) -> None:
         """Watches that wait do so for changes of a history that is gone."""
         current = asyncio.current_task()
         for task in list(self._watches):
             if task is not current:
-                self._outdated_watches.add(task)
+                self._cancelled_watches.add(task)
                 task.cancel()
 
 
--- a/src/milletcourse/gateway/store/registration.py
+++ b/src/milletcourse/gateway/store/registration.py
@@ -29,16 +29,16 @@
 )
 from milletcourse.runtime.clock import wall_seconds
 
-LIST_WAIT_SECONDS = 0.5
+LIST_TIMEOUT_SECONDS = 0.5
 """The list is waited for this long, to see whether the entry of an earlier process stands."""
-LOOK_SECONDS = 1.0
+CHECK_INTERVAL_SECONDS = 1.0
 """Longest time between two looks at what the entry should say."""
-SHORTEST_LOOK = 0.5
+MIN_CHECK_INTERVAL_SHARE = 0.5
 """As a share of it: when the store has lost the entries of all gateways, they aren't written again
 all at once."""
-WRITES_IN_A_ROW = 2
+MAX_CONSECUTIVE_WRITES = 2
 """The second one goes on from what the first one found in the store."""
-MAX_PAUSE_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 2.0
 """While the store does nothing, the time between two tries doubles up to this: calls are priced."""
 
 
@@ -51,11 +51,11 @@
         kind: str,
         name: str,
         directory: GatewayDirectory,
-        wanted: Callable[[], GatewayEntry],
-        on_found: Callable[[GatewayEntry], None],
-        listed_at: Callable[[], StorePlace | None],
+        desired: Callable[[], GatewayEntry],
+        on_entry_found: Callable[[GatewayEntry], None],
+        listed_position: Callable[[], StorePlace | None],
         random_source: random.Random,
-        on_written_again: Callable[[StorePlace], None],
+        on_rewritten: Callable[[StorePlace], None],
     ) -> None:
         """Nothing written yet.
 
@@ -70,121 +70,130 @@
             random_source: Spreads the looks.
             on_written_again: Told when an entry that the store had lost is there again.
         """
-        self._on_written_again = on_written_again
-        self._was_lost = False
-        self._listed_at = listed_at
+        self._on_rewritten = on_rewritten
+        self._is_lost = False
+        self._listed_position = listed_position
         self._random = random_source
         self._store = store
         self._kind = kind
         self._name = name
         self._directory = directory
-        self._wanted = wanted
-        self._on_found = on_found
-        self._pause_seconds = LOOK_SECONDS
-        self._news = asyncio.Event()
+        self._desired = desired
+        self._on_entry_found = on_entry_found
+        self._interval_seconds = CHECK_INTERVAL_SECONDS
+        self._changed = asyncio.Event()
         self._stored: GatewayEntry | None = None
-        self._written_at: StorePlace | None = None
+        self._written_position: StorePlace | None = None
 
     async def run(self) -> None:
         """Keep the entry right until cancelled."""
         with suppress(TimeoutError):
             # Without the list the entry is written: that costs one call at most.
-            await asyncio.wait_for(self._directory.is_listed.wait(), LIST_WAIT_SECONDS)
-        self._stored, self._written_at = self._directory.own_entry, self._directory.own_place
+            await asyncio.wait_for(self._directory.is_listed.wait(), LIST_TIMEOUT_SECONDS)
+        self._stored, self._written_position = (
+            self._directory.own_entry,
+            self._directory.own_position,
+        )
         while True:
-            self._take_listed()
-            for _ in range(WRITES_IN_A_ROW):
-                wanted = self._wanted()
-                if self._is_right(wanted) or not await self._write(wanted):
+            self._compare_with_list()
+            for _ in range(MAX_CONSECUTIVE_WRITES):
+                desired = self._desired()
+                if self._is_up_to_date(desired) or not await self._write(desired):
                     break
-            await self._pause()
+            await self._wait()
 
-    async def _pause(self) -> None:
+    async def _wait(self) -> None:
         """Wait for the next look, or for news."""
         with suppress(TimeoutError):
-            share = SHORTEST_LOOK + (1.0 - SHORTEST_LOOK) * self._random.random()
-            await asyncio.wait_for(self._news.wait(), self._pause_seconds * share)
-        self._news.clear()
+            share = (
+                MIN_CHECK_INTERVAL_SHARE + (1.0 - MIN_CHECK_INTERVAL_SHARE) * self._random.random()
+            )
+            await asyncio.wait_for(self._changed.wait(), self._interval_seconds * share)
+        self._changed.clear()
 
-    def _take_listed(self) -> None:
+    def _compare_with_list(self) -> None:
         """The store may have lost the entry, or hold an older one, since it was written."""
-        listed_at, written_at = self._listed_at(), self._written_at
-        if listed_at is None or written_at is None or listed_at < written_at:
+        listed_position, written_position = self._listed_position(), self._written_position
+        if (
+            listed_position is None
+            or written_position is None
+            or listed_position < written_position
+        ):
             return
-        entry, place = self._directory.own_entry, self._directory.own_place
-        if place is None or listed_at.era > written_at.era:
-            self._stored, self._written_at = entry, place
-            self._was_lost = self._was_lost or place is None
+        entry, position = self._directory.own_entry, self._directory.own_position
+        if position is None or listed_position.era > written_position.era:
+            self._stored, self._written_position = entry, position
+            self._is_lost = self._is_lost or position is None
 
-    def on_news(self) -> None:
+    def on_change(self) -> None:
         """What the entry should say may have changed: all gateways may end at the next moment."""
-        store_works = self._pause_seconds == LOOK_SECONDS
-        if store_works and not self._is_right(self._wanted()):
-            self._news.set()
+        is_store_available = self._interval_seconds == CHECK_INTERVAL_SECONDS
+        if is_store_available and not self._is_up_to_date(self._desired()):
+            self._changed.set()
 
-    def _is_right(self, wanted: GatewayEntry) -> bool:
+    def _is_up_to_date(self, desired: GatewayEntry) -> bool:
         stored = self._stored
-        if stored is None or _location(stored) != _location(wanted):
+        if stored is None or _location(stored) != _location(desired):
             return False
-        if stored.confirmed_era < wanted.confirmed_era:
+        if stored.confirmed_era < desired.confirmed_era:
             return False
-        if stored.lost_configuration < wanted.lost_configuration:
+        if stored.lost_configuration < desired.lost_configuration:
             return False
-        return _contents(stored.contained) == _contents(wanted.contained)
+        return _content_identities(stored.contained) == _content_identities(desired.contained)
 
-    async def _write(self, wanted: GatewayEntry) -> bool:
+    async def _write(self, desired: GatewayEntry) -> bool:
         """Write the entry; True when it turned out to be another one than was known."""
-        stored = self._stored or _location(wanted)
+        stored = self._stored or _location(desired)
         entry = msgspec.structs.replace(
-            wanted,
-            contained_at=wall_seconds() if wanted.contained else 0.0,
-            confirmed_era=max(wanted.confirmed_era, stored.confirmed_era),
-            lost_configuration=max(wanted.lost_configuration, stored.lost_configuration),
+            desired,
+            contained_at=wall_seconds() if desired.contained else 0.0,
+            confirmed_era=max(desired.confirmed_era, stored.confirmed_era),
+            lost_configuration=max(desired.lost_configuration, stored.lost_configuration),
         )
         spec = msgspec.json.encode(entry)
         try:
-            if self._written_at is None:
+            if self._written_position is None:
                 written, _ = await self._store.create(self._kind, self._name, spec)
             else:
                 written, _ = await self._store.replace(
-                    self._kind, self._name, spec, self._written_at
+                    self._kind, self._name, spec, self._written_position
                 )
         except StoreError as error:
-            return await self._on_refused(error)
-        self._stored, self._written_at = entry, written.place
-        self._pause_seconds = LOOK_SECONDS
-        if self._was_lost:
-            self._was_lost = False
-            self._on_written_again(written.place)
+            return await self._on_store_error(error)
+        self._stored, self._written_position = entry, written.position
+        self._interval_seconds = CHECK_INTERVAL_SECONDS
+        if self._is_lost:
+            self._is_lost = False
+            self._on_rewritten(written.position)
         return False
 
-    async def _on_refused(self, error: StoreError) -> bool:
+    async def _on_store_error(self, error: StoreError) -> bool:
         """The entry is there, has changed, or has gone: the next look goes on from that."""
         if error.problem is StoreProblem.CONFLICT:
-            return await self._take_current(error.current)
+            return await self._adopt_current(error.current)
         if error.problem is StoreProblem.NOT_FOUND:
-            self._note_lost()
+            self._mark_lost()
         else:
-            self._pause_seconds = min(self._pause_seconds * 2, MAX_PAUSE_SECONDS)
+            self._interval_seconds = min(self._interval_seconds * 2, MAX_BACKOFF_SECONDS)
         return False
 
-    def _note_lost(self) -> None:
+    def _mark_lost(self) -> None:
         """The store doesn't hold the entry: the next look writes it anew."""
-        self._stored, self._written_at = None, None
-        self._was_lost = True
+        self._stored, self._written_position = None, None
+        self._is_lost = True
 
-    async def _take_current(self, current: StoredObject | None) -> bool:
+    async def _adopt_current(self, current: StoredObject | None) -> bool:
         """Go on from the entry as it is; a store need not show it with a conflict."""
         if current is None:
             try:
                 current, _ = await self._store.get(self._kind, self._name)
             except StoreError as error:
                 if error.problem is StoreProblem.NOT_FOUND:
-                    self._note_lost()
+                    self._mark_lost()
                 return False
-        self._stored, self._written_at = decode_entry(current.spec), current.place
+        self._stored, self._written_position = decode_entry(current.spec), current.position
         if self._stored is not None:
-            self._on_found(self._stored)
+            self._on_entry_found(self._stored)
         return True
 
 
@@ -193,5 +202,5 @@
     return GatewayEntry(entry.address, entry.zone, entry.feed, entry.link_megabits)
 
 
-def _contents(requests: list[ContainedRequest]) -> set[str]:
+def _content_identities(requests: list[ContainedRequest]) -> set[str]:
     return {request.content for request in requests}
--- a/src/milletcourse/gateway/store/store_comparison.py
+++ b/src/milletcourse/gateway/store/store_comparison.py
@@ -70,12 +70,12 @@
 
 
 async def _compare(store: ObjectStoreClient, mirror: KindMirror, now: float) -> KindComparison:
-    place = mirror.place
+    position = mirror.position
     known = KindComparison(
         mirror.kind,
-        place.era if place is not None else None,
-        place.revision if place is not None else None,
-        round(now - mirror.proved_at, 3) if place is not None else None,
+        position.era if position is not None else None,
+        position.revision if position is not None else None,
+        round(now - mirror.proved_at, 3) if position is not None else None,
     )
     try:
         listed, _, _ = await store.list_all(mirror.kind)
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(
-        self, context: GatewayContext, mirrors: Sequence[KindMirror], proven: KindMirror
+        self, context: GatewayContext, mirrors: Sequence[KindMirror], proof_mirror: KindMirror
     ) -> None:
         """Nothing asked yet.
 
@@ -50,18 +50,18 @@
             proven: The one of them whose calls prove that the store is read here.
         """
         self._context = context
-        self._proven = proven
+        self._proof_mirror = proof_mirror
         self._mirrors = {mirror.kind: mirror for mirror in mirrors}
         self._waiters: set[asyncio.Future[None]] = set()
         for mirror in mirrors:
-            mirror.on_news = self._wake
+            mirror.on_change = self._wake
 
     async def handle(self, request: ClientRequest, client: ClientConnection) -> None:
         """Answer one question; the handler of `ClientConnection`."""
         if request.target == CONTENT_PATH.encode():
             self._answer_content(request, client)
         else:
-            await self._answer_news(request, client)
+            await self._answer_feed(request, client)
 
     def _answer_content(self, request: ClientRequest, client: ClientConnection) -> None:
         """Bring a content that was announced; its sums tell whether it is meant."""
@@ -78,7 +78,7 @@
             return
         client.send_whole(200, b"", [_BINARY], encode_patch(patch))
 
-    async def _answer_news(self, request: ClientRequest, client: ClientConnection) -> None:
+    async def _answer_feed(self, request: ClientRequest, client: ClientConnection) -> None:
         received_at = self._context.now()
         question = decode_question(request.body)
         if question is None:
@@ -87,34 +87,34 @@
         self._note_positions(question)
         self._note_configuration(question)
         self._context.confirmed_era.on_told(question.confirmed_era)
-        await self._wait_for_news(question, received_at)
-        if not self._vouches() or self._is_an_era_behind(question):
+        await self._wait_for_changes(question, received_at)
+        if not self._can_attest() or self._is_an_era_behind(question):
             refuse(client, NotReady("the store isn't read here now"))
             return
-        told = [
-            self._mirrors[position.kind].since(position.place, question.takes_patches)
-            for position in question.positions
-            if position.kind in self._mirrors
+        changed_kinds = [
+            self._mirrors[asked.kind].since(asked.place, question.takes_patches)
+            for asked in question.positions
+            if asked.kind in self._mirrors
         ]
-        proof_offset = self._proven.proved_at - received_at
-        news = [kind for kind in told if kind is not None]
-        answer = self._with_coming_change(FeedAnswer(news, proof_offset), question, received_at)
+        proof_offset = self._proof_mirror.proved_at - received_at
+        changes = [kind for kind in changed_kinds if kind is not None]
+        answer = self._with_pending_change(FeedAnswer(changes, proof_offset), question, received_at)
         client.send_whole(200, b"", [_JSON], encode_answer(answer, question.takes_patches))
 
-    def _with_coming_change(
+    def _with_pending_change(
         self, answer: FeedAnswer, question: FeedQuestion, received_at: float
     ) -> FeedAnswer:
         """The answer with what is known of a configuration that it doesn't bring."""
         context = self._context
         effect = not_out_at = None
-        if any(kind.kind == self._proven.kind and kind.is_announced for kind in answer.kinds):
+        if any(kind.kind == self._proof_mirror.kind and kind.is_announced for kind in answer.kinds):
             effect = context.effects.since(question.configuration)
             not_out_at = context.effects.not_out_at(question.configuration)
         else:
             not_out_at = context.lag.not_out_at
         return msgspec.structs.replace(
             answer,
-            is_receiving=self._proven.is_receiving,
+            is_receiving=self._proof_mirror.is_receiving,
             effect=effect,
             not_out_offset=not_out_at - received_at if not_out_at is not None else None,
             configuration=context.configuration_version,
@@ -123,34 +123,35 @@
 
     def _note_configuration(self, question: FeedQuestion) -> None:
         """A follower that knows no later state of the store, but a later configuration."""
-        known = self._proven.place
+        known = self._proof_mirror.position
         asked = next(
-            (item.place for item in question.positions if item.kind == self._proven.kind), None
+            (item.place for item in question.positions if item.kind == self._proof_mirror.kind),
+            None,
         )
         if known is not None and asked is not None and asked <= known:
             self._context.on_lost_configuration(question.configuration)
 
     def _note_positions(self, question: FeedQuestion) -> None:
-        for position in question.positions:
-            mirror = self._mirrors.get(position.kind)
-            known = mirror.place if mirror is not None else None
-            if known is not None and position.place is not None:
-                self._context.record.store.follower_position(position.kind, position.place, known)
+        for asked in question.positions:
+            mirror = self._mirrors.get(asked.kind)
+            known = mirror.position if mirror is not None else None
+            if known is not None and asked.place is not None:
+                self._context.record.store.follower_position(asked.kind, asked.place, known)
 
     def _is_an_era_behind(self, question: FeedQuestion) -> bool:
         """Whether the follower knows of a return of the store that isn't known here.
 
         What is proved here is then of a history that the store has lost.
         """
-        for position in question.positions:
-            mirror = self._mirrors.get(position.kind)
-            known = mirror.place if mirror is not None else None
-            asked = position.place
-            if asked is not None and known is not None and asked.era > known.era:
+        for asked in question.positions:
+            mirror = self._mirrors.get(asked.kind)
+            known = mirror.position if mirror is not None else None
+            position = asked.place
+            if position is not None and known is not None and position.era > known.era:
                 return True
         return False
 
-    def _vouches(self) -> bool:
+    def _can_attest(self) -> bool:
         """Whether what is known here is current enough to be told.
 
         While a change is on its way here, followers have nothing to gain from the store: each of
@@ -159,23 +160,23 @@
         context = self._context
         if not context.reads_store or context.stopping:
             return False
-        age = context.now() - self._proven.proved_at
-        if self._proven.is_receiving:
-            return age <= context.reading.max_receiving_age
-        return age <= context.reading.max_proof_age
+        age = context.now() - self._proof_mirror.proved_at
+        if self._proof_mirror.is_receiving:
+            return age <= context.replication_times.max_receiving_age
+        return age <= context.replication_times.max_proof_age
 
     def _is_proof_current(self) -> bool:
         return self._context.now() <= self._proof_ends_at()
 
     def _proof_ends_at(self) -> float:
-        return self._proven.proved_at + self._context.reading.max_proof_age
+        return self._proof_mirror.proved_at + self._context.replication_times.max_proof_age
 
-    async def _wait_for_news(self, question: FeedQuestion, received_at: float) -> None:
+    async def _wait_for_changes(self, question: FeedQuestion, received_at: float) -> None:
         """Wait until there is something to tell, or the question was kept long enough."""
         until = received_at + min(question.hold_seconds, MAX_HOLD_SECONDS)
         if self._is_an_era_behind(question):
             return
-        while self._vouches() and not self._has_news(question):
+        while self._can_attest() and not self._has_changes(question):
             ends_at = min(until, self._proof_ends_at()) if self._is_proof_current() else until
             seconds = ends_at - self._context.now()
             if seconds <= 0 and ends_at == until:
@@ -185,25 +186,25 @@
     async def _wait(self, seconds: float) -> None:
         waiter = self._context.loop.create_future()
         self._waiters.add(waiter)
-        timer = self._context.loop.call_later(seconds, _finish, waiter)
+        timer = self._context.loop.call_later(seconds, _resolve, waiter)
         try:
             await waiter
         finally:
             timer.cancel()
             self._waiters.discard(waiter)
 
-    def _has_news(self, question: FeedQuestion) -> bool:
+    def _has_changes(self, question: FeedQuestion) -> bool:
         return any(
-            self._mirrors[position.kind].has_news(position.place)
-            for position in question.positions
-            if position.kind in self._mirrors
+            self._mirrors[asked.kind].has_changes(asked.place)
+            for asked in question.positions
+            if asked.kind in self._mirrors
         )
 
     def _wake(self) -> None:
         for waiter in self._waiters:
-            _finish(waiter)
+            _resolve(waiter)
 
 
-def _finish(waiter: asyncio.Future[None]) -> None:
+def _resolve(waiter: asyncio.Future[None]) -> None:
     if not waiter.done():
         waiter.set_result(None)
--- a/src/milletcourse/gateway/store/store_sync.py
+++ b/src/milletcourse/gateway/store/store_sync.py
@@ -12,25 +12,25 @@
 from milletcourse.exchange.reading.store_reading import GatewayRecord, ReadingPlan
 from milletcourse.gateway.servers.call_client import CallClient
 from milletcourse.gateway.state.context import GatewayContext
-from milletcourse.gateway.store.feed_client import QUICK_SECONDS, FeedClient, FeedOutcome
+from milletcourse.gateway.store.feed_client import QUICK_REFUSAL_SECONDS, FeedClient, FeedOutcome
 from milletcourse.gateway.store.kind_mirror import KindMirror
 from milletcourse.gateway.store.kind_watch import (
-    MAX_FOLLOWER_PAUSE_SECONDS,
-    MAX_PAUSE_SECONDS,
+    MAX_BACKOFF_SECONDS,
+    MAX_FOLLOWER_BACKOFF_SECONDS,
     KindWatch,
-    list_as_of_now,
+    list_current,
 )
 from milletcourse.gateway.store.object_store import ObjectStoreClient, StoreError
 
-LOOK_SECONDS = 0.1
+READER_CHECK_SECONDS = 0.1
 """While the store is read here, a reader that may be followed is looked for this often."""
-START_PATIENCE_SECONDS = 0.7
+READER_WAIT_SECONDS = 0.7
 """At a start a reader is waited for this long, since many gateways may start together."""
-FIRST_LISTS_SECONDS = 0.8
+FIRST_LIST_TIMEOUT_SECONDS = 0.8
 """A store whose lists don't begin to come by now is left; readers may know them."""
-FIRST_FEED_MEGABITS = 50.0
+MIN_FIRST_FEED_MEGABITS = 50.0
 """A reader with a narrower link isn't asked for all that there is: some 100 KB in 20 ms here."""
-MIN_QUESTION_SECONDS = 0.02
+MIN_POLL_INTERVAL_SECONDS = 0.02
 """Between two questions, so that a burst of changes comes in few answers."""
 
 
@@ -78,45 +78,45 @@
 
     async def run(self) -> None:
         """Keep the mirrors current until cancelled."""
-        if await self._learns_gateways() and not await self._is_fed_at_start():
-            await self._learn_all()
-        patient_until = self._context.now() + START_PATIENCE_SECONDS
+        if await self._list_gateways() and not await self._sync_at_start():
+            await self._list_all_kinds()
+        wait_until = self._context.now() + READER_WAIT_SECONDS
         while True:
             reader = self._plan.choose(self._context.now())
             if reader is not None:
-                outcome = await self._feed.ask(reader, 0.0)
-                if outcome is FeedOutcome.FED:
-                    patient_until = 0.0
+                outcome = await self._feed.poll(reader, 0.0)
+                if outcome is FeedOutcome.SYNCED:
+                    wait_until = 0.0
                     self._stop_watches()
                     await self._follow(reader)
                     continue
-                if outcome is FeedOutcome.REFUSED and await self._is_fed_by_another():
+                if outcome is FeedOutcome.REFUSED and await self._sync_from_other_reader():
                     continue
-            if self._plan.is_reader or self._context.now() >= patient_until:
+            if self._plan.is_reader or self._context.now() >= wait_until:
                 self._start_watches()
             if self._has_lost_store():
-                await self._learn_from_substitute()
-            await asyncio.sleep(LOOK_SECONDS)
+                await self._follow_substitute()
+            await asyncio.sleep(READER_CHECK_SECONDS)
 
     def close(self) -> None:
         """Stop reading."""
         self._stop_watches()
 
-    async def _learns_gateways(self) -> bool:
+    async def _list_gateways(self) -> bool:
         """Whether it is known whom to ask: a list that is some seconds old is cheap, and does."""
         mirror = self._mirrors[self._gateways_kind]
         try:
-            objects, place, sent_at = await self._store.list_all(
-                mirror.kind, stale=True, attempts_seconds=FIRST_LISTS_SECONDS
+            objects, position, sent_at = await self._store.list_all(
+                mirror.kind, stale=True, attempts_seconds=FIRST_LIST_TIMEOUT_SECONDS
             )
         except StoreError:
             # The watches go on asking.
             self._context.log.emit("gateways-unknown-at-start")
             return False
-        mirror.on_list(objects, place, sent_at, is_stale=True)
+        mirror.on_list(objects, position, sent_at, is_stale=True)
         return True
 
-    async def _is_fed_at_start(self) -> bool:
+    async def _sync_at_start(self) -> bool:
         """Whether a reader with a wide link, asked once, tells all that there is.
 
         A gateway that restarts alone gets it so, and costs the store nothing. After a loss of all,
@@ -124,29 +124,29 @@
         from the store, whose link is far wider than any reader's.
         """
         reader = self._plan.choose(self._context.now())
-        if reader is None or reader.link_megabits < FIRST_FEED_MEGABITS:
+        if reader is None or reader.link_megabits < MIN_FIRST_FEED_MEGABITS:
             return False
-        return await self._is_fed_at_once(reader)
+        return await self._sync_without_hold(reader)
 
-    async def _learn_all(self) -> None:
+    async def _list_all_kinds(self) -> None:
         """Know all kinds before the first choice of a reader; they come all at once."""
-        await asyncio.gather(*(self._learn(kind) for kind in self._kinds))
+        await asyncio.gather(*(self._list_kind(kind) for kind in self._kinds))
 
-    async def _learn(self, kind: WatchedKind) -> None:
+    async def _list_kind(self, kind: WatchedKind) -> None:
         mirror = kind.mirror
         try:
-            if mirror.place is not None:
-                changes, sent_at = await self._store.watch(mirror.kind, mirror.place, 0.0)
+            if mirror.position is not None:
+                changes, sent_at = await self._store.watch(mirror.kind, mirror.position, 0.0)
                 mirror.on_changes(changes, sent_at)
                 return
-            objects, place, sent_at = await list_as_of_now(
-                self._store, mirror.kind, kind.stale_lists, FIRST_LISTS_SECONDS
+            objects, position, sent_at = await list_current(
+                self._store, mirror.kind, kind.stale_lists, FIRST_LIST_TIMEOUT_SECONDS
             )
         except StoreError as error:
             # The watches, or a reader, bring it later.
             self._context.log.emit("first-list-failed", kind=mirror.kind, problem=str(error))
             return
-        mirror.on_list(objects, place, sent_at, kind.stale_lists)
+        mirror.on_list(objects, position, sent_at, kind.stale_lists)
 
     # -- following a reader ---------------------------------------------------------------------
 
@@ -154,49 +154,52 @@
         """Ask one reader again and again until it fails or another one goes before it."""
         self._context.followed_reader = reader.name
         self._context.log.emit("reader-followed", reader=reader.name)
-        outcome = FeedOutcome.FED
-        while outcome is FeedOutcome.FED and self._plan.choose(self._context.now()) == reader:
-            await asyncio.sleep(MIN_QUESTION_SECONDS)
-            outcome = await self._feed.ask(reader, self._context.reading.feed_hold)
+        outcome = FeedOutcome.SYNCED
+        while outcome is FeedOutcome.SYNCED and self._plan.choose(self._context.now()) == reader:
+            await asyncio.sleep(MIN_POLL_INTERVAL_SECONDS)
+            outcome = await self._feed.poll(reader, self._context.replication_times.feed_hold)
         self._context.followed_reader = ""
-        if outcome is FeedOutcome.FED:
+        if outcome is FeedOutcome.SYNCED:
             return
         self._context.log.emit("reader-lost", reader=reader.name, outcome=outcome.value)
-        if await self._is_fed_by_another():
+        if await self._sync_from_other_reader():
             return
         # Whatever the reader is silent about must not be missed here.
         self._start_watches()
 
-    async def _is_fed_by_another(self) -> bool:
+    async def _sync_from_other_reader(self) -> bool:
         """Whether another reader tells what there is, after one did not.
 
         All followers of a reader lose it in the same moment; were each to read the store at once,
         its trouble would cost a call a follower and kind whenever it comes.
         """
         reader = self._plan.choose(self._context.now())
-        return reader is not None and await self._is_fed_at_once(reader)
+        return reader is not None and await self._sync_without_hold(reader)
 
-    async def _is_fed_at_once(self, reader: GatewayRecord) -> bool:
+    async def _sync_without_hold(self, reader: GatewayRecord) -> bool:
         """Whether a reader tells what there is without keeping the question."""
-        return await self._feed.ask(reader, 0.0, QUICK_SECONDS) is FeedOutcome.FED
+        return await self._feed.poll(reader, 0.0, QUICK_REFUSAL_SECONDS) is FeedOutcome.SYNCED
 
     def _has_lost_store(self) -> bool:
         """Whether this gateway reads the store, and its latest call about it failed."""
         return self._leading_watch is not None and not self._leading_watch.reached.is_set()
 
-    async def _learn_from_substitute(self) -> None:
+    async def _follow_substitute(self) -> None:
         """Learn from another reader for as long as the store can't be reached from here.
 
         The store may turn away this gateway alone. Its own watches go on meanwhile, since they find
         out when that is over; what is learnt is as old as the other reader's proof says.
         """
         reader = self._plan.choose_substitute(self._context.now())
-        if reader is None or await self._feed.ask(reader, 0.0) is not FeedOutcome.FED:
+        if reader is None or await self._feed.poll(reader, 0.0) is not FeedOutcome.SYNCED:
             return
         self._context.log.emit("substitute-asked", reader=reader.name)
         while self._has_lost_store():
-            await asyncio.sleep(MIN_QUESTION_SECONDS)
-            if await self._feed.ask(reader, self._context.reading.feed_hold) is not FeedOutcome.FED:
+            await asyncio.sleep(MIN_POLL_INTERVAL_SECONDS)
+            if (
+                await self._feed.poll(reader, self._context.replication_times.feed_hold)
+                is not FeedOutcome.SYNCED
+            ):
                 return
 
     # -- reading the store ----------------------------------------------------------------------
@@ -215,7 +218,7 @@
                 random_source,
                 kind.stale_lists,
                 leader,
-                MAX_PAUSE_SECONDS if self._plan.is_reader else MAX_FOLLOWER_PAUSE_SECONDS,
+                MAX_BACKOFF_SECONDS if self._plan.is_reader else MAX_FOLLOWER_BACKOFF_SECONDS,
             )
             if Mechanism.LEADING_WATCH in self._context.mechanisms:
                 leader = leader or watch
--- a/src/milletcourse/platform/cache_events.py
+++ b/src/milletcourse/platform/cache_events.py
@@ -7,7 +7,7 @@
 from milletcourse.exchange.messages.messages import HeaderField
 from milletcourse.gateway.fleet.cache_store_probe import SignOfLife
 from milletcourse.gateway.servers.call_client import Call, Reply
-from milletcourse.gateway.store.object_store import UNREADABLE
+from milletcourse.gateway.store.object_store import DECODE_ERRORS
 
 _EVENTS_PATH = "/milletcourse/kv-events"
 
@@ -29,6 +29,6 @@
         """See `CacheStoreDialect`."""
         try:
             page = msgspec.json.decode(reply.body, type=_Page)
-        except UNREADABLE:
+        except DECODE_ERRORS:
             return None
         return SignOfLife(page.next_token, max(page.born, 0))
--- a/src/milletcourse/platform/object_store.py
+++ b/src/milletcourse/platform/object_store.py
@@ -11,7 +11,7 @@
 from milletcourse.exchange.messages.store_place import UNKNOWN_ERA, StorePlace
 from milletcourse.gateway.servers.call_client import Call, Reply
 from milletcourse.gateway.store.object_store import (
-    UNREADABLE,
+    DECODE_ERRORS,
     ObjectChange,
     ObjectChanges,
     ObjectPage,
@@ -24,7 +24,7 @@
 _PROBLEMS = {
     404: StoreProblem.NOT_FOUND,
     409: StoreProblem.CONFLICT,
-    410: StoreProblem.HISTORY_GONE,
+    410: StoreProblem.HISTORY_LOST,
 }
 
 
@@ -80,13 +80,13 @@
         era = _read_era(reply)
         found = [_readable(item, era) for item in page.items]
         objects = tuple(stored for stored in found if stored is not None)
-        place = StorePlace(era, page.at)
-        return ObjectPage(objects, place, page.more, len(found) - len(objects))
+        position = StorePlace(era, page.at)
+        return ObjectPage(objects, position, page.more, len(found) - len(objects))
 
-    def watch_call(self, kind: str, place: StorePlace, wait_seconds: float) -> Call:
+    def watch_call(self, kind: str, position: StorePlace, wait_seconds: float) -> Call:
         """See `StoreDialect`."""
         wait = int(wait_seconds * 1000)
-        return Call("GET", f"{OBJECTS_PATH}/{kind}?Watch={place.revision}&WaitMs={wait}")
+        return Call("GET", f"{OBJECTS_PATH}/{kind}?Watch={position.revision}&WaitMs={wait}")
 
     def read_changes(self, reply: Reply) -> ObjectChanges:
         """See `StoreDialect`."""
@@ -94,8 +94,8 @@
         era = _read_era(reply)
         found = [_readable_change(event, era) for event in changes.events]
         readable = tuple(change for change in found if change is not None)
-        place = StorePlace(era, changes.at)
-        return ObjectChanges(readable, place, len(found) - len(readable))
+        position = StorePlace(era, changes.at)
+        return ObjectChanges(readable, position, len(found) - len(readable))
 
     def get_call(self, kind: str, name: str) -> Call:
         """See `StoreDialect`."""
@@ -106,9 +106,9 @@
         body = _body({"Name": name}, spec)
         return Call("POST", f"{OBJECTS_PATH}/{kind}", body)
 
-    def replace_call(self, kind: str, name: str, spec: bytes, place: StorePlace) -> Call:
+    def replace_call(self, kind: str, name: str, spec: bytes, position: StorePlace) -> Call:
         """See `StoreDialect`."""
-        body = _body({"Name": name, "Revision": place.revision}, spec)
+        body = _body({"Name": name, "Revision": position.revision}, spec)
         return Call("PUT", f"{OBJECTS_PATH}/{kind}/{quote(name, safe='')}", body)
 
     def read_object(self, reply: Reply) -> StoredObject:
@@ -121,22 +121,22 @@
 
 
 def _stored(document: _Object, era: int) -> StoredObject:
-    place = StorePlace(era, document.metadata.revision)
-    return StoredObject(document.metadata.name, place, bytes(document.spec))
+    position = StorePlace(era, document.metadata.revision)
+    return StoredObject(document.metadata.name, position, bytes(document.spec))
 
 
 def _readable(item: msgspec.Raw, era: int) -> StoredObject | None:
     """An object of a list; None when it can't be told apart, whoever wrote it."""
     try:
         return _stored(msgspec.json.decode(item, type=_Object), era)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
 
 
 def _readable_change(item: msgspec.Raw, era: int) -> ObjectChange | None:
     try:
         event = msgspec.json.decode(item, type=_Event)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     stored = _readable(event.object, era)
     return ObjectChange(stored, event.gone) if stored is not None else None
@@ -161,12 +161,12 @@
         raise StoreError(problem, current)
     try:
         return msgspec.json.decode(reply.body, type=document_type)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise StoreError(StoreProblem.UNAVAILABLE) from error
 
 
 def _current(body: bytes, era: int) -> StoredObject | None:
     try:
         return _stored(msgspec.json.decode(body, type=_Object), era)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -52,7 +52,7 @@
 from milletcourse.exchange.servers.instance_table import BACK_SECONDS, Instance, InstanceTable
 from milletcourse.exchange.servers.server_health import ServerHealth
 from milletcourse.gateway.state.settings import GatewayBounds
-from milletcourse.gateway.store.feed_client import FEED_MARGIN_SECONDS
+from milletcourse.gateway.store.feed_client import FEED_TIMEOUT_MARGIN_SECONDS
 from milletcourse.platform.documents import decode_configuration, read_settings
 
 SOURCES = Path(__file__).parents[2] / "src" / "milletcourse"
@@ -182,7 +182,7 @@
     assert times.watch_wait <= config_apply / 4
     # A follower notices a reader without the store, or a silent one, before a change is due.
     assert times.max_proof_age < config_apply
-    assert times.feed_hold + FEED_MARGIN_SECONDS < config_apply
+    assert times.feed_hold + FEED_TIMEOUT_MARGIN_SECONDS < config_apply
 
 
 @pytest.mark.parametrize("duration", [1.0, 3.3])
--- a/tests/gateway/fleet/test_cache_store_probe.py
+++ b/tests/gateway/fleet/test_cache_store_probe.py
@@ -43,11 +43,11 @@
 
     async def scenario(harness: Harness) -> None:
         finder, other = await _two_gateways(harness)
-        finder.context.cache_store_reach.note(STORE, False)
-        finder.context.cache_store_reach.note("127.0.0.1:2", False)
-        await harness.until(lambda: other.context.cache_store_reach.lost == {STORE})
-        finder.context.cache_store_reach.note(STORE, True)
-        await harness.until(lambda: not other.context.cache_store_reach.lost)
+        finder.context.cache_store_availability.record_probe(STORE, False)
+        finder.context.cache_store_availability.record_probe("127.0.0.1:2", False)
+        await harness.until(lambda: other.context.cache_store_availability.unreachable == {STORE})
+        finder.context.cache_store_availability.record_probe(STORE, True)
+        await harness.until(lambda: not other.context.cache_store_availability.unreachable)
 
     run_with_gateway(scenario)
 
@@ -57,13 +57,13 @@
 
     async def scenario(harness: Harness) -> None:
         finder, other = await _two_gateways(harness)
-        finder.context.cache_store_reach.note(STORE, False)
-        await harness.until(lambda: other.context.cache_store_reach.lost == {STORE})
-        other.context.cache_store_reach.lost.clear()
+        finder.context.cache_store_availability.record_probe(STORE, False)
+        await harness.until(lambda: other.context.cache_store_availability.unreachable == {STORE})
+        other.context.cache_store_availability.unreachable.clear()
 
         def looks_again() -> bool:
-            finder.context.cache_store_reach.note(STORE, False)
-            return other.context.cache_store_reach.lost == {STORE}
+            finder.context.cache_store_availability.record_probe(STORE, False)
+            return other.context.cache_store_availability.unreachable == {STORE}
 
         await harness.until(looks_again)
 
@@ -96,7 +96,7 @@
         for _ in range(3):
             await probe.look(STORE)
         assert [target.partition("Since=")[2] for target in calls.targets] == ["0", "120", "120"]
-        assert not harness.node.context.cache_store_reach.lost
+        assert not harness.node.context.cache_store_availability.unreachable
 
     run_with_gateway(scenario)
 
--- a/tests/gateway/requests/test_gateway_streams.py
+++ b/tests/gateway/requests/test_gateway_streams.py
@@ -174,13 +174,13 @@
         await harness.start()
         assert harness.node is not None
         context = harness.node.context
-        assert context.table is not None
-        route = context.table.find_route("site.example", "/safe/")
+        assert context.route_table is not None
+        route = context.route_table.find_route("site.example", "/safe/")
         assert route is not None
         request = a_request(context.now())
         client = ClientConnection(context, _no_handler, refuse, set())
         client.connection_lost(None)
-        await Exchange(context, context.table, request, route, None, client).run()
+        await Exchange(context, context.route_table, request, route, None, client).run()
         assert not server.received
 
     run_with_gateway(scenario)
@@ -219,13 +219,13 @@
         assert harness.node is not None
         context = harness.node.context
         instance = context.instances.get("app-1")
-        assert instance is not None and context.table is not None
-        route = context.table.find_route("site.example", "/safe/")
+        assert instance is not None and context.route_table is not None
+        route = context.route_table.find_route("site.example", "/safe/")
         assert route is not None
         client = ClientConnection(context, _no_handler, refuse, set())
         client.connection_lost(None)
         request = a_request(context.now())
-        await Exchange(context, context.table, request, route, None, client).run()
+        await Exchange(context, context.route_table, request, route, None, client).run()
         assert not instance.health.is_ejected(context.now())
 
     run_with_gateway(scenario)
--- a/tests/gateway/servers/test_resting_servers.py
+++ b/tests/gateway/servers/test_resting_servers.py
@@ -108,8 +108,8 @@
 def _candidates(fleet: SignallingFleet, service_name: str, later: float) -> set[str]:
     """Servers that may get a request some seconds from now."""
     context = fleet.nodes[0].context
-    assert context.table is not None
-    service = context.table.service(service_name)
+    assert context.route_table is not None
+    service = context.route_table.service(service_name)
     assert service is not None
     found = context.selector.candidates.of_service(service, "", (), context.now() + later)
     return {instance.name for instance in found}
--- a/tests/gateway/store/test_announced_changes.py
+++ b/tests/gateway/store/test_announced_changes.py
@@ -190,7 +190,9 @@
         got = await client.read_answer()
         assert got is not None and got.status == 200, "what isn't concerned goes on"
         released.set()
-        await harness.until(lambda: context.table is not None and context.table.version == 2)
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 2
+        )
         assert not context.lag.is_behind
         client.send("/safe/", "request-11", key="key-3")
         got = await client.read_answer()
@@ -222,7 +224,9 @@
         verdict = (context.now() + APPLY_SECONDS, "site.example", "/safe/", "key-1")
         assert context.lag.judge(*verdict) is LagVerdict.STALE
         released.set()
-        await harness.until(lambda: context.table is not None and context.table.version == 2)
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 2
+        )
         assert context.lag.judge(*verdict) is LagVerdict.AS_BEFORE
         client.close()
 
@@ -240,7 +244,9 @@
         harness.store.put("config", "main", _larger(2, {"tenant-1": ["key-1"]}))
         await harness.until(lambda: context.lag.is_behind)
         reader.close()
-        await harness.until(lambda: context.table is not None and context.table.version == 2)
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 2
+        )
         assert context.reads_store and not context.lag.is_behind
 
     run_with_gateway(scenario)
--- a/tests/gateway/store/test_entries_of_other_writers.py
+++ b/tests/gateway/store/test_entries_of_other_writers.py
@@ -19,7 +19,7 @@
 from gateway_standin import serve_whole
 from milletcourse.gateway.servers.call_client import Reply
 from milletcourse.gateway.store.directory import decode_entry
-from milletcourse.gateway.store.object_store import UNREADABLE, StoreError
+from milletcourse.gateway.store.object_store import DECODE_ERRORS, StoreError
 from milletcourse.platform.documents import (
     decode_configuration,
     decode_instance,
@@ -86,12 +86,12 @@
     spec = json.dumps(entry).encode()
     try:
         split_address(decode_instance("e-1", spec).address)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         pass
     for decode in (decode_target, decode_configuration):
         try:
             decode(spec)
-        except UNREADABLE:
+        except DECODE_ERRORS:
             pass
     decode_entry(spec)
 
@@ -99,7 +99,7 @@
 @given(st.binary(max_size=60))
 def test_bytes_that_are_no_entry_are_refused_in_the_same_way(spec: bytes) -> None:
     """Also those that are no text."""
-    with pytest.raises(UNREADABLE):
+    with pytest.raises(DECODE_ERRORS):
         decode_instance("e-1", spec)
     assert decode_entry(spec) is None
 
@@ -116,7 +116,7 @@
     assert len(page.objects) + page.unreadable == len(items) + 1
     events = [{"Object": item} for item in items] + [{"Object": good, "Gone": True}]
     changes = dialect.read_changes(Reply(200, json.dumps({"Events": events, "At": 5}).encode(), 0))
-    assert changes.changes[-1].gone
+    assert changes.changes[-1].deleted
     with pytest.raises(StoreError):
         dialect.read_page(Reply(200, b"no page", 0.0))
 
--- a/tests/gateway/store/test_feed_contents_machine.py
+++ b/tests/gateway/store/test_feed_contents_machine.py
@@ -16,7 +16,7 @@
 from milletcourse.exchange.messages.store_place import StorePlace
 from milletcourse.exchange.reading.pending_contents import FedUpdate, PendingContents
 from milletcourse.gateway.store import change_log, kind_mirror
-from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
+from milletcourse.gateway.store.kind_mirror import KindMirror, NoOpEventHandler
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
 
 NAMES = ("main", "other")
@@ -30,15 +30,15 @@
     """What `FeedClient` does, one step at a time."""
 
     def __init__(self) -> None:
-        self.mirror = KindMirror("kind", IgnoringSink())
+        self.mirror = KindMirror("kind", NoOpEventHandler())
         self.pending = PendingContents()
         self.reader = 0
 
     def ask(self, reader: KindMirror) -> None:
-        place = self.pending.position("kind", self.mirror.place)
-        fed = reader.since(place, as_patches=True)
+        position = self.pending.position("kind", self.mirror.position)
+        fed = reader.since(position, as_patches=True)
         if fed is not None:
-            self.take(self.pending.take(fed, place))
+            self.take(self.pending.take(fed, position))
 
     def fetch(self, reader: KindMirror) -> None:
         question = self.pending.missing("kind")
@@ -53,7 +53,7 @@
     def take(self, ready: list[FedUpdate]) -> None:
         for update in ready:
             try:
-                if not self.mirror.on_fed(update, 0.0):
+                if not self.mirror.apply_update(update, 0.0):
                     self.pending.drop("kind")
                     return
             except PatchError:
@@ -81,27 +81,27 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.place = StorePlace(1, 1)
+        self.position = StorePlace(1, 1)
         self.objects: dict[str, StoredObject] = {}
-        self.history: dict[StorePlace, dict[str, bytes]] = {self.place: {}}
+        self.history: dict[StorePlace, dict[str, bytes]] = {self.position: {}}
         self.events: list[tuple[StorePlace, ObjectChange]] = []
-        self.readers = [KindMirror("kind", IgnoringSink()) for _ in range(READERS)]
+        self.readers = [KindMirror("kind", NoOpEventHandler()) for _ in range(READERS)]
         for reader in self.readers:
-            reader.on_list([], self.place, 0.0)
+            reader.on_list([], self.position, 0.0)
         self.followers = [_Follower() for _ in range(FOLLOWERS)]
 
     def _commit(self, change: ObjectChange) -> None:
-        self.events.append((self.place, change))
-        self.history[self.place] = {name: item.spec for name, item in self.objects.items()}
+        self.events.append((self.position, change))
+        self.history[self.position] = {name: item.spec for name, item in self.objects.items()}
 
     @rule(name=st.sampled_from(NAMES), draw=st.integers(0, 10**6), is_told=st.booleans())
     def change(self, name: str, draw: int, is_told: bool) -> None:
         """An object gets another content; followers may hear of it at once."""
-        self.place = StorePlace(self.place.era, self.place.revision + 1)
+        self.position = StorePlace(self.position.era, self.position.revision + 1)
         known = self.objects.get(name)
-        stored = StoredObject(name, self.place, _content(draw, known.spec if known else None))
+        stored = StoredObject(name, self.position, _content(draw, known.spec if known else None))
         self.objects[name] = stored
-        self._commit(ObjectChange(stored, gone=False))
+        self._commit(ObjectChange(stored, deleted=False))
         if is_told:
             for reader in self.readers:
                 self._watch(reader)
@@ -112,8 +112,8 @@
     def remove(self, name: str) -> None:
         """An object goes."""
         if name in self.objects:
-            self.place = StorePlace(self.place.era, self.place.revision + 1)
-            self._commit(ObjectChange(self.objects.pop(name), gone=True))
+            self.position = StorePlace(self.position.era, self.position.revision + 1)
+            self._commit(ObjectChange(self.objects.pop(name), deleted=True))
 
     @rule(number=st.integers(0, READERS - 1))
     def watch(self, number: int) -> None:
@@ -124,17 +124,17 @@
     def follower_reads_the_store(self, number: int) -> None:
         """While it has no reader."""
         mirror = self.followers[number].mirror
-        if mirror.place is not None:
+        if mirror.position is not None:
             self._watch(mirror)
 
     def _watch(self, mirror: KindMirror) -> None:
-        known = mirror.place
+        known = mirror.position
         assert known is not None
-        if known.era != self.place.era:
+        if known.era != self.position.era:
             self._list(mirror)
             return
-        news = tuple(change for place, change in self.events if place > known)
-        mirror.on_changes(ObjectChanges(news, self.place), 0.0)
+        news = tuple(change for position, change in self.events if position > known)
+        mirror.on_changes(ObjectChanges(news, self.position), 0.0)
 
     @rule(number=st.integers(0, READERS - 1))
     def list(self, number: int) -> None:
@@ -142,19 +142,19 @@
         self._list(self.readers[number])
 
     def _list(self, mirror: KindMirror) -> None:
-        mirror.on_list(list_of(self.objects), self.place, 0.0)
+        mirror.on_list(list_of(self.objects), self.position, 0.0)
 
     @rule(draw=st.integers(1, 5))
     def come_back(self, draw: int) -> None:
         """The store comes back from an older copy, and a change is written again."""
-        places = [place for place in self.history if place.era == self.place.era]
-        kept = places[-min(draw, len(places))]
+        positions = [position for position in self.history if position.era == self.position.era]
+        kept = positions[-min(draw, len(positions))]
         self.objects = {
             name: StoredObject(name, kept, spec) for name, spec in self.history[kept].items()
         }
-        self.place = StorePlace(self.place.era + 1, kept.revision)
+        self.position = StorePlace(self.position.era + 1, kept.revision)
         self.events.clear()
-        self.history[self.place] = dict(self.history[kept])
+        self.history[self.position] = dict(self.history[kept])
 
     @rule(number=st.integers(0, FOLLOWERS - 1))
     def ask(self, number: int) -> None:
@@ -179,8 +179,8 @@
     def followers_know_states_of_the_store(self) -> None:
         """What a mirror knows is what the store held at its place."""
         for mirror in (*self.readers, *(follower.mirror for follower in self.followers)):
-            if mirror.place is not None:
-                assert mirror.specs() == self.history[mirror.place]
+            if mirror.position is not None:
+                assert mirror.specs() == self.history[mirror.position]
 
     def teardown(self) -> None:
         """In the end all know what the store holds."""
@@ -202,7 +202,7 @@
 
 @pytest.fixture(autouse=True)
 def _most_contents_are_announced(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(kind_mirror, "INLINE_BYTES", 100)
+    monkeypatch.setattr(kind_mirror, "MAX_INLINE_PATCH_BYTES", 100)
 
 
 RUNS = settings(
@@ -233,7 +233,11 @@
 
 @contextmanager
 def _announcements_get_lost_and_nothing_is_checked() -> Iterator[None]:
-    apply, take, on_fed = kind_mirror.apply_patch, PendingContents.take, KindMirror.on_fed
+    apply, take, apply_update = (
+        kind_mirror.apply_patch,
+        PendingContents.take,
+        KindMirror.apply_update,
+    )
 
     def apply_any(patch: ContentPatch, base: bytes | None) -> bytes:
         try:
@@ -248,34 +252,34 @@
         return take(pending, fed, since)
 
     def on_any(mirror: KindMirror, update: FedUpdate, sent_at: float) -> bool:
-        return on_fed(mirror, FedUpdate(mirror.place, update.fed), sent_at)
+        return apply_update(mirror, FedUpdate(mirror.position, update.fed), sent_at)
 
     kind_mirror.apply_patch = apply_any
-    KindMirror.on_fed = on_any  # type: ignore[method-assign]
+    KindMirror.apply_update = on_any  # type: ignore[method-assign]
     PendingContents.take = take_latest  # type: ignore[method-assign]
     try:
         yield
     finally:
         kind_mirror.apply_patch = apply
-        KindMirror.on_fed = on_fed  # type: ignore[method-assign]
+        KindMirror.apply_update = apply_update  # type: ignore[method-assign]
         PendingContents.take = take  # type: ignore[method-assign]
 
 
 @contextmanager
 def _two_lists_count_as_all_changes_between_them() -> Iterator[None]:
-    original = change_log.ChangeLog.note_gap
-    change_log.ChangeLog.note_gap = lambda *_: None  # type: ignore[method-assign]
+    original = change_log.ChangeLog.add_gap
+    change_log.ChangeLog.add_gap = lambda *_: None  # type: ignore[method-assign]
     try:
         yield
     finally:
-        change_log.ChangeLog.note_gap = original  # type: ignore[method-assign]
+        change_log.ChangeLog.add_gap = original  # type: ignore[method-assign]
 
 
 @contextmanager
 def _a_trimmed_log_counts_as_complete() -> Iterator[None]:
     original = change_log.ChangeLog.covers
     changes, change_log.MAX_CHANGES = change_log.MAX_CHANGES, 2
-    change_log.ChangeLog.covers = lambda log, place: place is not None  # type: ignore[assignment,method-assign]
+    change_log.ChangeLog.covers = lambda log, position: position is not None  # type: ignore[assignment,method-assign]
     try:
         yield
     finally:
--- a/tests/gateway/store/test_gateway_store.py
+++ b/tests/gateway/store/test_gateway_store.py
@@ -122,11 +122,15 @@
         context = harness.node.context
         tenants = [{"Name": "tenant-2", "ApiKeys": ["key-2"]}]
         harness.store.put("config", "main", configuration(5, Tenants=tenants))
-        await harness.until(lambda: context.table is not None and context.table.version == 5)
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 5
+        )
         assert (await (await harness.client()).ask("/safe/")).status == 401
         harness.store.put("config", "main", configuration(4))
         harness.store.put("config", "main", configuration(6, Tenants=tenants))
-        await harness.until(lambda: context.table is not None and context.table.version == 6)
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 6
+        )
         assert (await (await harness.client()).ask("/safe/")).status == 401
 
     run_with_gateway(scenario)
--- a/tests/gateway/store/test_large_configurations.py
+++ b/tests/gateway/store/test_large_configurations.py
@@ -78,7 +78,7 @@
 
 def version_of(node: GatewayNode) -> int:
     """Version in force, 0 before the first."""
-    return node.context.table.version if node.context.table is not None else 0
+    return node.context.route_table.version if node.context.route_table is not None else 0
 
 
 def test_followers_keep_a_reader_that_sends_a_large_configuration() -> None:
--- a/tests/gateway/store/test_registration.py
+++ b/tests/gateway/store/test_registration.py
@@ -40,14 +40,14 @@
         return self.entry, 0.0
 
     async def replace(
-        self, kind: str, name: str, spec: bytes, place: StorePlace
+        self, kind: str, name: str, spec: bytes, position: StorePlace
     ) -> tuple[StoredObject, float]:
         """A place of an era that has ended is a conflict, whatever is there."""
-        if place.era < self.era:
+        if position.era < self.era:
             raise StoreError(StoreProblem.CONFLICT)
         if self.entry is None:
             raise StoreError(StoreProblem.NOT_FOUND)
-        self.entry = StoredObject(name, StorePlace(self.era, place.revision + 1), spec)
+        self.entry = StoredObject(name, StorePlace(self.era, position.revision + 1), spec)
         return self.entry, 0.0
 
     async def get(self, kind: str, name: str) -> tuple[StoredObject, float]:
@@ -99,7 +99,7 @@
             # Nothing but the list tells of it then.
             listed[0] = StorePlace(1, 1)
         wanted[0] = wanted_after
-        registration.on_news()
+        registration.on_change()
         await _until(lambda: store.entry is not None and bool(written_again))
         task.cancel()
 
--- a/tests/gateway/store/test_store_eras.py
+++ b/tests/gateway/store/test_store_eras.py
@@ -14,8 +14,8 @@
 from milletcourse.exchange.reading.pending_contents import FedUpdate
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.gateway.store.change_log import MAX_GAPS
-from milletcourse.gateway.store.directory import KEPT_SECONDS, GatewayDirectory
-from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
+from milletcourse.gateway.store.directory import MISSING_ENTRY_RETENTION_SECONDS, GatewayDirectory
+from milletcourse.gateway.store.kind_mirror import KindMirror, NoOpEventHandler
 from milletcourse.gateway.store.object_store import (
     ObjectChange,
     ObjectChanges,
@@ -35,7 +35,7 @@
 CONFLICT = b'{"Metadata":{"Name":"a","Revision":4},"Spec":{}}'
 
 
-class _Sink(IgnoringSink):
+class _Sink(NoOpEventHandler):
     """Keeps what it was told."""
 
     def __init__(self) -> None:
@@ -47,33 +47,33 @@
 
     def on_changes(self, changes: tuple[ObjectChange, ...], sent_at: float) -> None:
         for change in changes:
-            if change.gone:
+            if change.deleted:
                 self.specs.pop(change.stored.name, None)
             else:
                 self.specs[change.stored.name] = change.stored.spec
 
-    def on_era(self, place: StorePlace, before: StorePlace | None) -> None:
+    def on_new_era(self, position: StorePlace, before: StorePlace | None) -> None:
         self.eras += before is not None
 
 
-def _stored(name: str, place: StorePlace, spec: bytes = b"{}") -> StoredObject:
-    return StoredObject(name, place, spec)
+def _stored(name: str, position: StorePlace, spec: bytes = b"{}") -> StoredObject:
+    return StoredObject(name, position, spec)
 
 
 def _pair() -> tuple[KindMirror, _Sink, KindMirror, _Sink]:
     """A reader and a follower that both know a and b at (1, 10)."""
     reader_sink, follower_sink = _Sink(), _Sink()
     reader, follower = KindMirror("kind", reader_sink), KindMirror("kind", follower_sink)
-    place = StorePlace(1, 10)
-    reader.on_list([_stored("a", place), _stored("b", place)], place, 0.0)
+    position = StorePlace(1, 10)
+    reader.on_list([_stored("a", position), _stored("b", position)], position, 0.0)
     _feed(reader, follower)
     return reader, reader_sink, follower, follower_sink
 
 
 def _feed(reader: KindMirror, follower: KindMirror) -> FedKind | None:
-    fed = reader.since(follower.place)
+    fed = reader.since(follower.position)
     if fed is not None:
-        follower.on_fed(FedUpdate(follower.place, fed), 0.0)
+        follower.apply_update(FedUpdate(follower.position, fed), 0.0)
     return fed
 
 
@@ -82,13 +82,13 @@
     reader, reader_sink, follower, sink = _pair()
     back = StorePlace(2, 4)
     reader.on_list([_stored("a", back), _stored("c", back)], back, 0.0)
-    assert reader.has_news(follower.place)
+    assert reader.has_changes(follower.position)
     fed = _feed(reader, follower)
     assert fed is not None and not fed.whole
     assert {item.name for item in fed.objects} == {"b", "c"}
     assert sink.specs == reader_sink.specs == {"a": b"{}", "c": b"{}"}
-    assert follower.place == back and sink.eras == reader_sink.eras == 1
-    change = ObjectChange(_stored("a", StorePlace(2, 5), b"[]"), gone=False)
+    assert follower.position == back and sink.eras == reader_sink.eras == 1
+    change = ObjectChange(_stored("a", StorePlace(2, 5), b"[]"), deleted=False)
     reader.on_changes(ObjectChanges((change,), StorePlace(2, 5)), 0.0)
     _feed(reader, follower)
     assert sink.specs["a"] == b"[]"
@@ -97,7 +97,7 @@
 def test_a_follower_that_knew_more_of_the_former_era_is_told_all() -> None:
     """Its reader can't tell the differences to a state that it never knew."""
     reader, _, follower, sink = _pair()
-    lost = ObjectChange(_stored("lost", StorePlace(1, 11)), gone=False)
+    lost = ObjectChange(_stored("lost", StorePlace(1, 11)), deleted=False)
     follower.on_changes(ObjectChanges((lost,), StorePlace(1, 11)), 0.0)
     back = StorePlace(2, 4)
     reader.on_list([_stored("a", back), _stored("b", back)], back, 0.0)
@@ -115,7 +115,7 @@
     fed = _feed(reader, follower)
     assert fed is not None and not fed.whole
     assert set(sink.specs) == {"a", "of-3"} and sink.eras == 1
-    assert follower.place == StorePlace(3, 4)
+    assert follower.position == StorePlace(3, 4)
 
 
 def test_a_follower_that_read_the_new_era_before_its_reader_is_told_all() -> None:
@@ -134,7 +134,7 @@
 def test_a_follower_within_a_gap_of_its_reader_is_told_all() -> None:
     """A change and its reverse, which the reader's lists don't show."""
     reader, _, follower, sink = _pair()
-    changed = ObjectChange(_stored("a", StorePlace(1, 11), b"[]"), gone=False)
+    changed = ObjectChange(_stored("a", StorePlace(1, 11), b"[]"), deleted=False)
     follower.on_changes(ObjectChanges((changed,), StorePlace(1, 11)), 0.0)
     later = StorePlace(1, 15)
     reader.on_list([_stored("a", later), _stored("b", later)], later, 0.0)
@@ -146,8 +146,8 @@
     """Followers that are further behind are told all."""
     reader, _, follower, sink = _pair()
     for revision in range(11, 12 + MAX_GAPS + 1):
-        place = StorePlace(1, revision)
-        reader.on_list([_stored("a", place), _stored(f"b-{revision}", place)], place, 0.0)
+        position = StorePlace(1, revision)
+        reader.on_list([_stored("a", position), _stored(f"b-{revision}", position)], position, 0.0)
     fed = _feed(reader, follower)
     assert fed is not None and fed.whole
     assert set(sink.specs) == {"a", f"b-{revision}"}
@@ -156,11 +156,11 @@
 def test_changes_that_are_known_by_now_bring_nothing_back() -> None:
     """Both a reader and the store tell a gateway that stands in for its reader."""
     _, _, follower, sink = _pair()
-    newer = ObjectChange(_stored("a", StorePlace(1, 12), b"2"), gone=False)
+    newer = ObjectChange(_stored("a", StorePlace(1, 12), b"2"), deleted=False)
     follower.on_changes(ObjectChanges((newer,), StorePlace(1, 12)), 0.0)
-    older = ObjectChange(_stored("a", StorePlace(1, 11), b"1"), gone=False)
+    older = ObjectChange(_stored("a", StorePlace(1, 11), b"1"), deleted=False)
     follower.on_changes(ObjectChanges((older,), StorePlace(1, 11)), 0.0)
-    assert sink.specs["a"] == b"2" and follower.place == StorePlace(1, 12)
+    assert sink.specs["a"] == b"2" and follower.position == StorePlace(1, 12)
 
 
 def _head(status: int, fields: list[HeaderField]) -> AnswerHead:
@@ -240,8 +240,8 @@
     """Told once, however many come."""
     client, _, lines = _client((200, PAGE, b"4"), (200, PAGE, b"3"), (200, PAGE, b"3"))
     asyncio.run(client.list_all("k"))
-    assert _problem(client.list_all("k")) is StoreProblem.HISTORY_GONE
-    assert _problem(client.list_all("k")) is StoreProblem.HISTORY_GONE
+    assert _problem(client.list_all("k")) is StoreProblem.HISTORY_LOST
+    assert _problem(client.list_all("k")) is StoreProblem.HISTORY_LOST
     assert client.era == 4 and lines.lines == ["store-era", "store-answer-outdated"]
 
 
@@ -249,30 +249,30 @@
 def test_an_answer_whose_era_is_missing_or_unreadable_gives_nothing(era: bytes | None) -> None:
     """It is told once, and the call counts as failed."""
     client, _, lines = _client((200, CHANGES, b"4"), (200, CHANGES, era), (200, CHANGES, era))
-    place = StorePlace(4, 5)
-    asyncio.run(client.watch("k", place, 0.0))
-    assert _problem(client.watch("k", place, 0.0)) is StoreProblem.UNAVAILABLE
-    assert _problem(client.watch("k", place, 0.0)) is StoreProblem.UNAVAILABLE
+    position = StorePlace(4, 5)
+    asyncio.run(client.watch("k", position, 0.0))
+    assert _problem(client.watch("k", position, 0.0)) is StoreProblem.UNAVAILABLE
+    assert _problem(client.watch("k", position, 0.0)) is StoreProblem.UNAVAILABLE
     assert client.era == 4 and lines.lines == ["store-era", "store-era-unreadable"]
 
 
 def test_pages_of_two_eras_make_no_list() -> None:
     """The first one belongs to a history that the second one's store has lost."""
     client, _, _ = _client((200, FIRST_PAGE, b"1"), (200, PAGE, b"2"))
-    assert _problem(client.list_all("k")) is StoreProblem.HISTORY_GONE
+    assert _problem(client.list_all("k")) is StoreProblem.HISTORY_LOST
 
 
 @pytest.mark.parametrize("status", [409, 410, 429, 503])
 def test_a_refusal_tells_the_era_too(status: int) -> None:
     """And ends the former one."""
     client, calls, _ = _client((200, CHANGES, b"1"), (status, b"{}", b"2"))
-    place = StorePlace(1, 5)
-    asyncio.run(client.watch("k", place, 0.0))
+    position = StorePlace(1, 5)
+    asyncio.run(client.watch("k", position, 0.0))
     _problem(client.create("k", "a", b"{}"))
     assert client.era == 2
     asked = len(calls.targets)
-    assert _problem(client.watch("k", place, 0.0)) is StoreProblem.HISTORY_GONE
-    assert _problem(client.replace("k", "a", b"{}", place)) is StoreProblem.CONFLICT
+    assert _problem(client.watch("k", position, 0.0)) is StoreProblem.HISTORY_LOST
+    assert _problem(client.replace("k", "a", b"{}", position)) is StoreProblem.CONFLICT
     assert len(calls.targets) == asked, "nothing is asked or written on what is known of an old era"
 
 
@@ -282,7 +282,7 @@
     with pytest.raises(StoreError) as caught:
         asyncio.run(client.replace("k", "a", b"{}", StorePlace(2, 3)))
     assert caught.value.current is not None
-    assert caught.value.current.place == StorePlace(2, 4)
+    assert caught.value.current.position == StorePlace(2, 4)
 
 
 def test_watches_that_wait_are_given_up_when_another_call_shows_a_new_era() -> None:
@@ -310,9 +310,9 @@
     return {"Service": "app", "Address": "127.0.0.1:9", "Zone": "zone-1", "State": "ready"}
 
 
-def _gateway(name: str, place: StorePlace) -> StoredObject:
+def _gateway(name: str, position: StorePlace) -> StoredObject:
     entry = b'{"address":"127.0.0.1:1","zone":"zone-1","feed":"127.0.0.1:2"}'
-    return StoredObject(name, place, entry)
+    return StoredObject(name, position, entry)
 
 
 def test_gateways_that_a_copy_lacks_are_kept_until_they_had_time_to_write_again() -> None:
@@ -321,16 +321,16 @@
     directory = GatewayDirectory("front-1", EventLog("front-1", None), now=lambda: clock[0])
     told: list[set[str]] = []
     directory.add_listener(lambda others: told.append({other.name for other in others}))
-    place = StorePlace(1, 9)
-    directory.on_list([_gateway(f"front-{number}", place) for number in (1, 2, 3)], 0.0)
-    assert told[-1] == {"front-2", "front-3"} and directory.own_place == place
-    directory.on_era(StorePlace(2, 3), place)
+    position = StorePlace(1, 9)
+    directory.on_list([_gateway(f"front-{number}", position) for number in (1, 2, 3)], 0.0)
+    assert told[-1] == {"front-2", "front-3"} and directory.own_position == position
+    directory.on_new_era(StorePlace(2, 3), position)
     directory.on_list([], 0.0)
-    assert told[-1] == {"front-2", "front-3"} and directory.own_place is None
-    back = ObjectChange(_gateway("front-2", StorePlace(2, 4)), gone=False)
+    assert told[-1] == {"front-2", "front-3"} and directory.own_position is None
+    back = ObjectChange(_gateway("front-2", StorePlace(2, 4)), deleted=False)
     directory.on_changes((back,), 0.0)
-    clock[0] = KEPT_SECONDS
+    clock[0] = MISSING_ENTRY_RETENTION_SECONDS
     directory.expire_missing(clock[0])
     assert told[-1] == {"front-2"}
-    directory.on_changes((ObjectChange(back.stored, gone=True),), 0.0)
+    directory.on_changes((ObjectChange(back.stored, deleted=True),), 0.0)
     assert told[-1] == set(), "without a return an entry that goes is gone"
--- a/tests/gateway/store/test_store_feed.py
+++ b/tests/gateway/store/test_store_feed.py
@@ -18,7 +18,7 @@
     ReadingPlan,
 )
 from milletcourse.gateway.node import GatewayNode
-from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
+from milletcourse.gateway.store.kind_mirror import KindMirror, NoOpEventHandler
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
 from soak.proxy import FaultProxy
 
@@ -95,7 +95,7 @@
     assert plan.choose(0.0) is None and plan.is_reader
 
 
-class _Collector(IgnoringSink):
+class _Collector(NoOpEventHandler):
     """A sink that keeps the names it knows."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
 
     def on_changes(self, changes: tuple[ObjectChange, ...], sent_at: float) -> None:
         for change in changes:
-            if change.gone:
+            if change.deleted:
                 self.names.discard(change.stored.name)
             else:
                 self.names.add(change.stored.name)
@@ -125,30 +125,30 @@
     reader = KindMirror("kind", _Collector())
     sink = _Collector()
     follower = KindMirror("kind", sink)
-    assert reader.since(None) is None and not reader.has_news(None)
+    assert reader.since(None) is None and not reader.has_changes(None)
     reader.on_list([_stored("a", 1), _stored("b", 2)], _at(10), 0.0)
 
     def feed() -> None:
-        fed = reader.since(follower.place)
+        fed = reader.since(follower.position)
         if fed is not None:
-            follower.on_fed(FedUpdate(follower.place, fed), 0.0)
+            follower.apply_update(FedUpdate(follower.position, fed), 0.0)
 
     feed()
-    assert sink.names == {"a", "b"} and follower.place == _at(10)
-    assert not reader.has_news(_at(10))
+    assert sink.names == {"a", "b"} and follower.position == _at(10)
+    assert not reader.has_changes(_at(10))
     reader.on_changes(ObjectChanges((ObjectChange(_stored("c", 11), False),), _at(12)), 0.0)
     feed()
-    assert sink.names == {"a", "b", "c"} and follower.place == _at(12)
+    assert sink.names == {"a", "b", "c"} and follower.position == _at(12)
     reader.on_list([_stored("c", 11), _stored("d", 14)], _at(15), 0.0)
-    assert reader.has_news(_at(12))
+    assert reader.has_changes(_at(12))
     feed()
-    assert sink.names == {"c", "d"} and follower.place == _at(15)
+    assert sink.names == {"c", "d"} and follower.position == _at(15)
     follower.on_list([_stored("a", 1)], _at(9), 0.0)
     assert sink.names == {"c", "d"}, "an older list is void"
     reader.on_changes(ObjectChanges((), _at(20)), 0.0)
-    assert not reader.has_news(_at(15))
+    assert not reader.has_changes(_at(15))
     feed()
-    assert follower.place == _at(20), "the position stays near, so that the store still knows it"
+    assert follower.position == _at(20), "the position stays near, so that the store still knows it"
 
 
 async def _start_pair(
@@ -197,11 +197,13 @@
         harness.store.put("config", "main", configuration(2))
         await harness.add_server("app-2", "app", serve_whole)
         context = follower.context
-        await harness.until(lambda: context.table is not None and context.table.version == 2)
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 2
+        )
         await harness.until(lambda: context.instances.get("app-2") is not None)
         # One watch of each kind was waiting when the calls were cleared; only the reader's go on.
         assert _calls_for(harness, "config") <= 2
-        assert context.freshness.age(context.now()) < context.reading.calm_age
+        assert context.freshness.age(context.now()) < context.replication_times.calm_age
 
     run_with_gateway(scenario)
 
@@ -256,7 +258,9 @@
         reader.close()
         harness.store.put("config", "main", configuration(2))
         context = follower.context
-        await harness.until(lambda: context.table is not None and context.table.version == 2)
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 2
+        )
         assert context.reads_store
 
     run_with_gateway(scenario)
@@ -273,7 +277,9 @@
             proxy.cut()
             harness.store.put("config", "main", configuration(2))
             context = follower.context
-            await harness.until(lambda: context.table is not None and context.table.version == 2)
+            await harness.until(
+                lambda: context.route_table is not None and context.route_table.version == 2
+            )
             assert context.may_use_keys(None) and context.is_ready()
         finally:
             await proxy.close()
@@ -290,8 +296,8 @@
         await harness.until(far.context.is_ready)
         context = follower.context
         await harness.until(lambda: context.gateways == 3)
-        times = reader.context.reading
-        reader.context.reading = msgspec.structs.replace(times, max_proof_age=0.0)
+        times = reader.context.replication_times
+        reader.context.replication_times = msgspec.structs.replace(times, max_proof_age=0.0)
         reads_store = False
         # It refuses, and is asked again several times.
         later = context.now() + 4 * MAX_STARTING_SECONDS
@@ -300,8 +306,10 @@
             await asyncio.sleep(0.005)
         assert not reads_store
         harness.store.put("config", "main", configuration(2))
-        await harness.until(lambda: context.table is not None and context.table.version == 2)
-        reader.context.reading = times
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 2
+        )
+        reader.context.replication_times = times
         await harness.until(lambda: context.followed_reader == reader.context.settings.name)
 
     run_with_gateway(scenario)
@@ -363,7 +371,9 @@
             )
             assert context.is_ready()
             harness.store.put("config", "main", configuration(2))
-            await harness.until(lambda: context.table is not None and context.table.version == 2)
+            await harness.until(
+                lambda: context.route_table is not None and context.route_table.version == 2
+            )
             proxy.heal()
             harness.store.calls.clear()
             await harness.until(lambda: _calls_for(harness, "config") >= 6)
--- a/tests/gateway/store/test_store_restores.py
+++ b/tests/gateway/store/test_store_restores.py
@@ -59,7 +59,7 @@
 
 
 def _has_version(node: GatewayNode, version: int) -> bool:
-    table = node.context.table
+    table = node.context.route_table
     return table is not None and table.version == version
 
 
@@ -287,7 +287,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All gateways ended within a second, and the next ones refused keys for five."""
-    monkeypatch.setattr(registration, "LOOK_SECONDS", 60.0)
+    monkeypatch.setattr(registration, "CHECK_INTERVAL_SECONDS", 60.0)
 
     async def scenario(harness: Harness) -> None:
         await _revoke_and_lose(harness)
@@ -338,16 +338,16 @@
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
-        gone = await fleet.most_asked()
+        departed = await fleet.most_asked()
         copy = harness.store.copy()
-        harness.store.remove("servers", gone)
+        harness.store.remove("servers", departed)
         await fleet.load(HEARD_SECONDS)
         harness.store.come_back(copy, writes_again=False)
         since = asyncio.get_running_loop().time()
         await fleet.load(JUDGED_SECONDS)
-        harness.store.remove("servers", gone)
+        harness.store.remove("servers", departed)
         await fleet.load(HEARD_SECONDS)
-        assert fleet.arrivals[gone].count_since(since) == 0
+        assert fleet.arrivals[departed].count_since(since) == 0
 
     run_with_gateway(scenario)
 
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -100,7 +100,9 @@
         harness.store.put("config", "main", {**_patient_configuration(), "Version": 2})
         context = harness.node.context if harness.node is not None else None
         assert context is not None
-        await harness.until(lambda: context.table is not None and context.table.version == 2)
+        await harness.until(
+            lambda: context.route_table is not None and context.route_table.version == 2
+        )
         client = await harness.client()
         client.send("/unsafe/", "slow", Deadline_Ms=str(int(LONG_SECONDS * 1000)))
         await begun.wait()
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -139,7 +139,7 @@
 
 def leave_entries_lost() -> None:
     """What the store lost of a gateway isn't written again."""
-    Registration._take_listed = lambda _: None  # type: ignore[method-assign]
+    Registration._compare_with_list = lambda _: None  # type: ignore[method-assign]
 
 
 def serve_by_an_old_configuration() -> None:
