--- a/src/milletcourse/gateway/state/__init__.py
+++ b/src/milletcourse/gateway/state/__init__.py
@@ -1,4 +1,4 @@
-"""What all parts of one gateway share, and its settings.
+"""State and services that all parts of one gateway share, and its settings.
 
-It may import servers and telling.
+This package may import servers and telling.
 """
--- a/src/milletcourse/gateway/state/cache_store_availability.py
+++ b/src/milletcourse/gateway/state/cache_store_availability.py
@@ -1,4 +1,4 @@
-"""Which stores of kept prompt state answer, as this gateway and others found."""
+"""Which prompt-cache stores answer, as found by this gateway and the others."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 
 
 class CacheStoreAvailability:
-    """Keeps the stores that don't answer out of use.
+    """Takes stores that don't answer out of use.
 
     Attributes:
-        lost: Addresses of the stores that don't answer.
-        on_found: Called with the address of a store, and whether this gateway found that it
-            answers, when others should know.
+        unreachable: Addresses of the stores that don't answer.
+        on_observed: Called with the address of a store, and whether it answered this gateway, when
+            the other gateways should know.
     """
 
     def __init__(self, stores: CacheStorePlan, log: EventLog) -> None:
-        """All stores are taken to answer.
+        """Create a state in which all stores are assumed to answer.
 
         Args:
-            stores: What is kept of the stores; a lost one may have lost what it had.
-            log: Where changes are told to operators.
+            stores: Known contents of the stores; those of an unreachable store are dropped, since it
+                may have lost them.
+            log: Gets a line for each change.
         """
         self.unreachable: set[str] = set()
         self.on_observed: Callable[[str, bool], None] | None = None
@@ -30,16 +31,16 @@
         self._log = log
 
     def record_probe(self, address: str, reachable: bool) -> None:
-        """This gateway asked a store for a sign of life.
+        """Record the result of a probe by this gateway.
 
-        That it gave none is told each time, since gateways that started meanwhile don't know it.
+        A failed probe is announced each time, since gateways may have started in between.
         """
         is_new = self.set_reachable(address, reachable)
         if self.on_observed is not None and (is_new or not reachable):
             self.on_observed(address, reachable)
 
     def set_reachable(self, address: str, reachable: bool) -> bool:
-        """Take a store out of use or back into it; True when that is news."""
+        """Take a store out of use or back into use; True when that is a change."""
         was_reachable = address not in self.unreachable
         if was_reachable == reachable:
             return False
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one gateway share."""
+"""State and services that all parts of one gateway share."""
 
 from __future__ import annotations
 
@@ -50,39 +50,42 @@
 FRESHNESS_MARGIN_SECONDS = 0.4
 """Keys are refused this long before the bound on revocation."""
 RETRY_BUDGET_SHARE = 0.8
-"""Share of the allowed retries that the gateways use; the rest covers uneven windows."""
+"""Share of the allowed retries that the gateways use; the remainder covers windows that differ
+between gateways."""
 ASSUMED_GATEWAYS = 10
-"""Divides what all gateways share until the list of them is known."""
+"""Number of gateways that share the budgets and limits, assumed until the list is known."""
 MAX_SHOWN_AGE_SECONDS = 999.0
-"""Shown for a proof that there never was."""
+"""Age shown when there has never been a proof."""
 RETRY_AFTER_SECONDS = 0.2
 RETRY_AFTER_SPREAD_SECONDS = 0.4
-"""Returns are spread, so that refused clients don't come back together."""
+"""Random addition, so that refused clients don't all retry at the same time."""
 
 
 class GatewayContext:
     """State and services of one gateway.
 
     Attributes:
-        mechanisms: Those that are switched on.
-        planned_stop: The planned stop that is under way, None before.
+        mechanisms: Mechanisms that are switched on.
+        planned_stop: The planned stop in progress, None before.
         replication_times: How often the state of the object store is asked for.
-        descriptors: Who may have how many of this process' descriptors.
-        short_of_room_until: Clients waited to be accepted a moment before this time.
+        descriptors: Partition of the file descriptors of this process.
+        short_of_descriptors_until: Until this monotonic time client connections count as waiting to
+            be accepted for lack of descriptors.
         responsive_clock: Time by which the silence of others is judged.
-        lag: Which requests the configuration in force may decide while a newer one is on its way.
-        effects: What the latest configurations changed.
-        confirmed_era: Whether the configuration in the store may be believed after a return.
+        lag: Which requests may be decided by the configuration in force while a newer one is being
+            received.
+        effects: Effects of the latest configuration changes.
+        confirmed_era: Whether the configuration in the store is confirmed after a restore.
         lost_configuration: Which version the store holds, and which later one it has lost.
-        reads_store: This gateway reads the store itself, so that it may vouch for what it knows.
-        followed_reader: Name of the gateway that it follows instead; empty for none.
-        cache_store_reach: Which stores of kept prompt state answer.
-        on_instance_ended: Called when an answer showed that an incarnation has ended.
-        restart_listeners: Called with the incarnation before when a server has started again.
-        wake_listeners: Called when the machine has woken from a suspension.
-        news_listeners: Called when there is news that the other gateways need at once.
-        on_return_news: Called when something is known of a return of the store that gateways need
-            which start after the end of all others.
+        reads_store: This gateway reads the store itself, so that it may serve followers.
+        followed_reader: Name of the gateway that it follows instead; empty when there is none.
+        cache_store_availability: Which prompt-cache stores answer.
+        on_instance_ended: Called when an answer showed that an incarnation has terminated.
+        restart_listeners: Called with the previous incarnation when a server has restarted.
+        wake_listeners: Called when the machine has resumed from suspension.
+        update_listeners: Called when there is an update that the other gateways need at once.
+        on_restore_update: Called when this gateway learns something of a restore of the store that
+            gateways need which start after all others have stopped.
     """
 
     def __init__(
@@ -180,14 +183,14 @@
         self._suspected: set[str] = set()
 
     def now(self) -> float:
-        """Monotonic seconds, those of a suspended machine included."""
+        """Monotonic seconds, including the time while the machine is suspended."""
         return elapsed_seconds()
 
     def handle_suspension(self) -> None:
-        """Notice that the machine was suspended, before anything is served, sent or renewed.
+        """Detect that the machine was suspended, before anything is served, sent or renewed.
 
-        All that ends by time is kept by a clock that counts the sleep, so it has ended already;
-        timers have stood still, and are set anew.
+        Deadlines are kept on a clock that includes the suspension, so they have passed already;
+        timers were stopped, and are set again by the listeners.
         """
         slept = self._sleep_detector.take_sleep()
         if not slept:
@@ -197,7 +200,7 @@
             listener()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Take changed bounds into force; addresses stay as they are until a restart."""
+        """Apply changed bounds; addresses stay as they are until a restart."""
         bounds = settings.bounds
         self.settings = settings
         self.replication_times = self._replication_times_of(settings)
@@ -217,7 +220,7 @@
         return reading_times(self._key_bound(settings), settings.bounds.config_apply)
 
     def own_loads(self) -> list[InstanceLoad]:
-        """This gateway's load on each server that has some, and how it went there lately."""
+        """This gateway's load and recent results on each server that has some."""
         now = self.now()
         loads = []
         for instance in self.instances:
@@ -235,18 +238,18 @@
         return loads
 
     def set_gateways(self, count: int) -> None:
-        """The number of gateways that share the retry budget, this one included."""
+        """Set the number of gateways that share the retry budget, including this one."""
         if count != self.gateways:
             self.gateways = count
             self._budgets.clear()
 
     @property
     def members(self) -> int:
-        """Gateways that share what is bounded for all of them together."""
+        """Number of gateways among which global bounds are divided."""
         return self.gateways or ASSUMED_GATEWAYS
 
     def limits(self) -> EdgeLimits:
-        """Bounds on what clients send; defaults before the first configuration."""
+        """Bounds on client requests; defaults before the first configuration."""
         return self.route_table.limits if self.route_table is not None else EdgeLimits()
 
     @property
@@ -256,17 +259,20 @@
 
     @property
     def refusing(self) -> bool:
-        """Whether a planned stop has come so far that new requests are refused."""
+        """Whether a planned stop has reached the phase that refuses new requests."""
         stop = self.planned_stop
         return stop is not None and stop.phase(self.now()) is not StopPhase.LEAVING
 
     def asks_clients_to_leave(self) -> bool:
-        """Whether answers ask clients to close their connections: others need the room."""
+        """Whether answers ask clients to close their connections.
+
+        They do during a planned stop, and while other clients wait for descriptors.
+        """
         return self.stopping or self.now() < self.short_of_descriptors_until
 
     @property
     def configuration_version(self) -> int:
-        """Version in force, 0 before the first."""
+        """Version in force, 0 before the first one."""
         return self.route_table.version if self.route_table is not None else 0
 
     def _on_era_confirmed(self, era: int, evidence: EraEvidence) -> None:
@@ -274,9 +280,9 @@
         self.on_restore_update()
 
     def on_lost_configuration(self, version: int) -> None:
-        """A version that is in force at another gateway isn't in the store.
+        """Handle a version that is in force at another gateway, but missing in the store.
 
-        Until it, or a later one, is written again, no proof says that a key still holds.
+        Until it or a later one is written again, nothing proves that a key is still valid.
         """
         if not self.lost_configuration.on_told(version):
             return
@@ -285,7 +291,7 @@
             self.record.store.configuration_lost(version, self.configuration_version)
 
     def on_unanswered(self, request: UnansweredRequest) -> None:
-        """A request that was read ends without a whole answer."""
+        """Record a request that was read but ended without a complete answer."""
         self.record.unanswered(request, self.dialect.request_id_of(request.fields), self.stopping)
 
     def is_ready(self) -> bool:
@@ -308,20 +314,20 @@
         return budget
 
     def report_limits(self) -> None:
-        """Say which tenants were refused over their limits since the last call."""
+        """Log the tenants that were refused over their limits since the last call."""
         for state in self.tenant_limits.due_notes(self.now()):
             self.record.limited(state)
 
     def retry_after(self) -> float:
-        """When a refused client may come back."""
+        """Seconds after which a refused client may retry."""
         return RETRY_AFTER_SECONDS + self.random.random() * RETRY_AFTER_SPREAD_SECONDS
 
     def may_use_keys(self, tenant: TenantRecord | None) -> bool:
-        """Whether a request of a tenant may be sent on now; public ones always."""
+        """Whether a request of a tenant may be forwarded now; public ones always may."""
         return tenant is None or self.freshness.allows_keys(self.now())
 
     def note_result(self, instance: Instance, result: AttemptResult) -> None:
-        """A sign of a server's health; says when it is ejected or back."""
+        """Update a server's health by a result, and record when it is ejected or returns."""
         now = self.now()
         was_ejected = instance.health.is_ejected(now)
         instance.health.on_result(result, now)
@@ -332,13 +338,13 @@
             self.record.return_of(instance.name, result)
 
     def note_successor(self, instance: Instance, successor: str) -> None:
-        """Another server answered at the address of one, so that incarnation has ended."""
+        """Retire an incarnation at whose address another one answered."""
         is_new = self.retire_instance(instance.name, successor, instance.record.started_ms)
         if is_new and self.on_instance_ended is not None:
             self.on_instance_ended(instance)
 
     def _connection_quota(self, address: str) -> int:
-        """Connections to a server that this gateway keeps at most."""
+        """Most connections to a server that this gateway may keep."""
         service = (
             self.route_table.service(self.instances.service_at(address))
             if self.route_table
@@ -348,27 +354,27 @@
         return connection_part(takes, self.members, self.settings.name, address)
 
     def _on_draining(self, instance: Instance) -> None:
-        """A server leaves: it closes its connections after their next answer."""
+        """Close connections to a server that is draining, each after its next answer."""
         self.pool.close_to(instance.record.address)
 
     def _on_restarted(self, before: Instance) -> None:
-        """A server has started again under its name: what it had at work ended with it."""
+        """Handle a restart of a server under its name, which aborted all its running requests."""
         self.record.instance_restarted(before.name)
         self.crash_watch.on_instance_ended(before.name)
         for listener in self.restart_listeners:
             listener(before)
 
     def retire_instance(self, name: str, successor: str, started_ms: int) -> bool:
-        """Take an incarnation out of use; True when this wasn't known.
+        """Take a terminated incarnation out of use; True when its end wasn't known yet.
 
         Args:
             name: The server.
-            successor: Who answers in its place, or who says so.
-            started_ms: Start of the incarnation that has ended, 0 when it isn't known.
+            successor: Incarnation that answers in its place, or the source of the report.
+            started_ms: Start of the terminated incarnation in ms, 0 when it isn't known.
         """
         known = self.instances.get(name)
         if known is not None and started_ms and started_ms < known.record.started_ms:
-            # It has started again since.
+            # The server has restarted since.
             return False
         if Mechanism.ENDED_INCARNATIONS not in self.mechanisms or not self.instances.end(name):
             return False
@@ -377,13 +383,16 @@
         return True
 
     def _announce_update(self) -> None:
-        """Let the other gateways know at once."""
+        """Send an update to the other gateways at once."""
         self.loads.on_news()
         for listener in self.update_listeners:
             listener()
 
     def report_suspicions(self) -> None:
-        """Say which servers all gateways together found sick or well since the last call."""
+        """Log the servers that became suspected, or stopped being so, since the last call.
+
+        A server is suspected by the results of all gateways together.
+        """
         now = self.now()
         suspected = {
             instance.name
--- a/src/milletcourse/gateway/state/settings.py
+++ b/src/milletcourse/gateway/state/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway process: what it must know before it has a configuration."""
+"""Settings of a gateway process, which it needs before it has a configuration."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class GatewayBounds(msgspec.Struct, frozen=True):
-    """Time bounds that operators hold a gateway to, in seconds unless named otherwise.
+    """Bounds that operators set for a gateway, times in seconds.
 
     Attributes:
-        revoke: A revoked key is refused everywhere after this time.
-        fail_closed: Refuse keys when it can't be proved that they still hold.
-        config_apply: A configuration is in force after this time.
+        revoke: Time after which a revoked key is refused everywhere.
+        fail_closed: Refuse keys while it can't be proven that they are still valid.
+        config_apply: Time after which a new configuration is in force.
         grace: Time between the stop signal and the kill.
         lease: Duration of a lease.
-        version: A named weight version is the only one that starts work after this time.
-        retry_ratio: Sends past the first of a request, as a share of requests, over all gateways.
-        retry_slack: Sends past the first that are allowed beside the share, over all gateways.
-        budget_window: Window in which both are counted.
-        limit_window: Window in which a tenant's use is held against its limit.
+        version: Time after which no requests start on another weight version than the target.
+        retry_ratio: Sends beyond the first of each request, as a share of requests, over all gateways.
+        retry_slack: Such sends that are allowed in addition to the share, over all gateways.
+        budget_window: Window in which requests and these sends are counted.
+        limit_window: Window in which a tenant's use is compared with its limit.
         limit_overage: Share of a window's limit by which all gateways together may exceed it.
-        limit_slack: Units of a limit beyond that.
-        reuse: A part of a prompt is expected to be asked for again within this time, if at all.
+        limit_slack: Units by which they may exceed a limit beyond that share.
+        reuse: Time within which a prompt prefix is expected to be requested again, if at all.
     """
 
     revoke: float = 5.0
@@ -42,7 +42,7 @@
 
     @property
     def limit_tolerance(self) -> LimitTolerance:
-        """How far all gateways together may go beyond a tenant's limit."""
+        """How far all gateways together may exceed a tenant's limit."""
         return LimitTolerance(self.limit_window, self.limit_overage, self.limit_slack)
 
 
@@ -53,13 +53,13 @@
         name: Unique name of the machine.
         zone: Its zone.
         host: IP number of the machine.
-        frontend: `host:port` that clients reach.
-        readiness: `host:port` that the entry asks whether it is ready.
+        frontend: `host:port` on which clients connect.
+        readiness: `host:port` of the readiness check of the load balancer.
         store: `host:port` of the object store.
-        internal_ports: First and last port that gateways may use among themselves.
+        internal_ports: First and last port for traffic between gateways.
         bounds: Time bounds.
         link_megabits: Bandwidth of the machine's link in Mbit/s; 0 when it isn't known.
-        max_descriptors: Most descriptors of the process; 0 when only the system bounds them.
+        max_descriptors: Most file descriptors of the process; 0 when only the system bounds them.
     """
 
     name: str
--- a/src/milletcourse/gateway/store/__init__.py
+++ b/src/milletcourse/gateway/store/__init__.py
@@ -1,5 +1,5 @@
-"""What the object store holds, read here or learnt from another gateway, and told to followers.
+"""Replication of the object store: read directly or from another gateway, and served to followers.
 
-Objects and changes come in; the state of the gateway follows them. It may import clients, state and
-what is below them.
+The state of the gateway is updated from the objects and changes. This package may import clients,
+state and the packages below them.
 """
--- a/src/milletcourse/gateway/store/change_log.py
+++ b/src/milletcourse/gateway/store/change_log.py
@@ -1,4 +1,4 @@
-"""The latest changes of one kind of objects, as they are told to followers."""
+"""Log of the latest changes of one kind of objects, from which followers are served."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 MAX_GAPS = 32
 MAX_CHANGES = 2048
 MAX_BYTES = 1024 * 1024
-"""Of all contents and patches; a follower that is further behind is told all objects."""
+"""Total of all contents and patches; a follower that is further behind gets all objects."""
 MIN_PATCHED_BYTES = 1024
-"""A content of this size is told as a patch."""
+"""A content of at least this size is sent as a patch."""
 
 
 class LoggedChange(msgspec.Struct, frozen=True):
     """One change.
 
     Attributes:
-        at: State of the store with which it became known.
+        observed_at: Store position with which it became known.
         name: Name of the object.
-        place: Its change as the store counts it.
-        gone: The object went.
-        spec: Its content; empty for one that went, and beside a patch.
-        patch: Makes its content from the one before; None for a small one.
+        position: Position of the change itself.
+        deleted: The object was deleted.
+        spec: Its content; empty for a deleted object, and when there is a patch.
+        patch: Builds its content from the one before; None for a small content.
     """
 
     observed_at: StorePlace
@@ -40,7 +40,7 @@
 
     @property
     def size(self) -> int:
-        """Bytes that it brings."""
+        """Bytes of its content or patch."""
         return len(self.spec) + (len(self.patch.steps) if self.patch is not None else 0)
 
 
@@ -52,19 +52,19 @@
         self._bytes = 0
         self._start: StorePlace | None = None
         self._gaps: deque[tuple[StorePlace, StorePlace]] = deque()
-        """States between which changes aren't known one by one, just how the ends differ."""
+        """Pairs of positions between which single changes aren't known, only the difference."""
 
     def start_at(self, position: StorePlace) -> None:
-        """Nothing before this state is known."""
+        """Start the log; no change up to this position is known."""
         self._start = position
 
     def append(self, change: ObjectChange, before: bytes | None, position: StorePlace) -> None:
-        """A change has become known.
+        """Add a change.
 
         Args:
             change: The change.
             before: The object's content until now, None without one.
-            place: State of the store with it.
+            position: Store position with which it became known.
         """
         stored = change.stored
         is_large = not change.deleted and len(stored.spec) >= MIN_PATCHED_BYTES
@@ -79,7 +79,7 @@
             self._start = dropped.observed_at
 
     def add_gap(self, begin: StorePlace, end: StorePlace) -> None:
-        """What lies between two states isn't known one by one."""
+        """Note that single changes between two positions aren't known."""
         if begin == end:
             return
         self._gaps.append((begin, end))
@@ -88,21 +88,21 @@
             self._start = last if self._start is None else max(self._start, last)
 
     def covers(self, position: StorePlace | None) -> TypeGuard[StorePlace]:
-        """Whether what differs from a state is kept: not from one within a gap."""
+        """Whether the log holds all differences from a position; not from one within a gap."""
         if position is None or self._start is None or position < self._start:
             return False
         return not any(begin < position < end for begin, end in self._gaps)
 
     def has_after(self, position: StorePlace) -> bool:
-        """Whether a change became known after a state."""
+        """Whether a change became known after a position."""
         return bool(self._changes) and self._changes[-1].observed_at > position
 
     def after(self, position: StorePlace) -> list[LoggedChange]:
-        """Changes that became known after a state."""
+        """Changes that became known after a position."""
         return [change for change in self._changes if change.observed_at > position]
 
     def patch(self, name: str, base: int, result: int) -> ContentPatch | None:
-        """A patch of an object's content by the sums of both contents."""
+        """The patch of an object with these checksums of the base and of the result."""
         for change in reversed(self._changes):
             patch = change.patch
             if change.name != name or patch is None:
--- a/src/milletcourse/gateway/store/directory.py
+++ b/src/milletcourse/gateway/store/directory.py
@@ -1,4 +1,4 @@
-"""The list of gateways, which each of them enters itself into; kept in the object store."""
+"""The list of gateways in the object store, in which each gateway writes its own entry."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 
 MAX_IDENTITY = 2**64 - 1
 MAX_GATEWAYS = 512
-"""Further ones are neither told nor followed."""
+"""Further gateways are neither reported to listeners nor followed."""
 MISSING_ENTRY_RETENTION_SECONDS = 5.0
-"""Gateways that are missing in an older copy of the list are kept this long: those that live write
-their entries again within two seconds, and what all share is divided by their number."""
+"""Gateways that are missing after the store was restored from an older snapshot are kept this long:
+running ones write their entries again within two seconds, and shared limits are divided by the
+number of gateways."""
 
 
 class ContainedRequest(msgspec.Struct, frozen=True):
-    """A request that isn't sent to servers, as it stands in the object store.
+    """A request that isn't sent to servers since it crashes them, as stored in the object store.
 
     Attributes:
-        content: Identity of its content as text: numbers in JSON lose digits beyond 53 bits.
-        ends: Servers that ended under it, with ages as of `GatewayEntry.contained_at`.
+        content: Identity of its content as text, since JSON numbers lose digits beyond 53 bits.
+        ends: Servers that crashed while they ran it, with ages as of `GatewayEntry.contained_at`.
     """
 
     content: str
@@ -42,10 +43,10 @@
         return cls(identity_text(report.identity), report.ends)
 
     def to_report(self) -> CrashReport:
-        """The report; raises `ValueError` when the identity is none."""
+        """The report; raises `ValueError` when the identity is malformed."""
         identity = int(self.content, 16)
         if not 0 <= identity <= MAX_IDENTITY:
-            raise ValueError("no identity of a request")
+            raise ValueError("request identity is out of range")
         return CrashReport(identity, self.ends)
 
 
@@ -53,17 +54,17 @@
     """A gateway in the object store.
 
     Attributes:
-        address: `host:port` that takes datagrams.
+        address: `host:port` that receives datagrams.
         zone: Zone of its machine.
-        feed: `host:port` that tells what the store holds.
+        feed: `host:port` that serves the contents of the store to followers.
         link_megabits: Bandwidth of its machine's link in Mbit/s.
-        contained: Requests that aren't sent to servers, as it found: they outlast the end of all
-            gateways only here.
-        contained_at: Wall-clock seconds at which `contained` was so.
-        confirmed_era: Latest era of the store that this gateway was the first to find confirmed: a
-            gateway that starts after the end of all others goes by it.
+        contained: Requests that it found to crash servers, and that aren't sent to them. Only this
+            entry outlasts a restart of all gateways.
+        contained_at: Wall-clock seconds at which `contained` was written.
+        confirmed_era: Latest era of the store that this gateway was the first to find confirmed;
+            used by a gateway that starts after all others have stopped.
         lost_configuration: Version of a configuration that was in force, and that the store had
-            lost when this was written; 0 for none.
+            lost when this entry was written; 0 for none.
     """
 
     address: str
@@ -77,12 +78,12 @@
 
 
 class GatewayDirectory(NoOpEventHandler):
-    """Follows the list; the known gateways stay known while the store is away.
+    """Tracks the list; the known gateways stay known while the store is unavailable.
 
     Attributes:
-        is_listed: Set when the list is known, which may be some seconds old at first.
-        own_entry: What the list says of this gateway: of an earlier process, right after a start.
-        own_place: Its latest change, None without one.
+        is_listed: Set once the list is known; the first list may be some seconds old.
+        own_entry: This gateway's entry in the list; at first, that of an earlier process.
+        own_position: Position of its latest change, None without an entry.
     """
 
     def __init__(
@@ -92,13 +93,13 @@
         on_entry: Callable[[GatewayEntry, bool], None] | None = None,
         now: Callable[[], float] = elapsed_seconds,
     ) -> None:
-        """No gateway known yet.
+        """Create an empty directory.
 
         Args:
             own_name: Name of this gateway.
-            log: For entries that can't be understood.
-            on_entry: Told of each entry, and whether it is this gateway's own.
-            now: Monotonic time.
+            log: Gets a line for each malformed entry.
+            on_entry: Called with each entry, and whether it is this gateway's own.
+            now: Returns monotonic time in seconds.
         """
         self._now = now
         self._on_entry = on_entry
@@ -115,11 +116,11 @@
 
     @property
     def confirmed_era(self) -> int:
-        """Latest era of the store that some entry says to be confirmed."""
+        """Latest confirmed era of the store in any entry."""
         return max(self._confirmed_eras.values(), default=UNKNOWN_ERA)
 
     def add_listener(self, listener: Callable[[list[GatewayRecord]], None]) -> None:
-        """Call this with the other gateways whenever the list changes."""
+        """Add a function that is called with the other gateways whenever the list changes."""
         self._listeners.append(listener)
 
     def on_list(self, objects: list[StoredObject], sent_at: float) -> None:
@@ -148,12 +149,12 @@
         self._notify()
 
     def on_new_era(self, position: StorePlace, before: StorePlace | None) -> None:
-        """See `KindEventHandler`: what the store lost isn't gone yet."""
+        """See `KindEventHandler`: gateways whose entries the store lost may still be running."""
         if before is not None:
             self._retained_until = self._now() + MISSING_ENTRY_RETENTION_SECONDS
 
     def expire_missing(self, now: float) -> None:
-        """Drop gateways that did not write their entries again."""
+        """Remove gateways that haven't written their entries again in time."""
         if self._missing and now >= self._retained_until:
             self._missing.clear()
             self._notify()
@@ -198,7 +199,7 @@
 
 
 def decode_entry(spec: bytes) -> GatewayEntry | None:
-    """Understand an entry; None when it is none."""
+    """Decode an entry; None when it is malformed."""
     try:
         entry = msgspec.json.decode(spec, type=GatewayEntry)
         split_address(entry.address)
--- a/src/milletcourse/gateway/store/event_handlers.py
+++ b/src/milletcourse/gateway/store/event_handlers.py
@@ -1,4 +1,4 @@
-"""Bring what the watches learn into the gateway's state."""
+"""Event handlers that apply the objects of the store to the gateway's state."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self._context = context
 
     def on_unavailable(self) -> None:
-        """A call failed: the store is unstable."""
+        """See `KindEventHandler`: a failed call means that the store is unstable."""
         self._context.instances.on_unstable()
         self._context.record.store_call(self._kind, False)
 
@@ -36,7 +36,7 @@
 
 
 class ConfigurationEventHandler(_StateUpdater):
-    """Puts the newest configuration in force, never an older one."""
+    """Applies the newest configuration, never an older one."""
 
     _kind = "configuration"
 
@@ -99,7 +99,7 @@
         context.lag.on_announced(max(proved_at, not_out_at or proved_at), effect)
 
     def on_pending_proof(self, sent_at: float) -> None:
-        """See `KindEventHandler`: what the announced change doesn't concern is proved."""
+        """See `KindEventHandler`: proves what the announced change doesn't affect."""
         if self._context.lag.knows_effect:
             self._record_proof(sent_at)
 
@@ -111,9 +111,9 @@
             context.freshness.on_proof(sent_at)
 
     def _apply_configuration(self, stored: StoredObject) -> bool:
-        """Take a configuration into force; False when it is an older one, or can't be understood.
+        """Put a configuration in force; False when it is an older one, or malformed.
 
-        Without the newest one, no call proves that what is in force here still holds.
+        Without the newest one, no call proves that the configuration in force is still valid.
         """
         try:
             configuration = self._decode(stored.spec)
@@ -150,7 +150,7 @@
 
 
 class InstanceEventHandler(_StateUpdater):
-    """Keeps the table of incarnations."""
+    """Updates the table of server incarnations."""
 
     _kind = "instances"
 
@@ -194,7 +194,7 @@
                 continue
             record = self._read(change.stored)
             if record is None:
-                # As a list would: what names no server is none to use.
+                # As with a list: an entry that can't be decoded names no usable server.
                 instances.forget(change.stored.name)
                 continue
             instances.on_entry(record, self._context.now())
@@ -208,7 +208,7 @@
 
 
 class TargetEventHandler(_StateUpdater):
-    """Notes named weight versions."""
+    """Passes the target weight versions of models to the version gate."""
 
     _kind = "targets"
 
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -1,4 +1,4 @@
-"""Asks a reader what the object store holds, and fetches the contents that it announces."""
+"""Polls a reader for changes of the object store, and fetches the contents that it announces."""
 
 from __future__ import annotations
 
@@ -27,29 +27,29 @@
 from milletcourse.gateway.store.store_feed import CONTENT_PATH, FEED_PATH
 
 FEED_TIMEOUT_MARGIN_SECONDS = 0.4
-"""A reader that answers this much later than asked for is taken as silent."""
+"""A reader whose answer is this much later than the requested hold is taken as silent."""
 QUICK_REFUSAL_SECONDS = 0.1
-"""A refusal this soon shows a live machine, whose process may just be starting."""
+"""A refusal within this time shows that the machine runs; its process may just be starting."""
 CONTENT_TIMEOUT_SECONDS = 3.0
-"""A content that doesn't begin to come by now is given up. The reader sends it to all its followers
-at once; whether it lives shows in its answers meanwhile."""
+"""A content whose answer hasn't begun after this time is given up. The time is long, since a reader
+sends a content to all its followers at once; its other answers show meanwhile whether it is alive."""
 
 
 class FeedOutcome(Enum):
-    """What a question to a reader gave."""
+    """Result of polling a reader."""
 
     SYNCED = "fed"
     REFUSED = "refused"
-    """It can't vouch for what it knows, or its process isn't there."""
+    """It can't attest that its state is current, or its process isn't running."""
     SILENT = "silent"
     OUTDATED = "outdated"
-    """Its proof is older than on any calm day, and no change is on its way to it."""
+    """Its proof is older than a stable store explains, and it isn't receiving a change."""
     CONTENT_MISSING = "content-missing"
-    """It announced a content, and didn't bring it."""
+    """It announced a content, but didn't send it."""
 
 
 class FeedClient:
-    """Learns from one reader at a time, and hands it on to the mirrors."""
+    """Polls one reader at a time, and applies its answers to the mirrors."""
 
     def __init__(
         self,
@@ -59,13 +59,13 @@
         mirrors: Sequence[KindMirror],
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]],
     ) -> None:
-        """Nothing asked yet.
+        """Create a client that follows no reader yet.
 
         Args:
             context: The gateway.
-            calls: Sends the questions.
-            plan: Told how readers do.
-            mirrors: What is asked for; the first one is that whose calls prove that the reader
+            calls: Sends the requests.
+            plan: Notified of the success or failure of readers.
+            mirrors: Kinds that are requested. The calls of the first one prove that the reader
                 reads the store.
             spawn: Starts a task in the background.
         """
@@ -78,7 +78,7 @@
         self._reader_name = ""
         self._pending = PendingContents()
         self._proved_at = float("-inf")
-        """Of the latest answer."""
+        """Time of the proof in the latest answer."""
         self._fetches: dict[str, asyncio.Task[None]] = {}
         self._is_content_missing = False
 
@@ -88,11 +88,11 @@
         hold_seconds: float,
         margin_seconds: float = FEED_TIMEOUT_MARGIN_SECONDS,
     ) -> FeedOutcome:
-        """Ask a reader what came, and take it.
+        """Request the changes from a reader, and apply them.
 
         Args:
             reader: The reader.
-            hold_seconds: How long it keeps the question while there is no news.
+            hold_seconds: How long it holds the request while there are no changes.
             margin_seconds: Time beyond that after which it is taken as silent.
         """
         if reader.name != self._reader_name:
@@ -100,7 +100,7 @@
             self._reader_name = reader.name
         context = self._context
         positions = self._positions()
-        question = FeedQuestion(
+        query = FeedQuestion(
             positions,
             hold_seconds,
             True,
@@ -110,7 +110,7 @@
         sent_at = self._context.now()
         reply = await self._calls.call(
             reader.feed,
-            Call("POST", FEED_PATH, encode_question(question)),
+            Call("POST", FEED_PATH, encode_question(query)),
             hold_seconds + margin_seconds,
         )
         answer = decode_answer(reply.body) if reply is not None and reply.status == 200 else None
@@ -126,7 +126,7 @@
         return FeedOutcome.SYNCED if self._is_current(answer) else FeedOutcome.OUTDATED
 
     def disconnect(self) -> None:
-        """The reader is left; what it announced doesn't come from it any more."""
+        """Leave the reader, and drop the contents that it announced."""
         for task in self._fetches.values():
             task.cancel()
         self._fetches.clear()
@@ -144,7 +144,7 @@
         return FeedOutcome.REFUSED if answered else FeedOutcome.SILENT
 
     def _is_current(self, answer: FeedAnswer) -> bool:
-        """Whether the store would tell no more than the reader does."""
+        """Whether reading the store directly would show nothing more than the reader does."""
         age = self._context.now() - self._proved_at
         if answer.is_receiving:
             return age <= self._context.replication_times.max_receiving_age
@@ -156,7 +156,7 @@
             for kind, mirror in self._mirrors.items()
         ]
 
-    # -- taking ---------------------------------------------------------------------------------
+    # -- applying answers -----------------------------------------------------------------------
 
     def _apply_answer(
         self, answer: FeedAnswer, asked: dict[str, StorePlace | None], reader: GatewayRecord
@@ -193,7 +193,7 @@
         for update in updates:
             kind = update.fed.kind
             mirror = self._mirrors[kind]
-            # While more waits behind it, it isn't all that there is.
+            # An update with others pending after it proves nothing about the present.
             is_last = kind not in self._pending and update is updates[-1]
             proved_at = self._proved_at if is_last else mirror.proved_at
             try:
@@ -215,21 +215,21 @@
             self._fetches[kind] = self._spawn(self._fetch_contents(reader, kind))
 
     async def _fetch_contents(self, reader: GatewayRecord, kind: str) -> None:
-        """One after the other, since each is made from the one before."""
-        while (question := self._pending.missing(kind)) is not None:
-            patch = await self._fetch_one(reader, question)
+        """Fetch the pending contents in order, since each is a patch of the one before."""
+        while (query := self._pending.missing(kind)) is not None:
+            patch = await self._fetch_one(reader, query)
             if patch is None:
                 self._pending.drop(kind)
                 self._is_content_missing = True
                 return
-            self._apply_updates(self._pending.on_patch(question, patch))
+            self._apply_updates(self._pending.on_patch(query, patch))
 
     async def _fetch_one(
-        self, reader: GatewayRecord, question: ContentQuestion
+        self, reader: GatewayRecord, query: ContentQuestion
     ) -> ContentPatch | None:
-        call = Call("POST", CONTENT_PATH, encode_content_question(question))
+        call = Call("POST", CONTENT_PATH, encode_content_question(query))
         reply = await self._calls.call(reader.feed, call, CONTENT_TIMEOUT_SECONDS)
         patch = decode_patch(reply.body) if reply is not None and reply.status == 200 else None
-        if patch is None or patch.is_announcement or patch.result != question.result:
+        if patch is None or patch.is_announcement or patch.result != query.result:
             return None
         return patch
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one kind of objects: hands changes on, and can tell them to followers."""
+"""Local cache of one kind of objects: passes changes to a handler, and serves them to followers."""
 
 from __future__ import annotations
 
@@ -24,50 +24,53 @@
 from milletcourse.gateway.telling.store_recorder import StoreReturn
 
 MAX_INLINE_PATCH_BYTES = 4096
-"""A larger patch is announced, and told to those that ask for it."""
+"""A larger patch is only announced, and sent to the followers that request it."""
 ASSUMED_COMPRESSION_RATIO = 8
-"""Patches of one object that weigh as much as this part of its content may weigh more than the
-content, compressed."""
+"""A compressed content isn't expected to be smaller than the content by more than this factor, so
+patches of one object are compared with it only when they are larger than that."""
 _NO_SPEC = msgspec.Raw(b"null")
 
 
 class KindEventHandler(Protocol):
-    """Takes what a mirror learns."""
+    """Receives the lists and changes that a mirror reads."""
 
     def on_list(self, objects: list[StoredObject], sent_at: float) -> None:
-        """All objects as they were after a call sent at this time."""
+        """Handle the list of all objects, as of a call sent at this time."""
 
     def on_changes(self, changes: tuple[ObjectChange, ...], sent_at: float) -> None:
-        """Changes since; maybe none."""
+        """Handle the changes since the last list or changes; there may be none."""
 
     def on_unavailable(self) -> None:
-        """A call failed."""
+        """Handle a failed call."""
 
     def on_new_era(self, position: StorePlace, before: StorePlace | None) -> None:
-        """The store was found in an era; what it holds now is handed on next.
+        """Handle a new era of the store; its objects follow as a list or as changes.
 
         Args:
-            place: State in which it was found.
-            before: Latest state of the era that ended by a return from an older copy; None for the
-                first era.
+            position: Position at which the store was found.
+            before: Latest known position of the era that ended when the store was restored from an
+                older snapshot; None for the first era.
         """
 
     def on_change_announced(
         self, effect: ConfigurationEffect | None, not_out_at: float | None
     ) -> None:
-        """A change is out, and on its way here; ends with the next list or changes.
+        """Handle the announcement of a published change that hasn't arrived here yet.
+
+        The change is pending until the next list or changes.
 
         Args:
             effect: What it changes for requests, None when that isn't known.
-            not_out_at: Monotonic time at which it wasn't out yet, None when only proofs tell.
+            not_out_at: Monotonic time at which it wasn't published yet; None when only the proofs
+                of freshness bound that time.
         """
 
     def on_pending_proof(self, sent_at: float) -> None:
-        """Nothing but what was announced had come when a call was sent at this time."""
+        """Handle a proof that, as of a call sent at this time, only announced ones are missing."""
 
 
 class NoOpEventHandler:
-    """A `KindEventHandler` that takes nothing; others take what they need of it."""
+    """A `KindEventHandler` that ignores all events; subclasses override those that they need."""
 
     def on_list(self, objects: list[StoredObject], sent_at: float) -> None:
         """See `KindEventHandler`."""
@@ -91,27 +94,28 @@
 
 
 class MirrorListener(Protocol):
-    """Told what a mirror learns of the store's history."""
+    """Notified of what a mirror detects in the store's history."""
 
     def list_outdated(self, kind: str, listed: StorePlace, known: StorePlace) -> None:
-        """A list was thrown away, since a later state is known."""
+        """A list was discarded, since a later position is known."""
 
     def returned(self, store_return: StoreReturn) -> None:
-        """The store has come back from an older copy."""
+        """The store was restored from an older snapshot."""
 
 
 class KindMirror:
-    """Objects of one kind at a state of the store, with the latest changes.
+    """Objects of one kind at a position of the store, with the latest changes.
 
     Attributes:
         kind: Kind of the objects.
-        place: State of the store up to which they are known, None before the first list.
-        is_confirmed: False while all that is known rests on a list that was read stale: it may show
-            what the store had lost just before, and no change tells of that.
-        proved_at: Monotonic time at which they are known to have been so; minus infinity at first.
-        is_receiving: A change is on its way from the store to this gateway, or has just come, and
-            what came after it is being asked for.
-        on_news: Called after each change.
+        position: Store position up to which they are known, None before the first list.
+        is_confirmed: False while the objects are known from a stale list only: such a list may show
+            objects that the store lost in a restore just before, and no watch reports their loss.
+        proved_at: Monotonic time as of which the objects are proven current; minus infinity at
+            first.
+        is_receiving: A change is being received from the store, or has just been received and the
+            changes after it are being requested.
+        on_change: Called after each change.
     """
 
     def __init__(
@@ -128,9 +132,9 @@
         self._objects: dict[str, StoredObject] = {}
         self._log = ChangeLog()
         self._full_patches: dict[str, ContentPatch] = {}
-        """Patches from no content, as far as somebody needed them."""
+        """Cached patches that build a content from nothing, by object name."""
 
-    # -- learning -------------------------------------------------------------------------------
+    # -- updating -------------------------------------------------------------------------------
 
     def on_list(
         self,
@@ -139,7 +143,7 @@
         sent_at: float,
         is_stale: bool = False,
     ) -> None:
-        """All objects as they were at a state; one that is older than what is known is void."""
+        """Replace all objects by a list as of a position; an outdated list is discarded."""
         if self.position is not None and position < self.position:
             if self._listener is not None:
                 self._listener.list_outdated(self.kind, position, self.position)
@@ -158,7 +162,7 @@
         self._notify()
 
     def on_changes(self, changes: ObjectChanges, sent_at: float) -> None:
-        """What came since some known state; maybe nothing, maybe what is known by now."""
+        """Apply changes since a known position; there may be none, or only known ones."""
         if self.position is None:
             return
         new_changes = changes.changes if changes.position > self.position else ()
@@ -175,33 +179,34 @@
             self._notify()
 
     def on_unavailable(self) -> None:
-        """A call failed."""
+        """Report a failed call to the handler."""
         self._handler.on_unavailable()
 
     def on_list_coming(self) -> None:
-        """A list is coming from the store; it may show nothing new."""
+        """Note that a list is being received from the store; it may contain nothing new."""
         self.is_receiving = True
 
     def on_change_coming(self, not_out_at: float | None) -> None:
-        """A change is coming from the store.
+        """Note that a change is being received from the store.
 
         Args:
-            not_out_at: Monotonic time at which it wasn't out yet, None when only proofs tell.
+            not_out_at: Monotonic time at which it wasn't published yet; None when only the proofs
+                of freshness bound that time.
         """
         self.is_receiving = True
         self._handler.on_change_announced(None, not_out_at)
 
     def on_announced(self, effect: ConfigurationEffect | None, not_out_at: float | None) -> None:
-        """A reader has announced a change whose content is still to come."""
+        """Report a change that a reader announced, and whose content hasn't arrived yet."""
         self._handler.on_change_announced(effect, not_out_at)
 
     def on_pending_proof(self, sent_at: float) -> None:
-        """A reader proves that only what it announced had come."""
+        """Report a reader's proof that nothing but the announced changes is missing."""
         self._handler.on_pending_proof(sent_at)
 
     def _differences(self, listed: dict[str, StoredObject]) -> Iterable[ObjectChange]:
         if self.position is None:
-            # Followers that know nothing are told all; there is nothing to compare with.
+            # There is nothing to compare with, and followers without a position get all objects.
             return
         for name, stored in self._objects.items():
             if name not in listed:
@@ -240,13 +245,13 @@
             self.on_change()
 
     def specs(self) -> dict[str, bytes]:
-        """Content of all objects by name."""
+        """Contents of all objects by name."""
         return {name: stored.spec for name, stored in self._objects.items()}
 
-    # -- telling --------------------------------------------------------------------------------
+    # -- serving followers ----------------------------------------------------------------------
 
     def has_changes(self, position: StorePlace | None) -> bool:
-        """Whether something came after a state."""
+        """Whether there are changes after a position."""
         if self.position is None or (position is not None and position >= self.position):
             return False
         if position is None or position.era < self.position.era or not self._log.covers(position):
@@ -254,11 +259,12 @@
         return self._log.has_after(position)
 
     def since(self, position: StorePlace | None, as_patches: bool = False) -> FedKind | None:
-        """What came after a state, None when it is known up to there at most.
+        """Changes after a position; None when the mirror knows nothing later.
 
         Args:
-            place: The state.
-            as_patches: Large contents are told as patches, or announced; else as they are now.
+            position: Position that the follower knows, None when it knows nothing.
+            as_patches: Send large contents as patches, or announce them; else send the whole
+                content as it is now.
         """
         if self.position is None or (position is not None and position >= self.position):
             return None
@@ -271,7 +277,7 @@
     def _without_superseded(
         self, changes: list[LoggedChange], as_patches: bool
     ) -> Iterable[FedObject]:
-        """Changes in their order; large contents that a later one has overtaken don't go twice."""
+        """Changes in order, without large contents that a later change of the object replaces."""
         patch_bytes: dict[str, int] = defaultdict(int)
         last: dict[str, LoggedChange] = {}
         for change in changes:
@@ -290,7 +296,7 @@
                 yield self._to_fed_object(stored, as_patches)
 
     def _patches_exceed_content(self, name: str, patch_bytes: int) -> bool:
-        """Whether patches weigh more than the content that they lead to."""
+        """Whether the patches are larger than one that builds the whole content from nothing."""
         stored = self._objects.get(name)
         if stored is None or patch_bytes * ASSUMED_COMPRESSION_RATIO < len(stored.spec):
             return False
@@ -313,7 +319,7 @@
         return kept
 
     def patch(self, name: str, base: int, result: int) -> ContentPatch | None:
-        """A patch that was announced; None when its contents are forgotten."""
+        """A patch that was announced; None when it has been dropped from the log."""
         logged = self._log.patch(name, base, result)
         stored = self._objects.get(name)
         if logged is not None or base != NO_CONTENT_SUM or stored is None:
@@ -321,14 +327,17 @@
         return self._full_patch(stored) if content_sum(stored.spec) == result else None
 
     def apply_update(self, update: FedUpdate, sent_at: float) -> bool:
-        """A reader tells what came, with all contents; False for what goes on from another state.
+        """Apply an update from a reader, with all contents.
+
+        Returns:
+            False when the update starts from another position than the mirror's.
 
         Raises:
-            PatchError: A content differs from what was announced; nothing is taken then.
+            PatchError: A content differs from the announced one; nothing is applied then.
         """
         fed = update.fed
         if not fed.whole and update.since != self.position:
-            # Something was learnt in another way meanwhile.
+            # The mirror was updated from another source meanwhile.
             return False
         changes = tuple(self._changes_of(fed))
         if fed.whole:
@@ -351,14 +360,14 @@
             yield ObjectChange(stored, item.gone, item.patch)
 
     def on_proof(self, sent_at: float) -> None:
-        """A reader proves that nothing else had come when a call was sent at this time."""
+        """Take a reader's proof that there were no more changes as of a call sent at this time."""
         if self.position is not None:
             self.proved_at = max(self.proved_at, sent_at)
             self._handler.on_changes((), sent_at)
 
 
 def _remaining_objects(changes: Iterable[ObjectChange]) -> list[StoredObject]:
-    """Objects that are there after all changes."""
+    """Objects that exist after all changes."""
     left: dict[str, StoredObject] = {}
     for change in changes:
         left.pop(change.stored.name, None)
--- a/src/milletcourse/gateway/store/kind_watch.py
+++ b/src/milletcourse/gateway/store/kind_watch.py
@@ -1,4 +1,4 @@
-"""Follows a kind of objects in the store: lists, then watches, and lists again after any doubt."""
+"""Keeps a kind of objects current: lists, then watches, and lists again after an error."""
 
 from __future__ import annotations
 
@@ -20,27 +20,28 @@
 
 INITIAL_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 0.4
-"""After a failed call: short, since a bound on time runs from the store's acknowledgement."""
+"""After a failed call. Short, since a write has to be in force within a bound that starts when the
+store acknowledges it."""
 MAX_FOLLOWER_BACKOFF_SECONDS = 1.5
-"""The same at a gateway that stands in for its reader: it goes back to it as soon as that one
-reaches the store, so its own calls matter less."""
+"""The same at a follower that reads the store because its reader failed: it returns to the reader
+as soon as that one reaches the store, so its own calls matter less."""
 CONFIRM_DELAY_SECONDS = 5.0
-"""A first list that was read stale is read fresh after this time."""
+"""A first list that was read stale is read again, not stale, after this time."""
 LATE_ANSWER_SECONDS = 0.2
-"""An answer with content that took so long beyond its wait proves little: what came after it is
-asked for at once."""
+"""An answer with content that takes this much longer than its wait proves little about the present:
+the changes after it are requested at once."""
 MAX_SUPERSEDED_BYTES = 64 * 1024
-"""Contents that a late answer brought in vain; with so much, lists are read in place of changes."""
+"""Superseded contents in one late answer; from this many on, lists are read instead of changes."""
 LIST_INTERVAL_SECONDS = 0.05
 RESUME_SPREAD_SECONDS = 0.1
-"""Watches that waited for their leader go on within this time, not all at once."""
+"""Watches that waited for their leader resume spread over this time."""
 
 
 class KindWatch:
-    """One watched kind; goes on from what its mirror knows.
+    """Watch of one kind, which starts from the position of its mirror.
 
-    Calls to a store that is away cost as much as others. So while the leading watch fails, it alone
-    finds out when the store is back, and those that follow it wait.
+    Calls to an unavailable store cost as much as others. So while the leading watch fails, it alone
+    probes the store, and the watches that follow it wait.
 
     Attributes:
         reached: Set while the latest call succeeded.
@@ -75,7 +76,7 @@
             self._confirm_at = elapsed_seconds() + CONFIRM_DELAY_SECONDS
 
     async def run(self) -> None:
-        """Follow the kind until cancelled."""
+        """Keep the mirror current until cancelled."""
         try:
             await self._run()
         finally:
@@ -104,8 +105,8 @@
             return
         kind = self._mirror.kind
         wait_seconds = 0.0 if self._is_late else self._wait_seconds
-        # The call before came back without what this one brings; the store had answered it no
-        # earlier than by how much it took longer than its wait.
+        # The previous answer didn't contain the changes of this one, so they weren't published when
+        # the store sent it: at most its overrun beyond the wait ago.
         not_out_at = None if self._is_late else elapsed_seconds() - self._overrun_seconds
         changes, sent_at = await self._store.watch(
             kind, self._place, wait_seconds, lambda: self._mirror.on_change_coming(not_out_at)
@@ -115,14 +116,14 @@
         self._overrun_seconds = max(elapsed_seconds() - sent_at - wait_seconds, 0.0)
         self._update_lateness(self._overrun_seconds)
         if self._is_late and _superseded_bytes(changes) >= MAX_SUPERSEDED_BYTES:
-            # Changes come faster than their contents: a list has each object once.
+            # Changes are made faster than their contents arrive; a list has each object only once.
             self._uses_lists = True
 
     def _update_lateness(self, seconds: float) -> None:
-        """An answer has come, so much later than it could have; without content it proves enough.
+        """Note whether an answer with content was late; one without content proves enough anyhow.
 
         Args:
-            seconds: How long it took beyond the time for which it was held.
+            seconds: Time that it took beyond the requested wait.
         """
         self._is_late = self._mirror.is_receiving and seconds > LATE_ANSWER_SECONDS
         self._mirror.is_receiving = self._is_late
@@ -136,7 +137,7 @@
         )
         known = self._mirror.position
         if stale and known is not None and position.era > known.era:
-            # It may show what the store has lost since.
+            # A stale list may show objects that the store has lost since.
             raise StoreError(StoreProblem.HISTORY_LOST)
         self._mirror.on_list(objects, position, sent_at, stale)
         self._place = position
@@ -164,22 +165,22 @@
     attempts_seconds: float = math.inf,
     on_content: Callable[[], None] | None = None,
 ) -> tuple[list[StoredObject], StorePlace, float]:
-    """All objects of a kind as they are now: (objects, place, time of the proving call).
+    """All objects of a kind as they are now: (objects, position, time of the proving call).
 
-    A stale list is followed by a watch that doesn't wait, which brings what came since; when that
-    history is gone, only a fresh list will do.
+    A stale list is followed by a watch that doesn't wait, which brings the changes since. Raises
+    `HISTORY_LOST` when the store has lost that history; the list must not be a stale one then.
 
     Args:
         store: The store.
         kind: Kind of the objects.
-        stale: Read a list that may be seconds old.
+        stale: Accept a list that may be seconds old.
         attempts_seconds: See `ObjectStoreClient.list_all`.
-        on_content: See there.
+        on_content: See `ObjectStoreClient.list_all`.
     """
     objects, position, sent_at = await store.list_all(kind, stale, attempts_seconds, on_content)
     if not stale:
         return objects, position, sent_at
-    # A stale page proves nothing about now; together with the watch it does.
+    # A stale page alone proves nothing about the present; with the watch it does.
     since, watched_at = await store.watch(kind, position, 0.0)
     return _with_changes(objects, since), max(since.position, position), watched_at
 
@@ -194,7 +195,7 @@
 
 
 def _superseded_bytes(changes: ObjectChanges) -> int:
-    """Bytes of contents that later changes of the same answer replace."""
+    """Bytes of contents that later changes in the same answer replace."""
     last = {change.stored.name: change for change in changes.changes}
     return sum(
         len(change.stored.spec)
--- a/src/milletcourse/gateway/store/object_store.py
+++ b/src/milletcourse/gateway/store/object_store.py
@@ -1,5 +1,5 @@
-"""The object-store port: objects by kind and name with revisions, lists, watches and
-compare-and-set. A dialect knows one store's paths and formats; this client does the calls.
+"""Client of the object store: objects by kind and name with revisions, lists, watches and
+compare-and-set. A dialect knows one store's paths and formats; this client sends the calls.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from milletcourse.runtime.clock import elapsed_seconds
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""A call whose answer doesn't begin by now is given up."""
+"""A call whose answer hasn't begun after this time is aborted."""
 MAX_PAGE_ATTEMPTS = 4
 MIN_ATTEMPT_SECONDS = 0.1
-"""A page that is asked for at all may begin to come for so long."""
+"""Shortest time allowed for the answer to a page request to begin."""
 INITIAL_PAGE_BACKOFF_SECONDS = 0.05
-"""Before a refused page is asked for again; doubled each time, with jitter."""
+"""Wait before a refused page is requested again; doubled each time, with jitter."""
 SERVER_ERROR_STATUS = 500
-"""From this status on a reply says that the store did nothing."""
+"""From this status on, a reply says that the store didn't process the call."""
 WATCH_MARGIN_SECONDS = 0.6
-"""A watch that answers this much later than asked for is taken as hung."""
+"""A watch whose answer is this much later than its requested wait is taken as hung."""
 
 
 DECODE_ERRORS = (msgspec.MsgspecError, ValueError, RecursionError)
-"""What decoders raise for content that another writer may have put into the store."""
+"""Raised by decoders for malformed content, which any writer may have put into the store."""
 
 
 class StoredObject(msgspec.Struct, frozen=True):
@@ -40,7 +40,7 @@
 
     Attributes:
         name: Unique within its kind.
-        place: Its last change.
+        position: Position of its last change.
         spec: Its content as JSON.
     """
 
@@ -53,10 +53,10 @@
     """A page of a list.
 
     Attributes:
-        objects: Those that can be told apart.
-        place: State of the store that it shows.
+        objects: Objects with a name and a revision.
+        position: Store position that it shows.
         more: Further pages follow.
-        unreadable: Objects that can't: without a name or a revision.
+        unreadable: Number of objects without a name or a revision.
     """
 
     objects: tuple[StoredObject, ...]
@@ -66,12 +66,12 @@
 
 
 class ObjectChange(msgspec.Struct, frozen=True):
-    """An object that changed or went.
+    """An object that was changed or deleted.
 
     Attributes:
-        stored: The object; its last content for one that went.
-        gone: It went.
-        patch: Makes its content from the one before; None when nobody has made one yet.
+        stored: The object; with its last content if it was deleted.
+        deleted: It was deleted.
+        patch: Builds its content from the one before; None when no patch has been made yet.
     """
 
     stored: StoredObject
@@ -80,12 +80,12 @@
 
 
 class ObjectChanges(msgspec.Struct, frozen=True):
-    """Changes up to a state of the store.
+    """Changes up to a store position.
 
     Attributes:
-        changes: Those whose object can be told apart.
-        place: State of the store after them.
-        unreadable: Changes whose object can't.
+        changes: Changes of objects with a name and a revision.
+        position: Store position after them.
+        unreadable: Number of changes of objects without them.
     """
 
     changes: tuple[ObjectChange, ...]
@@ -94,21 +94,21 @@
 
 
 class StoreProblem(Enum):
-    """Why a call gave nothing."""
+    """Why a call had no result."""
 
     UNAVAILABLE = "unavailable"
     HISTORY_LOST = "history-gone"
-    """What was asked for, or was told, belongs to a history that the store has lost."""
+    """The requested position, or the answer, belongs to a history that the store has lost."""
     CONFLICT = "conflict"
     NOT_FOUND = "not-found"
 
 
 class StoreError(Exception):
-    """A call to the store that did not succeed.
+    """A failed call to the store.
 
     Attributes:
         problem: What went wrong.
-        current: The object as it is, after a conflict that shows it.
+        current: The stored object, when the reply to a conflicting write includes it.
     """
 
     def __init__(self, problem: StoreProblem, current: StoredObject | None = None) -> None:
@@ -118,66 +118,66 @@
 
 
 class StoreDialect(Protocol):
-    """Paths and formats of one store; every reader raises `StoreError` for a failed reply."""
+    """Paths and formats of one store; `read_*` methods raise `StoreError` for a failed reply."""
 
     def read_era(self, reply: Reply) -> int:
-        """The era of any reply, also of a refusal; `UNKNOWN_ERA` when it isn't told.
+        """The era in any reply, also in a refusal; `UNKNOWN_ERA` when there is none.
 
-        Raises `ValueError` when it can't be understood.
+        Raises `ValueError` when the era is malformed.
         """
 
     def list_call(self, kind: str, after: str, stale: bool) -> Call:
-        """A page of a kind's objects behind a name; empty for the first page.
+        """Build the call for a page of a kind's objects after a name; empty for the first page.
 
-        A stale page may be seconds old, is cheap, and isn't counted against the store's rate.
+        A stale page may be seconds old, is cheap, and doesn't count toward the store's rate limit.
         """
 
     def read_page(self, reply: Reply) -> ObjectPage:
-        """Understand a page."""
+        """Decode a page."""
 
     def watch_call(self, kind: str, position: StorePlace, wait_seconds: float) -> Call:
-        """Changes of a kind after a state of the store; waits for one."""
+        """Build the call for changes of a kind after a position; the store waits for one."""
 
     def read_changes(self, reply: Reply) -> ObjectChanges:
-        """Understand changes."""
+        """Decode changes."""
 
     def get_call(self, kind: str, name: str) -> Call:
-        """One object."""
+        """Build the call that reads one object."""
 
     def create_call(self, kind: str, name: str, spec: bytes) -> Call:
-        """Make an object that isn't there."""
+        """Build the call that creates an object which doesn't exist yet."""
 
     def replace_call(self, kind: str, name: str, spec: bytes, position: StorePlace) -> Call:
-        """Replace an object whose last change is known."""
+        """Build the call that replaces an object if its last change is at this position."""
 
     def read_object(self, reply: Reply) -> StoredObject:
-        """Understand one object."""
+        """Decode one object."""
 
 
 OnCall = Callable[[str, bool], None]
-"""Told of each call: the kind of its objects, and whether the store did it."""
+"""Called after each call with the kind of its objects, and whether the store processed it."""
 OnUnreadable = Callable[[str, int], None]
-"""Told of objects without a name or a revision: their kind, and how many."""
+"""Called for objects without a name or a revision with their kind and number."""
 
 
 class EraListener(Protocol):
-    """Told what answers say of the store's history."""
+    """Notified of what answers show of the store's history."""
 
     def era(self, before: int | None, era: int) -> None:
-        """A later era than before; None before the first answer."""
+        """An answer shows a later era; `before` is None for the first answer."""
 
     def era_unreadable(self) -> None:
-        """An answer's era is missing after others with one, or can't be understood."""
+        """An answer's era is malformed, or missing although earlier answers had one."""
 
     def answer_outdated(self, kind: str, era: int, known: int) -> None:
-        """An answer about a kind is of a former era than one before it."""
+        """An answer about a kind is from an earlier era than the latest known one."""
 
 
 class ObjectStoreClient:
-    """Calls one store, and takes no answer of an era that has ended.
+    """Calls one store, and rejects answers from an era that has ended.
 
     Attributes:
-        era: The latest era that an answer told, None before the first answer.
+        era: The latest era in any answer, None before the first answer.
     """
 
     def __init__(
@@ -208,18 +208,18 @@
         attempts_seconds: float = math.inf,
         on_content: Callable[[], None] | None = None,
     ) -> tuple[list[StoredObject], StorePlace, float]:
-        """All objects of a kind: (objects, place to watch from, time of the first call).
+        """All objects of a kind: (objects, position to watch from, time of the first call).
 
-        The place is the earliest of all pages, so that changes between pages are seen again. A
-        page that the store refuses is asked for again, since beginning anew would add to its load.
-        Pages of two eras make no list: raises `HISTORY_LOST`.
+        The position is the earliest of all pages, so that a watch shows changes between pages. A
+        page that the store refuses is requested again, since restarting the list would add to its
+        load. Pages from two eras don't make a list: raises `HISTORY_LOST`.
 
         Args:
             kind: Kind of the objects.
             stale: The list may be seconds old.
-            attempts_seconds: An answer that doesn't begin by now isn't waited for, and no page is
-                asked for again after it; what comes is taken however long it takes.
-            on_content: Told when a page that is coming carries content.
+            attempts_seconds: After this time no page is requested again, and an answer that hasn't
+                begun is aborted; one that has begun is read however long it takes.
+            on_content: Called when a page that is being received carries content.
         """
         attempts_end_at = elapsed_seconds() + attempts_seconds
         objects: list[StoredObject] = []
@@ -232,7 +232,7 @@
             if page.unreadable:
                 self._on_unreadable(kind, page.unreadable)
             if page.more and page.unreadable and not page.objects:
-                # Nothing tells where the next page begins.
+                # The next page would begin after the last readable name, and there is none.
                 raise StoreError(StoreProblem.UNAVAILABLE)
             if position is None:
                 position, sent_at = page.position, page_sent_at
@@ -278,12 +278,12 @@
         wait_seconds: float,
         on_content: Callable[[], None] | None = None,
     ) -> tuple[ObjectChanges, float]:
-        """Changes after a state of the store, and the time at which the call was sent.
+        """Changes after a store position, and the time at which the call was sent.
 
-        `on_content` is told when the answer that is coming carries some.
+        `on_content` is called when the answer that is being received carries content.
 
-        Raises `HISTORY_LOST` when the store has come back from an older copy since that state, also
-        while the call waits: what comes after the same revision then is another history.
+        Raises `HISTORY_LOST` when the store has been restored from an older snapshot since that
+        position, also while the call waits: the same revision then belongs to another history.
         """
         if self._is_past_era(position.era):
             raise StoreError(StoreProblem.HISTORY_LOST)
@@ -303,7 +303,7 @@
         return self._dialect.read_object(reply), reply.sent_at
 
     async def create(self, kind: str, name: str, spec: bytes) -> tuple[StoredObject, float]:
-        """Make an object; raises a conflict when it is there."""
+        """Create an object; raises a conflict when it exists."""
         reply = await self._send(kind, self._dialect.create_call(kind, name, spec))
         return self._dialect.read_object(reply), reply.sent_at
 
@@ -312,9 +312,9 @@
     ) -> tuple[StoredObject, float]:
         """Replace an object; raises a conflict when its last change is another one.
 
-        A change of an era that has ended is a conflict without a call: its revision may have been
-        given out again. The store may end an era while the call is on its way, so the place of the
-        result tells whether the condition was still worth anything.
+        A position of an era that has ended is a conflict without a call, since the store may have
+        reused its revision. The store may start a new era while the call is in flight, so the
+        position of the result shows whether the condition was still valid.
         """
         if self._is_past_era(position.era):
             raise StoreError(StoreProblem.CONFLICT)
@@ -331,7 +331,7 @@
         first_byte_seconds: float,
         on_content: Callable[[], None] | None,
     ) -> Reply:
-        """Send a call that waits; given up when another one shows that the era has ended."""
+        """Send a call that waits; it is cancelled when another one shows that the era has ended."""
         task = asyncio.ensure_future(self._send(kind, call, first_byte_seconds, on_content))
         self._watches.add(task)
         try:
@@ -361,9 +361,9 @@
         return reply
 
     def _check_era(self, kind: str, reply: Reply) -> None:
-        """Take the era of an answer; raises `HISTORY_LOST` for one of an era that has ended.
+        """Note the era of an answer; raises `HISTORY_LOST` for one from an era that has ended.
 
-        One without a readable era, after others with it, gives nothing.
+        An answer without a readable era, after others with one, counts as a failed call.
         """
         try:
             era = self._dialect.read_era(reply)
@@ -383,7 +383,7 @@
                 self._cancel_watches()
 
     def _cancel_watches(self) -> None:
-        """Watches that wait do so for changes of a history that is gone."""
+        """Cancel the watches that wait for changes of a history that the store has lost."""
         current = asyncio.current_task()
         for task in list(self._watches):
             if task is not current:
@@ -392,6 +392,6 @@
 
 
 def _is_being_cancelled() -> bool:
-    """Whether the running task itself is to end, not just what it waits for."""
+    """Whether the running task itself is being cancelled, not only the call that it waits for."""
     task = asyncio.current_task()
     return task is not None and task.cancelling() > 0
--- a/src/milletcourse/gateway/store/registration.py
+++ b/src/milletcourse/gateway/store/registration.py
@@ -1,8 +1,8 @@
-"""Keeps this gateway's own entry in the list of gateways as it should be.
+"""Keeps this gateway's own entry in the list of gateways up to date.
 
-The entry says where the gateway is, which requests it found to end servers, and which era of the
-store it knew to be confirmed: what all gateways forget when all of them end at once must stand in
-the object store.
+The entry holds the gateway's addresses, the requests that it found to crash servers, and the
+latest era of the store that it found confirmed. Gateways keep this state in memory, so it has to be
+in the object store to survive a restart of all of them at once.
 """
 
 from __future__ import annotations
@@ -30,20 +30,21 @@
 from milletcourse.runtime.clock import wall_seconds
 
 LIST_TIMEOUT_SECONDS = 0.5
-"""The list is waited for this long, to see whether the entry of an earlier process stands."""
+"""Time to wait for the list, which shows whether the entry of an earlier process is still there."""
 CHECK_INTERVAL_SECONDS = 1.0
-"""Longest time between two looks at what the entry should say."""
+"""Longest time between two comparisons of the stored entry with the desired one."""
 MIN_CHECK_INTERVAL_SHARE = 0.5
-"""As a share of it: when the store has lost the entries of all gateways, they aren't written again
-all at once."""
+"""Shortest interval, as a share of the longest. The interval is random, so that gateways whose
+entries the store has lost don't all write them again at once."""
 MAX_CONSECUTIVE_WRITES = 2
-"""The second one goes on from what the first one found in the store."""
+"""The second write is based on the entry that the first one found in the store."""
 MAX_BACKOFF_SECONDS = 2.0
-"""While the store does nothing, the time between two tries doubles up to this: calls are priced."""
+"""While the store fails, the time between two attempts doubles up to this, since each call to the
+store has a cost."""
 
 
 class Registration:
-    """Writes the entry when it isn't right; an entry of an earlier process is mostly right."""
+    """Writes the entry when it is out of date; that of an earlier process mostly is up to date."""
 
     def __init__(
         self,
@@ -57,18 +58,18 @@
         random_source: random.Random,
         on_rewritten: Callable[[StorePlace], None],
     ) -> None:
-        """Nothing written yet.
+        """Create a registration that has written nothing yet.
 
         Args:
             store: The object store.
             kind: Kind of the list of gateways.
             name: This gateway's name.
-            directory: The list as it is known.
-            wanted: Tells the entry as it should be.
-            on_found: Told of an entry of an earlier process that the list didn't show.
-            listed_at: State of the store that the list shows, None before the first one.
-            random_source: Spreads the looks.
-            on_written_again: Told when an entry that the store had lost is there again.
+            directory: The known list of gateways.
+            desired: Returns the entry as it should be.
+            on_entry_found: Called with an entry of an earlier process that the list didn't show.
+            listed_position: Returns the store position of the list, None before the first list.
+            random_source: Spreads the checks.
+            on_rewritten: Called after an entry that the store had lost has been written again.
         """
         self._on_rewritten = on_rewritten
         self._is_lost = False
@@ -86,9 +87,9 @@
         self._written_position: StorePlace | None = None
 
     async def run(self) -> None:
-        """Keep the entry right until cancelled."""
+        """Keep the entry up to date until cancelled."""
         with suppress(TimeoutError):
-            # Without the list the entry is written: that costs one call at most.
+            # Without the list the entry is written, which costs one unneeded call at most.
             await asyncio.wait_for(self._directory.is_listed.wait(), LIST_TIMEOUT_SECONDS)
         self._stored, self._written_position = (
             self._directory.own_entry,
@@ -103,7 +104,7 @@
             await self._wait()
 
     async def _wait(self) -> None:
-        """Wait for the next look, or for news."""
+        """Wait for the next check, or for a change of the desired entry."""
         with suppress(TimeoutError):
             share = (
                 MIN_CHECK_INTERVAL_SHARE + (1.0 - MIN_CHECK_INTERVAL_SHARE) * self._random.random()
@@ -112,7 +113,7 @@
         self._changed.clear()
 
     def _compare_with_list(self) -> None:
-        """The store may have lost the entry, or hold an older one, since it was written."""
+        """Detect from the list that the store has lost the entry, or holds an older one."""
         listed_position, written_position = self._listed_position(), self._written_position
         if (
             listed_position is None
@@ -126,7 +127,7 @@
             self._is_lost = self._is_lost or position is None
 
     def on_change(self) -> None:
-        """What the entry should say may have changed: all gateways may end at the next moment."""
+        """Write a changed entry without delay, since all gateways may stop at any moment."""
         is_store_available = self._interval_seconds == CHECK_INTERVAL_SECONDS
         if is_store_available and not self._is_up_to_date(self._desired()):
             self._changed.set()
@@ -142,7 +143,7 @@
         return _content_identities(stored.contained) == _content_identities(desired.contained)
 
     async def _write(self, desired: GatewayEntry) -> bool:
-        """Write the entry; True when it turned out to be another one than was known."""
+        """Write the entry; True when the store turned out to hold another one than was known."""
         stored = self._stored or _location(desired)
         entry = msgspec.structs.replace(
             desired,
@@ -168,7 +169,10 @@
         return False
 
     async def _on_store_error(self, error: StoreError) -> bool:
-        """The entry is there, has changed, or has gone: the next look goes on from that."""
+        """Take what the error says of the entry as the base of the next write.
+
+        The entry may exist already, may have changed, or may have been deleted.
+        """
         if error.problem is StoreProblem.CONFLICT:
             return await self._adopt_current(error.current)
         if error.problem is StoreProblem.NOT_FOUND:
@@ -178,12 +182,15 @@
         return False
 
     def _mark_lost(self) -> None:
-        """The store doesn't hold the entry: the next look writes it anew."""
+        """Note that the store doesn't hold the entry, so that the next check creates it."""
         self._stored, self._written_position = None, None
         self._is_lost = True
 
     async def _adopt_current(self, current: StoredObject | None) -> bool:
-        """Go on from the entry as it is; a store need not show it with a conflict."""
+        """Take the stored entry as the base of the next write.
+
+        It is read when the reply to the conflicting write doesn't include it.
+        """
         if current is None:
             try:
                 current, _ = await self._store.get(self._kind, self._name)
@@ -198,7 +205,7 @@
 
 
 def _location(entry: GatewayEntry) -> GatewayEntry:
-    """Where the gateway is, without what it found."""
+    """The entry with the gateway's location only, without what the gateway found."""
     return GatewayEntry(entry.address, entry.zone, entry.feed, entry.link_megabits)
 
 
--- a/src/milletcourse/gateway/store/store_comparison.py
+++ b/src/milletcourse/gateway/store/store_comparison.py
@@ -1,4 +1,4 @@
-"""Compares what a gateway knows with what the object store holds, for operators."""
+"""Compares the objects that a gateway has cached with those in the object store, for operators."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 
 
 class KindComparison(msgspec.Struct, frozen=True):
-    """One kind of objects, here and in the store.
+    """One kind of objects, at this gateway and in the store.
 
     Attributes:
         kind: Kind of the objects.
-        era: Era of the state up to which it is known here, None before the first list.
-        revision: Revision of that state.
-        proved_seconds_ago: How long ago nothing later was there; None when that isn't known.
+        era: Era of the store position known here, None before the first list.
+        revision: Revision of that position.
+        proved_seconds_ago: Age of the latest proof that there were no later changes; None when
+            there is none.
         objects: Objects in the store.
         missing: Names that only the store has.
         extra: Names that only this gateway has.
         different: Names whose content differs.
-        problem: Why the store couldn't be read; empty when it was.
+        problem: Why the store couldn't be read; empty when it could.
     """
 
     kind: str
@@ -37,18 +38,18 @@
 
     @property
     def is_equal(self) -> bool:
-        """Whether the store was read, and holds what is known here."""
+        """Whether the store was read, and holds the same objects."""
         return not (self.missing or self.extra or self.different or self.problem)
 
 
 class StoreState(msgspec.Struct, frozen=True):
-    """What a gateway knows of the store.
+    """A gateway's view of the store.
 
     Attributes:
         gateway: Its name.
-        configuration: Version in force, None before the first.
+        configuration: Version in force, None before the first one.
         reads_store: It reads the store itself.
-        followed_reader: Gateway that it follows instead; empty for none.
+        followed_reader: Gateway that it follows instead; empty when there is none.
         kinds: All kinds of objects that it follows.
     """
 
@@ -62,9 +63,9 @@
 async def compare_kinds(
     store: ObjectStoreClient, mirrors: Sequence[KindMirror], now: float
 ) -> list[KindComparison]:
-    """Read each kind from the store, and compare.
+    """Read each kind from the store, and compare it with the cache.
 
-    A change that is under way shows as a difference, so one look alone says little.
+    A change that is being replicated shows as a difference, so a single comparison says little.
     """
     return [await _compare(store, mirror, now) for mirror in mirrors]
 
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -1,4 +1,4 @@
-"""Tells the gateways that follow this one what the object store holds."""
+"""Serves the contents of the object store to the gateways that follow this one."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 FEED_PATH = "/feed"
 CONTENT_PATH = "/content"
 MAX_HOLD_SECONDS = 5.0
-"""No question is kept longer, whatever it asks for."""
+"""No request is held longer, whatever time it asks for."""
 MIN_WAIT_SECONDS = 0.01
 _JSON = HeaderField(b"Content-Type", b"application/json")
 _BINARY = HeaderField(b"Content-Type", b"application/octet-stream")
 
 
 class StoreFeed:
-    """Answers the questions of followers from what the mirrors know.
+    """Answers the feed requests of followers from the mirrors.
 
-    It vouches for what the store holds, not for what may be done by it: whether the configuration
-    found there is worth anything, each gateway judges by what it knows itself.
+    It attests what the store holds, not that the configuration found there is valid: each gateway
+    judges that from its own state.
     """
 
     def __init__(
         self, context: GatewayContext, mirrors: Sequence[KindMirror], proof_mirror: KindMirror
     ) -> None:
-        """Nothing asked yet.
+        """Create a feed and subscribe it to the mirrors.
 
         Args:
             context: The gateway.
-            mirrors: What is told.
-            proven: The one of them whose calls prove that the store is read here.
+            mirrors: Kinds that are served.
+            proof_mirror: The one of them whose calls prove that the store is read here.
         """
         self._context = context
         self._proof_mirror = proof_mirror
@@ -57,59 +57,59 @@
             mirror.on_change = self._wake
 
     async def handle(self, request: ClientRequest, client: ClientConnection) -> None:
-        """Answer one question; the handler of `ClientConnection`."""
+        """Answer one request; the handler of `ClientConnection`."""
         if request.target == CONTENT_PATH.encode():
             self._answer_content(request, client)
         else:
             await self._answer_feed(request, client)
 
     def _answer_content(self, request: ClientRequest, client: ClientConnection) -> None:
-        """Bring a content that was announced; its sums tell whether it is meant."""
-        question = decode_content_question(request.body)
-        if question is None:
-            refuse(client, MalformedRequest("no question about a content"))
+        """Send an announced content, which is identified by its checksums."""
+        query = decode_content_question(request.body)
+        if query is None:
+            refuse(client, MalformedRequest("malformed content request"))
             return
-        mirror = self._mirrors.get(question.kind)
+        mirror = self._mirrors.get(query.kind)
         patch = None
         if mirror is not None:
-            patch = mirror.patch(question.name, question.base, question.result)
+            patch = mirror.patch(query.name, query.base, query.result)
         if patch is None:
-            refuse(client, NotFound("this content isn't known here"))
+            refuse(client, NotFound("this content isn't available here"))
             return
         client.send_whole(200, b"", [_BINARY], encode_patch(patch))
 
     async def _answer_feed(self, request: ClientRequest, client: ClientConnection) -> None:
         received_at = self._context.now()
-        question = decode_question(request.body)
-        if question is None:
-            refuse(client, MalformedRequest("no question about the store"))
+        query = decode_question(request.body)
+        if query is None:
+            refuse(client, MalformedRequest("malformed feed request"))
             return
-        self._note_positions(question)
-        self._note_configuration(question)
-        self._context.confirmed_era.on_told(question.confirmed_era)
-        await self._wait_for_changes(question, received_at)
-        if not self._can_attest() or self._is_an_era_behind(question):
-            refuse(client, NotReady("the store isn't read here now"))
+        self._note_positions(query)
+        self._note_configuration(query)
+        self._context.confirmed_era.on_told(query.confirmed_era)
+        await self._wait_for_changes(query, received_at)
+        if not self._can_attest() or self._is_an_era_behind(query):
+            refuse(client, NotReady("this gateway isn't reading the store at present"))
             return
         changed_kinds = [
-            self._mirrors[asked.kind].since(asked.place, question.takes_patches)
-            for asked in question.positions
+            self._mirrors[asked.kind].since(asked.place, query.takes_patches)
+            for asked in query.positions
             if asked.kind in self._mirrors
         ]
         proof_offset = self._proof_mirror.proved_at - received_at
         changes = [kind for kind in changed_kinds if kind is not None]
-        answer = self._with_pending_change(FeedAnswer(changes, proof_offset), question, received_at)
-        client.send_whole(200, b"", [_JSON], encode_answer(answer, question.takes_patches))
+        answer = self._with_pending_change(FeedAnswer(changes, proof_offset), query, received_at)
+        client.send_whole(200, b"", [_JSON], encode_answer(answer, query.takes_patches))
 
     def _with_pending_change(
-        self, answer: FeedAnswer, question: FeedQuestion, received_at: float
+        self, answer: FeedAnswer, query: FeedQuestion, received_at: float
     ) -> FeedAnswer:
-        """The answer with what is known of a configuration that it doesn't bring."""
+        """Add to an answer what is known of a newer configuration that it doesn't contain."""
         context = self._context
         effect = not_out_at = None
         if any(kind.kind == self._proof_mirror.kind and kind.is_announced for kind in answer.kinds):
-            effect = context.effects.since(question.configuration)
-            not_out_at = context.effects.not_out_at(question.configuration)
+            effect = context.effects.since(query.configuration)
+            not_out_at = context.effects.not_out_at(query.configuration)
         else:
             not_out_at = context.lag.not_out_at
         return msgspec.structs.replace(
@@ -121,29 +121,32 @@
             confirmed_era=context.confirmed_era.latest,
         )
 
-    def _note_configuration(self, question: FeedQuestion) -> None:
-        """A follower that knows no later state of the store, but a later configuration."""
+    def _note_configuration(self, query: FeedQuestion) -> None:
+        """Detect that the store has lost a configuration which a follower has in force.
+
+        Such a follower has a later configuration, but no later position of the store.
+        """
         known = self._proof_mirror.position
         asked = next(
-            (item.place for item in question.positions if item.kind == self._proof_mirror.kind),
+            (item.place for item in query.positions if item.kind == self._proof_mirror.kind),
             None,
         )
         if known is not None and asked is not None and asked <= known:
-            self._context.on_lost_configuration(question.configuration)
+            self._context.on_lost_configuration(query.configuration)
 
-    def _note_positions(self, question: FeedQuestion) -> None:
-        for asked in question.positions:
+    def _note_positions(self, query: FeedQuestion) -> None:
+        for asked in query.positions:
             mirror = self._mirrors.get(asked.kind)
             known = mirror.position if mirror is not None else None
             if known is not None and asked.place is not None:
                 self._context.record.store.follower_position(asked.kind, asked.place, known)
 
-    def _is_an_era_behind(self, question: FeedQuestion) -> bool:
-        """Whether the follower knows of a return of the store that isn't known here.
+    def _is_an_era_behind(self, query: FeedQuestion) -> bool:
+        """Whether the follower knows of a restore of the store that isn't known here yet.
 
-        What is proved here is then of a history that the store has lost.
+        The proofs of this gateway then belong to a history that the store has lost.
         """
-        for asked in question.positions:
+        for asked in query.positions:
             mirror = self._mirrors.get(asked.kind)
             known = mirror.position if mirror is not None else None
             position = asked.place
@@ -152,10 +155,10 @@
         return False
 
     def _can_attest(self) -> bool:
-        """Whether what is known here is current enough to be told.
+        """Whether the mirrors are current enough to be served.
 
-        While a change is on its way here, followers have nothing to gain from the store: each of
-        them would ask it for the same content.
+        The allowed age is higher while this gateway is receiving a change: followers that turned to
+        the store would only request the same content from it.
         """
         context = self._context
         if not context.reads_store or context.stopping:
@@ -171,12 +174,12 @@
     def _proof_ends_at(self) -> float:
         return self._proof_mirror.proved_at + self._context.replication_times.max_proof_age
 
-    async def _wait_for_changes(self, question: FeedQuestion, received_at: float) -> None:
-        """Wait until there is something to tell, or the question was kept long enough."""
-        until = received_at + min(question.hold_seconds, MAX_HOLD_SECONDS)
-        if self._is_an_era_behind(question):
+    async def _wait_for_changes(self, query: FeedQuestion, received_at: float) -> None:
+        """Wait until there are changes, or until the request has been held long enough."""
+        until = received_at + min(query.hold_seconds, MAX_HOLD_SECONDS)
+        if self._is_an_era_behind(query):
             return
-        while self._can_attest() and not self._has_changes(question):
+        while self._can_attest() and not self._has_changes(query):
             ends_at = min(until, self._proof_ends_at()) if self._is_proof_current() else until
             seconds = ends_at - self._context.now()
             if seconds <= 0 and ends_at == until:
@@ -193,10 +196,10 @@
             timer.cancel()
             self._waiters.discard(waiter)
 
-    def _has_changes(self, question: FeedQuestion) -> bool:
+    def _has_changes(self, query: FeedQuestion) -> bool:
         return any(
             self._mirrors[asked.kind].has_changes(asked.place)
-            for asked in question.positions
+            for asked in query.positions
             if asked.kind in self._mirrors
         )
 
--- a/src/milletcourse/gateway/store/store_sync.py
+++ b/src/milletcourse/gateway/store/store_sync.py
@@ -1,4 +1,4 @@
-"""Keeps the mirrors current: from a reader among the gateways, or from the store itself."""
+"""Keeps the mirrors current, from a reader among the gateways or from the store itself."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 from milletcourse.gateway.store.object_store import ObjectStoreClient, StoreError
 
 READER_CHECK_SECONDS = 0.1
-"""While the store is read here, a reader that may be followed is looked for this often."""
+"""Interval of checks for a reader to follow, while this gateway reads the store itself."""
 READER_WAIT_SECONDS = 0.7
-"""At a start a reader is waited for this long, since many gateways may start together."""
+"""Time to wait for a reader at a start, since many gateways may start at once."""
 FIRST_LIST_TIMEOUT_SECONDS = 0.8
-"""A store whose lists don't begin to come by now is left; readers may know them."""
+"""Lists whose answers haven't begun after this time are given up; a reader may have them."""
 MIN_FIRST_FEED_MEGABITS = 50.0
-"""A reader with a narrower link isn't asked for all that there is: some 100 KB in 20 ms here."""
+"""Narrowest link of a reader that is asked for all objects: 100 KB take some 20 ms on it."""
 MIN_POLL_INTERVAL_SECONDS = 0.02
-"""Between two questions, so that a burst of changes comes in few answers."""
+"""Pause between two requests, so that a burst of changes arrives in few answers."""
 
 
 class WatchedKind(msgspec.Struct, frozen=True):
     """How a kind is read from the store.
 
     Attributes:
-        mirror: Takes what is learnt.
+        mirror: Receives the lists and changes.
         wait_seconds: Longest wait of a watch.
-        stale_lists: Read lists stale and bring them up to date by a watch: for many pages.
+        stale_lists: Read stale lists and bring them up to date by a watch; for kinds of many pages.
     """
 
     mirror: KindMirror
@@ -49,9 +49,9 @@
 
 
 class StoreSync:
-    """Follows a reader while there is one, and reads the store while there is none.
+    """Follows a reader while there is one, and reads the store otherwise.
 
-    It alone sets `reads_store` and `followed_reader` of the context.
+    Only this class sets `reads_store` and `followed_reader` of the context.
     """
 
     def __init__(
@@ -99,28 +99,31 @@
             await asyncio.sleep(READER_CHECK_SECONDS)
 
     def close(self) -> None:
-        """Stop reading."""
+        """Stop reading the store."""
         self._stop_watches()
 
     async def _list_gateways(self) -> bool:
-        """Whether it is known whom to ask: a list that is some seconds old is cheap, and does."""
+        """Read the list of gateways; True when it succeeded.
+
+        A stale list, which may be some seconds old, is cheap and suffices to find the readers.
+        """
         mirror = self._mirrors[self._gateways_kind]
         try:
             objects, position, sent_at = await self._store.list_all(
                 mirror.kind, stale=True, attempts_seconds=FIRST_LIST_TIMEOUT_SECONDS
             )
         except StoreError:
-            # The watches go on asking.
+            # The watches retry.
             self._context.log.emit("gateways-unknown-at-start")
             return False
         mirror.on_list(objects, position, sent_at, is_stale=True)
         return True
 
     async def _sync_at_start(self) -> bool:
-        """Whether a reader with a wide link, asked once, tells all that there is.
+        """Get all objects in one request from a reader with a wide link; True when it succeeded.
 
-        A gateway that restarts alone gets it so, and costs the store nothing. After a loss of all,
-        readers start too: they refuse, or aren't there, and all gateways read their first lists
+        A gateway that restarts alone thus costs the store nothing. When all gateways restart, the
+        readers are starting too and refuse or don't answer, so all gateways read their first lists
         from the store, whose link is far wider than any reader's.
         """
         reader = self._plan.choose(self._context.now())
@@ -129,7 +132,7 @@
         return await self._sync_without_hold(reader)
 
     async def _list_all_kinds(self) -> None:
-        """Know all kinds before the first choice of a reader; they come all at once."""
+        """List all kinds concurrently, before the first choice of a reader."""
         await asyncio.gather(*(self._list_kind(kind) for kind in self._kinds))
 
     async def _list_kind(self, kind: WatchedKind) -> None:
@@ -143,7 +146,7 @@
                 self._store, mirror.kind, kind.stale_lists, FIRST_LIST_TIMEOUT_SECONDS
             )
         except StoreError as error:
-            # The watches, or a reader, bring it later.
+            # The watches or a reader deliver it later.
             self._context.log.emit("first-list-failed", kind=mirror.kind, problem=str(error))
             return
         mirror.on_list(objects, position, sent_at, kind.stale_lists)
@@ -151,7 +154,7 @@
     # -- following a reader ---------------------------------------------------------------------
 
     async def _follow(self, reader: GatewayRecord) -> None:
-        """Ask one reader again and again until it fails or another one goes before it."""
+        """Poll one reader until it fails, or until another one takes precedence."""
         self._context.followed_reader = reader.name
         self._context.log.emit("reader-followed", reader=reader.name)
         outcome = FeedOutcome.SYNCED
@@ -164,31 +167,31 @@
         self._context.log.emit("reader-lost", reader=reader.name, outcome=outcome.value)
         if await self._sync_from_other_reader():
             return
-        # Whatever the reader is silent about must not be missed here.
+        # Changes that the failed reader doesn't report must not be missed here.
         self._start_watches()
 
     async def _sync_from_other_reader(self) -> bool:
-        """Whether another reader tells what there is, after one did not.
+        """Poll another reader after one has failed; True when it succeeded.
 
-        All followers of a reader lose it in the same moment; were each to read the store at once,
-        its trouble would cost a call a follower and kind whenever it comes.
+        All followers of a reader lose it at the same moment. If each then read the store, every
+        failure of a reader would cost one call per follower and kind.
         """
         reader = self._plan.choose(self._context.now())
         return reader is not None and await self._sync_without_hold(reader)
 
     async def _sync_without_hold(self, reader: GatewayRecord) -> bool:
-        """Whether a reader tells what there is without keeping the question."""
+        """Poll a reader without a hold; True when it succeeded."""
         return await self._feed.poll(reader, 0.0, QUICK_REFUSAL_SECONDS) is FeedOutcome.SYNCED
 
     def _has_lost_store(self) -> bool:
-        """Whether this gateway reads the store, and its latest call about it failed."""
+        """Whether this gateway reads the store, and its latest call failed."""
         return self._leading_watch is not None and not self._leading_watch.reached.is_set()
 
     async def _follow_substitute(self) -> None:
-        """Learn from another reader for as long as the store can't be reached from here.
+        """Poll another reader for as long as the store can't be reached from here.
 
-        The store may turn away this gateway alone. Its own watches go on meanwhile, since they find
-        out when that is over; what is learnt is as old as the other reader's proof says.
+        The store may refuse this gateway alone. Its own watches go on meanwhile, to detect when the
+        store can be reached again; the proofs are as old as those of the other reader.
         """
         reader = self._plan.choose_substitute(self._context.now())
         if reader is None or await self._feed.poll(reader, 0.0) is not FeedOutcome.SYNCED:
--- a/tests/gateway/store/test_feed_contents_machine.py
+++ b/tests/gateway/store/test_feed_contents_machine.py
@@ -41,14 +41,14 @@
             self.take(self.pending.take(fed, position))
 
     def fetch(self, reader: KindMirror) -> None:
-        question = self.pending.missing("kind")
-        if question is None:
+        query = self.pending.missing("kind")
+        if query is None:
             return
-        patch = reader.patch(question.name, question.base, question.result)
+        patch = reader.patch(query.name, query.base, query.result)
         if patch is None:
             self.pending.drop("kind")
             return
-        self.take(self.pending.on_patch(question, patch))
+        self.take(self.pending.on_patch(query, patch))
 
     def take(self, ready: list[FedUpdate]) -> None:
         for update in ready:
