--- a/src/milletcourse/gateway/state/cache_store_availability.py
+++ b/src/milletcourse/gateway/state/cache_store_availability.py
@@ -21,8 +21,8 @@
         """Create a state in which all stores are assumed to answer.
 
         Args:
-            stores: Known contents of the stores; those of an unreachable store are dropped, since it
-                may have lost them.
+            stores: Known contents of the stores; those of an unreachable store are dropped,
+                since it may have lost them.
             log: Gets a line for each change.
         """
         self.unreachable: set[str] = set()
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -67,11 +67,12 @@
     Attributes:
         mechanisms: Mechanisms that are switched on.
         planned_stop: The planned stop in progress, None before.
-        replication_times: How often the state of the object store is asked for.
+        replication_times: Wait times and proof ages for replication of the object store.
         descriptors: Partition of the file descriptors of this process.
         short_of_descriptors_until: Until this monotonic time client connections count as waiting to
             be accepted for lack of descriptors.
-        responsive_clock: Time by which the silence of others is judged.
+        responsive_clock: Time during which the event loop ran, against which timeouts on the silence
+            of peers and servers are measured.
         lag: Which requests may be decided by the configuration in force while a newer one is being
             received.
         effects: Effects of the latest configuration changes.
--- a/src/milletcourse/gateway/state/settings.py
+++ b/src/milletcourse/gateway/state/settings.py
@@ -17,7 +17,7 @@
         grace: Time between the stop signal and the kill.
         lease: Duration of a lease.
         version: Time after which no requests start on another weight version than the target.
-        retry_ratio: Sends beyond the first of each request, as a share of requests, over all gateways.
+        retry_ratio: Sends beyond the first of a request, as a share of requests, over all gateways.
         retry_slack: Such sends that are allowed in addition to the share, over all gateways.
         budget_window: Window in which requests and these sends are counted.
         limit_window: Window in which a tenant's use is compared with its limit.
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -32,7 +32,7 @@
 """A refusal within this time shows that the machine runs; its process may just be starting."""
 CONTENT_TIMEOUT_SECONDS = 3.0
 """A content whose answer hasn't begun after this time is given up. The time is long, since a reader
-sends a content to all its followers at once; its other answers show meanwhile whether it is alive."""
+sends a content to all its followers at once; its other answers show meanwhile if it is alive."""
 
 
 class FeedOutcome(Enum):
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -66,7 +66,7 @@
         """
 
     def on_pending_proof(self, sent_at: float) -> None:
-        """Handle a proof that, as of a call sent at this time, only announced ones are missing."""
+        """Handle a proof that only announced changes were missing when a call was sent."""
 
 
 class NoOpEventHandler:
