--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -71,8 +71,8 @@
         descriptors: Partition of the file descriptors of this process.
         short_of_descriptors_until: Until this monotonic time client connections count as waiting to
             be accepted for lack of descriptors.
-        responsive_clock: Time during which the event loop ran, against which timeouts on the silence
-            of peers and servers are measured.
+        responsive_clock: Time during which the event loop ran, by which timeouts on the silence of
+            peers and servers are measured.
         lag: Which requests may be decided by the configuration in force while a newer one is being
             received.
         effects: Effects of the latest configuration changes.
--- a/tests/gateway/store/test_announced_changes.py
+++ b/tests/gateway/store/test_announced_changes.py
@@ -1,4 +1,4 @@
-"""Requests while a configuration is on its way: what it concerns, and what goes on."""
+"""Requests while a configuration is being received: which of them it affects."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def view_of(before: ExchangeConfiguration, after: ExchangeConfiguration) -> EffectView:
-    """What changes between two configurations."""
+    """The effect of a change between two configurations."""
     effect = effect_of(before, after)
     assert effect is not None
     return EffectView(effect)
@@ -70,8 +70,8 @@
         ("/a/1", "x", False),
     ],
 )
-def test_an_effect_tells_what_a_change_concerns(path: str, key: str, is_concerned: bool) -> None:
-    """Routes that are new, gone or moved, and keys that are new."""
+def test_an_effect_lists_what_a_change_concerns(path: str, key: str, is_concerned: bool) -> None:
+    """Routes that are new, removed or moved, and keys that are new."""
     view = view_of(BEFORE, AFTER)
     assert view.concerns("site", path, key) is is_concerned
     assert not view.concerns("other-site", path, "kept")
@@ -79,19 +79,19 @@
 
 
 def test_the_same_content_concerns_nothing() -> None:
-    """A version of its own, and nothing else."""
+    """Two configurations that differ at most in the version have an empty effect."""
     assert effect_of(BEFORE, BEFORE) == ConfigurationEffect(b"", b"", b"")
 
 
-def test_an_effect_beyond_what_is_told_concerns_all() -> None:
-    """So does one that asks for keys where none were asked for."""
+def test_an_effect_beyond_the_size_limit_concerns_all() -> None:
+    """So does one that requires keys where none were required before."""
     many = version(2, [route(f"/{number}/") for number in range(MAX_ENTRIES + 1)], {})
     assert effect_of(version(1, [], {}), many) is None
     assert effect_of(version(1, [], {}), version(2, [], {"t": ("key",)})) is None
 
 
-def test_a_history_joins_what_lies_between_two_versions() -> None:
-    """And knows nothing of versions that it did not see."""
+def test_a_history_joins_the_effects_between_two_versions() -> None:
+    """It has no effects for versions that it did not see."""
     history = EffectHistory()
     assert history.since(1) is None
     history.note(BEFORE, AFTER, 3.0)
@@ -108,7 +108,7 @@
 
 
 def test_what_a_change_may_concern_is_refused_once_it_is_due() -> None:
-    """From the latest proof without it, and only until all is in force."""
+    """Due from the latest proof without the change on, and only until it is in force."""
     lag = ConfigurationLag(APPLY_SECONDS)
     assert lag.judge(0.0, "site", "/b/", "old") is LagVerdict.AS_BEFORE
     lag.on_announced(10.0, effect_of(BEFORE, AFTER))
@@ -124,7 +124,7 @@
 
 
 def test_an_effect_that_can_not_be_read_concerns_all() -> None:
-    """Whoever sent it."""
+    """A malformed effect, whatever its source, must not let a request pass."""
     lag = ConfigurationLag(APPLY_SECONDS)
     lag.on_announced(10.0, ConfigurationEffect(b"123", b"", b""))
     assert lag.may_concern("site", "/a/", "kept") and not lag.knows_effect
@@ -154,7 +154,7 @@
 
 
 def _larger(number: int, keys: dict[str, list[str]]) -> dict[str, object]:
-    """A version with routes that nobody can compress, and some keys."""
+    """A version with incompressible routes, and some keys."""
     from test_large_configurations import large_configuration
 
     document = large_configuration(number, 300)
@@ -165,7 +165,7 @@
 
 
 def test_a_revoked_key_does_not_wait_for_the_content(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It is refused as soon as the change is announced; others go on, with proofs."""
+    """It is refused as soon as the change is announced; other keys stay valid, with proofs."""
 
     async def scenario(harness: Harness) -> None:
         _, follower, released = await _pair_with_held_contents(harness, monkeypatch)
@@ -188,7 +188,7 @@
         await harness.until(lambda: context.freshness.proved_at > later)
         client.send("/safe/", "request-10", key="key-1")
         got = await client.read_answer()
-        assert got is not None and got.status == 200, "what isn't concerned goes on"
+        assert got is not None and got.status == 200, "unaffected requests are served"
         released.set()
         await harness.until(
             lambda: context.route_table is not None and context.route_table.version == 2
@@ -205,7 +205,7 @@
 def test_a_route_that_changes_is_refused_when_the_change_is_due(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """By the old version until then, and by none after it while the content doesn't come."""
+    """The old version applies until then; later, requests are refused until the content arrives."""
 
     async def scenario(harness: Harness) -> None:
         _, follower, released = await _pair_with_held_contents(harness, monkeypatch)
@@ -233,10 +233,10 @@
     run_with_gateway(scenario)
 
 
-def test_a_follower_whose_reader_ends_before_the_content_came_gets_it_from_the_store(
+def test_a_follower_whose_reader_stops_before_the_content_arrives_reads_it_from_the_store(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It goes on from the state that it knows, not from the one that was announced."""
+    """It starts from its own position, not from the announced one."""
 
     async def scenario(harness: Harness) -> None:
         reader, follower, _ = await _pair_with_held_contents(harness, monkeypatch)
--- a/tests/gateway/store/test_entries_of_other_writers.py
+++ b/tests/gateway/store/test_entries_of_other_writers.py
@@ -1,9 +1,10 @@
-"""Entries that another writer put into the store: they name no server, and the others hold.
+"""Malformed entries from other writers: they name no server, and don't affect the valid entries.
 
-An entry whose address had no port ended requests in 500, 3 of 60 beside one good server and all of
-them once it had replaced the good one's: the port was read outside of the errors of a connection.
-An entry that became unreadable stayed in use when a change told it and went when a list did, and an
-object without a name made the whole list fail, so that the store counted as unstable.
+Guards against three failures. An address without a port made requests fail with 500 (3 of 60 next
+to a valid server, all of them once it had replaced the valid address), since the port was parsed
+outside the handling of connection errors. An entry that became malformed was removed by a list, but
+stayed in use after a change. An object without a name made the whole list fail, so that the store
+counted as unstable.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
     "Sequence": 0,
     "born": 1_700_000_000_000,
 }
-STRANGE: list[Any] = [
+MALFORMED: list[Any] = [
     None,
     [],
     "text",
@@ -81,8 +82,8 @@
 
 
 @given(entries)
-def test_decoders_understand_an_entry_or_say_that_they_do_not(entry: object) -> None:
-    """Whatever it holds; what they understand has an address that can be connected to."""
+def test_decoders_decode_an_entry_or_raise_a_decode_error(entry: object) -> None:
+    """For any content; a decoded entry has an address that can be connected to."""
     spec = json.dumps(entry).encode()
     try:
         split_address(decode_instance("e-1", spec).address)
@@ -97,16 +98,16 @@
 
 
 @given(st.binary(max_size=60))
-def test_bytes_that_are_no_entry_are_refused_in_the_same_way(spec: bytes) -> None:
-    """Also those that are no text."""
+def test_bytes_that_are_no_entry_raise_a_decode_error(spec: bytes) -> None:
+    """Also bytes that aren't text."""
     with pytest.raises(DECODE_ERRORS):
         decode_instance("e-1", spec)
     assert decode_entry(spec) is None
 
 
 @given(st.lists(st.one_of(json_values, st.just({"Metadata": {"Name": "a"}, "Spec": {}}))))
-def test_objects_without_a_name_cost_no_other_object(items: list[object]) -> None:
-    """Each of a list's and of a watch's objects is read by itself."""
+def test_objects_without_a_name_affect_no_other_object(items: list[object]) -> None:
+    """Each object of a list and of a watch is decoded on its own."""
     dialect = PlatformStoreDialect()
     good = {"Metadata": {"Name": "good", "Revision": 3}, "Spec": {"x": 1}}
     page = dialect.read_page(
@@ -122,27 +123,27 @@
 
 
 async def served(harness: Harness) -> int:
-    """How many of some requests are served."""
+    """Number of requests that succeed, of `REQUESTS`."""
     client = await harness.client()
     answers = [await client.ask("/safe/") for _ in range(REQUESTS)]
     return sum(got.status == 200 for got in answers)
 
 
-@pytest.mark.parametrize("told_by", ["list", "change"])
-def test_strange_entries_beside_a_good_server_cost_no_request(told_by: str) -> None:
-    """Told by a list or by changes."""
+@pytest.mark.parametrize("source", ["list", "change"])
+def test_malformed_entries_next_to_a_valid_server_fail_no_request(source: str) -> None:
+    """Whether a list or changes contain them."""
 
     def put_all(harness: Harness) -> None:
-        for number, spec in enumerate(STRANGE):
+        for number, spec in enumerate(MALFORMED):
             harness.store.put("servers", f"strange-{number}", spec)
         harness.store.put("milletcourse-gateways", "stranger", {"address": "127.0.0.1:99999"})
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
-        if told_by == "list":
+        if source == "list":
             put_all(harness)
         await harness.start()
-        if told_by == "change":
+        if source == "change":
             put_all(harness)
             await harness.add_server("app-2", "app", serve_whole)
             await harness.until(harness.is_ready)
@@ -152,7 +153,7 @@
 
 
 def test_an_entry_that_becomes_unreadable_names_no_server() -> None:
-    """And a good one that comes after it does again."""
+    """A valid entry that replaces it names a server again."""
 
     async def scenario(harness: Harness) -> None:
         first = await harness.add_server("app-1", "app", serve_whole)
@@ -160,8 +161,8 @@
         await harness.start()
         assert harness.node is not None
         table = harness.node.context.instances
-        for strange in ({**GOOD, "Address": "nowhere"}, None, {"Service": 1}):
-            harness.store.put("servers", "app-1", strange)
+        for malformed in ({**GOOD, "Address": "nowhere"}, None, {"Service": 1}):
+            harness.store.put("servers", "app-1", malformed)
             await harness.until(lambda: table.get("app-1") is None)
             before = len(first.received)
             assert await served(harness) == REQUESTS
--- a/tests/gateway/store/test_feed_contents_machine.py
+++ b/tests/gateway/store/test_feed_contents_machine.py
@@ -1,4 +1,4 @@
-"""Whatever readers tell and bring, a follower's state is one that the store went through."""
+"""A follower's state is always one that the store had, whatever its readers announce and send."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 READERS = 2
 FOLLOWERS = 2
 SETTLING_ROUNDS = 40
-"""More than contents can wait at a follower."""
+"""More than the contents that can be pending at a follower."""
 
 
 class _Follower:
-    """What `FeedClient` does, one step at a time."""
+    """Does the work of `FeedClient` one step at a time."""
 
     def __init__(self) -> None:
         self.mirror = KindMirror("kind", NoOpEventHandler())
@@ -62,7 +62,7 @@
 
 
 def _content(draw: int, previous: bytes | None) -> bytes:
-    """A content that shares most entries with the one before; some are small."""
+    """A content that shares most entries with the previous one; some contents are small."""
     source = random.Random(draw)
     entries = (previous or b"").split(b"},")[:-1]
     if source.random() < 0.3:
@@ -77,7 +77,7 @@
 
 
 class ToldContents(RuleBasedStateMachine):
-    """A store, readers that follow it, and followers that ask either of them."""
+    """A store, readers that follow it, and followers that poll one of the readers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -96,7 +96,7 @@
 
     @rule(name=st.sampled_from(NAMES), draw=st.integers(0, 10**6), is_told=st.booleans())
     def change(self, name: str, draw: int, is_told: bool) -> None:
-        """An object gets another content; followers may hear of it at once."""
+        """Change the content of an object; readers and followers may be updated at once."""
         self.position = StorePlace(self.position.era, self.position.revision + 1)
         known = self.objects.get(name)
         stored = StoredObject(name, self.position, _content(draw, known.spec if known else None))
@@ -110,19 +110,19 @@
 
     @rule(name=st.sampled_from(NAMES))
     def remove(self, name: str) -> None:
-        """An object goes."""
+        """Delete an object."""
         if name in self.objects:
             self.position = StorePlace(self.position.era, self.position.revision + 1)
             self._commit(ObjectChange(self.objects.pop(name), deleted=True))
 
     @rule(number=st.integers(0, READERS - 1))
     def watch(self, number: int) -> None:
-        """A reader hears of all changes since its state."""
+        """A reader receives all changes since its position."""
         self._watch(self.readers[number])
 
     @rule(number=st.integers(0, FOLLOWERS - 1))
     def follower_reads_the_store(self, number: int) -> None:
-        """While it has no reader."""
+        """A follower without a reader watches the store itself."""
         mirror = self.followers[number].mirror
         if mirror.position is not None:
             self._watch(mirror)
@@ -133,8 +133,8 @@
         if known.era != self.position.era:
             self._list(mirror)
             return
-        news = tuple(change for position, change in self.events if position > known)
-        mirror.on_changes(ObjectChanges(news, self.position), 0.0)
+        new_changes = tuple(change for position, change in self.events if position > known)
+        mirror.on_changes(ObjectChanges(new_changes, self.position), 0.0)
 
     @rule(number=st.integers(0, READERS - 1))
     def list(self, number: int) -> None:
@@ -146,7 +146,7 @@
 
     @rule(draw=st.integers(1, 5))
     def come_back(self, draw: int) -> None:
-        """The store comes back from an older copy, and a change is written again."""
+        """The store is restored from an older snapshot, which starts a new era."""
         positions = [position for position in self.history if position.era == self.position.era]
         kept = positions[-min(draw, len(positions))]
         self.objects = {
@@ -158,32 +158,32 @@
 
     @rule(number=st.integers(0, FOLLOWERS - 1))
     def ask(self, number: int) -> None:
-        """A follower asks its reader, which tells or announces."""
+        """A follower polls its reader, which sends or announces contents."""
         follower = self.followers[number]
         follower.ask(self.readers[follower.reader])
 
     @rule(number=st.integers(0, FOLLOWERS - 1))
     def fetch(self, number: int) -> None:
-        """A content that was announced comes, or isn't there any more."""
+        """A follower fetches an announced content, which may be unavailable by now."""
         follower = self.followers[number]
         follower.fetch(self.readers[follower.reader])
 
     @rule(number=st.integers(0, FOLLOWERS - 1), reader=st.integers(0, READERS - 1))
     def change_reader(self, number: int, reader: int) -> None:
-        """It follows another one; what was announced is left."""
+        """A follower changes its reader, and drops the announced contents."""
         follower = self.followers[number]
         follower.pending.clear()
         follower.reader = reader
 
     @invariant()
     def followers_know_states_of_the_store(self) -> None:
-        """What a mirror knows is what the store held at its place."""
+        """The objects of a mirror are those of the store at the mirror's position."""
         for mirror in (*self.readers, *(follower.mirror for follower in self.followers)):
             if mirror.position is not None:
                 assert mirror.specs() == self.history[mirror.position]
 
     def teardown(self) -> None:
-        """In the end all know what the store holds."""
+        """After settling, all mirrors hold the objects of the store."""
         for reader in self.readers:
             self._watch(reader)
         for follower in self.followers:
@@ -196,7 +196,7 @@
 
 
 def list_of(objects: dict[str, StoredObject]) -> list[StoredObject]:
-    """All objects of a list."""
+    """All objects as a list."""
     return [*objects.values()]
 
 
@@ -213,11 +213,11 @@
     report_multiple_bugs=False,
 )
 FINDING_RUNS = settings(RUNS, max_examples=2000, phases=[Phase.generate])
-"""Until the first find, without making it smaller."""
+"""Stops at the first failure, without shrinking it."""
 
 
-def test_followers_only_know_states_that_the_store_went_through() -> None:
-    """Across announcements, lost contents, other readers and returns of the store."""
+def test_followers_only_have_states_that_the_store_had() -> None:
+    """Also across announcements, lost contents, changes of the reader and restores of the store."""
     run_state_machine_as_test(ToldContents, settings=RUNS)
 
 
@@ -297,6 +297,6 @@
 
 @pytest.mark.parametrize("defect", DEFECTS)
 def test_a_known_defect_is_found(defect: Callable[[], AbstractContextManager[None]]) -> None:
-    """Each breaks the same invariant."""
+    """The invariant detects each of these defects."""
     with defect(), pytest.raises(AssertionError):
         run_state_machine_as_test(ToldContents, settings=FINDING_RUNS)
--- a/tests/gateway/store/test_gateway_store.py
+++ b/tests/gateway/store/test_gateway_store.py
@@ -1,4 +1,4 @@
-"""What a gateway takes from the object store: configuration, keys, servers, weight versions."""
+"""What a gateway reads from the object store: configuration, keys, servers, weight versions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_unknown_keys_routes_and_missing_ids_are_refused_without_a_send() -> None:
-    """401, 404 and 400, each before any server is asked."""
+    """401, 404 and 400, each before any request is sent to a server."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -45,8 +45,8 @@
     run_with_gateway(scenario)
 
 
-def test_unknown_keys_get_401_however_old_a_calm_proof_is() -> None:
-    """A watch that waits proves the time of its sending: its age goes up to twice the wait."""
+def test_unknown_keys_get_401_however_old_the_proof_of_a_stable_store_is() -> None:
+    """A watch proves the state as of its sending, so a proof's age reaches twice its wait."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -60,7 +60,7 @@
 
 
 def test_a_taken_internal_port_does_not_keep_a_gateway_from_serving() -> None:
-    """It takes the next one of the range, or serves without its peers."""
+    """It binds the next port of the range, or serves without its peers."""
 
     async def scenario(harness: Harness) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
@@ -94,7 +94,7 @@
 
 
 def test_a_gateway_is_not_ready_before_it_knows_the_servers() -> None:
-    """Clients were sent to one that had nobody to send them to, and got 503."""
+    """Otherwise it gets client requests while it has no servers, and answers 503."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -113,7 +113,7 @@
 
 
 def test_revoked_key_is_refused_and_no_older_version_returns() -> None:
-    """A new version takes effect; an older one shown later doesn't."""
+    """A new version takes effect; an older one that is written later doesn't."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -137,7 +137,7 @@
 
 
 def test_keys_are_refused_when_the_store_is_silent_for_too_long() -> None:
-    """Fail closed: 503 with a time, and not ready; public routes are served on."""
+    """Fail closed: 503 with `Retry-After`, and not ready; public routes are still served."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -158,7 +158,7 @@
 
 
 def test_a_malformed_configuration_proves_nothing() -> None:
-    """Keys are not trusted while the newest configuration can't be understood."""
+    """Keys are refused while the newest configuration can't be decoded."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -176,7 +176,7 @@
 
 
 def test_lost_history_is_listed_again() -> None:
-    """A watch that gets 410 lists, and sees what it missed."""
+    """A watch that gets 410 is followed by a list, which shows the missed changes."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -201,7 +201,10 @@
 
 
 def test_a_long_list_is_read_while_the_store_refuses_many_calls() -> None:
-    """A refused page is asked for again; the list isn't begun anew, as a herd would do for ever."""
+    """A refused page is requested again.
+
+    Many gateways that restart their lists at every refusal might never finish them.
+    """
 
     async def scenario(harness: Harness) -> None:
         server = StandinServer("template", serve_whole)
@@ -223,7 +226,7 @@
 
 
 def test_a_stale_list_is_brought_up_to_date_before_it_is_used() -> None:
-    """What changed since the stale page comes with the first watch."""
+    """The first watch brings the changes since the stale page."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -240,8 +243,8 @@
     run_with_gateway(scenario)
 
 
-def test_entries_that_vanish_with_the_store_are_doubtful_not_gone() -> None:
-    """Servers whose entries lapse while the store fails are still used."""
+def test_entries_that_vanish_while_the_store_fails_are_unverified_not_removed() -> None:
+    """Servers whose entries are deleted while the store fails are still used."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -267,8 +270,8 @@
 # -- weight versions ----------------------------------------------------------------------------
 
 
-def test_isolated_tenants_and_versions_have_salts_of_their_own() -> None:
-    """The salt covers model, weight version, and the tenant where it is isolated."""
+def test_isolated_tenants_and_versions_have_separate_salts() -> None:
+    """The salt covers the model, the weight version, and the tenant if it is isolated."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("e-1", "engine", stream_of_four, 3)
@@ -282,8 +285,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_shared_part_has_one_store_wherever_it_is_read() -> None:
-    """Servers of all zones take it from there and send it there, short as it may be."""
+def test_a_shared_prefix_has_one_store_in_all_zones() -> None:
+    """Servers of all zones import it from there and export it there, however short it is."""
     parts = [("5c1e07a2", "91bd3f06"), ("0a0b0c0d", "0badcafe"), ("1f1f1f1f", "2e2e2e2e")]
 
     async def scenario(harness: Harness) -> None:
@@ -304,7 +307,7 @@
         for shared, own in parts:
             sources = set()
             for number in range(6):
-                # Each server in turn is passed over, so that others get the prompt.
+                # Each server in turn is excluded, so that the others get the prompt.
                 health[f"e-{zones[number % 3]}"].on_order(harness.node.context.now() + 5.0)
                 prompt = {"Prompt_Prefix": f"{shared}:60,{own}:20", "Token_Usage": "80,4"}
                 got = await (await harness.client()).ask(
@@ -323,8 +326,8 @@
     run_with_gateway(scenario)
 
 
-def test_refused_version_is_learnt_and_the_request_goes_on() -> None:
-    """A server that moved on answers 421; the same request then runs on the newest version."""
+def test_a_refused_version_is_noted_and_the_request_runs_on_the_newest_one() -> None:
+    """A server with newer weights answers 421; the same request then runs on the newest version."""
 
     async def moved_on(
         server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
@@ -351,7 +354,7 @@
 
 
 def successor_of(successor: str) -> Behaviour:
-    """A server that runs as another incarnation than its entry says."""
+    """A server that answers as another incarnation than that of its entry."""
 
     async def behave(
         server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
@@ -362,10 +365,10 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/", "/unsafe/"])
-def test_an_ended_incarnation_gets_one_request_at_most(path: str) -> None:
-    """Another incarnation at its address shows its end, long before its entry goes.
+def test_a_terminated_incarnation_gets_one_request_at_most(path: str) -> None:
+    """Another incarnation at its address shows its termination, long before its entry is deleted.
 
-    The other server is slow, so that the ended one, which answers at once, looks better.
+    The other server is slow, so that the terminated one, which answers at once, seems preferable.
     """
 
     async def serve_slowly(
@@ -387,7 +390,7 @@
 
 
 def test_an_answer_that_names_no_other_incarnation_ends_none() -> None:
-    """A server that only misdirects a request stays in use."""
+    """A server that answers 421 without another incarnation stays in use."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", once_then_whole(successor_of("")))
@@ -399,8 +402,8 @@
     run_with_gateway(scenario)
 
 
-def test_ended_incarnations_leave_no_beliefs() -> None:
-    """Servers come and go for months; what they kept is forgotten with them."""
+def test_terminated_incarnations_leave_no_cached_state() -> None:
+    """Otherwise the cached state of replaced servers would grow for months."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("e-1", "engine", stream_of_four, 1)
@@ -417,7 +420,7 @@
 
 
 def test_a_lease_that_cannot_be_read_does_not_end_the_process() -> None:
-    """It is passed over and said; requests are served on."""
+    """It is ignored and logged; requests are still served."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("e-1", "engine", stream_of_four, 1)
--- a/tests/gateway/store/test_large_configurations.py
+++ b/tests/gateway/store/test_large_configurations.py
@@ -1,4 +1,4 @@
-"""Configurations of many routes on links that carry little."""
+"""Configurations of many routes on links of low bandwidth."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 GATEWAYS_KIND = "milletcourse-gateways"
 ROUTES = 1400
 SLOW_MEGABITS = 5.0
-PIECES = 12
-PIECE_SECONDS = 0.1
+CHUNKS = 12
+CHUNK_SECONDS = 0.1
 FIRST_BYTE_SECONDS = 0.4
 
 
 def large_configuration(version: int, routes: int = ROUTES) -> dict[str, object]:
-    """The usual configuration with many routes more."""
+    """The usual configuration with many additional routes."""
     document = configuration(version)
     document["Routes"] += many_routes(routes, random.Random(1))
     return document
 
 
-def test_an_answer_that_keeps_coming_is_not_given_up() -> None:
-    """However long it takes beyond the time for its first byte."""
+def test_an_answer_that_keeps_arriving_is_not_aborted() -> None:
+    """It may take any time beyond the timeout for its first byte."""
 
     async def scenario(harness: Harness) -> None:
-        body = b"x" * 1000 * PIECES
+        body = b"x" * 1000 * CHUNKS
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader, 1)
             whole = answer(200, body)
-            size = len(whole) // PIECES + 1
+            size = len(whole) // CHUNKS + 1
             for begin in range(0, len(whole), size):
                 writer.write(whole[begin : begin + size])
-                await asyncio.sleep(PIECE_SECONDS)
+                await asyncio.sleep(CHUNK_SECONDS)
             writer.close()
 
         await harness.start()
@@ -77,12 +77,12 @@
 
 
 def version_of(node: GatewayNode) -> int:
-    """Version in force, 0 before the first."""
+    """Version in force, 0 before the first one."""
     return node.context.route_table.version if node.context.route_table is not None else 0
 
 
 def test_followers_keep_a_reader_that_sends_a_large_configuration() -> None:
-    """None of them turns to the store meanwhile, and all get it."""
+    """None of them reads the store meanwhile, and all apply the configuration."""
 
     async def scenario(harness: Harness) -> None:
         nodes, proxies = await start_on_links(harness, 4, SLOW_MEGABITS)
--- a/tests/gateway/store/test_registration.py
+++ b/tests/gateway/store/test_registration.py
@@ -1,4 +1,4 @@
-"""A gateway's own entry in the list of gateways, before a store that loses it."""
+"""A gateway's own entry in the list of gateways, with a store that loses it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self.entry: StoredObject | None = None
 
     async def create(self, kind: str, name: str, spec: bytes) -> tuple[StoredObject, float]:
-        """Make the entry."""
+        """Create the entry."""
         if self.entry is not None:
             raise StoreError(StoreProblem.CONFLICT, self.entry)
         self.entry = StoredObject(name, StorePlace(self.era, 1), spec)
@@ -42,7 +42,7 @@
     async def replace(
         self, kind: str, name: str, spec: bytes, position: StorePlace
     ) -> tuple[StoredObject, float]:
-        """A place of an era that has ended is a conflict, whatever is there."""
+        """Replace the entry; a position of an era that has ended is a conflict in any case."""
         if position.era < self.era:
             raise StoreError(StoreProblem.CONFLICT)
         if self.entry is None:
@@ -51,13 +51,13 @@
         return self.entry, 0.0
 
     async def get(self, kind: str, name: str) -> tuple[StoredObject, float]:
-        """The entry as it is."""
+        """The stored entry."""
         if self.entry is None:
             raise StoreError(StoreProblem.NOT_FOUND)
         return self.entry, 0.0
 
-    def come_back_without(self) -> None:
-        """From a copy that is older than the entry."""
+    def restore_without(self) -> None:
+        """Restore the store from a snapshot that is older than the entry."""
         self.era += 1
         self.entry = None
 
@@ -69,10 +69,13 @@
 
 
 @pytest.mark.parametrize("wanted_after", [FIRST_ENTRY, LATER_ENTRY])
-def test_an_entry_that_changes_in_the_moment_of_a_return_is_written_again(
+def test_an_entry_that_changes_during_a_restore_is_written_again(
     wanted_after: GatewayEntry,
 ) -> None:
-    """The conflict's look found nothing, and the entry counted as written for good."""
+    """Guards against an entry that is taken as written although the store lost it.
+
+    The read after the conflict found no entry, and the gateway never wrote it again.
+    """
 
     async def scenario() -> None:
         store = LosingStore()
@@ -94,9 +97,9 @@
         )
         task: asyncio.Task[Any] = asyncio.create_task(registration.run())
         await _until(lambda: store.entry is not None)
-        store.come_back_without()
+        store.restore_without()
         if wanted_after is FIRST_ENTRY:
-            # Nothing but the list tells of it then.
+            # Only the list shows the loss then.
             listed[0] = StorePlace(1, 1)
         wanted[0] = wanted_after
         registration.on_change()
--- a/tests/gateway/store/test_restarts_under_one_name.py
+++ b/tests/gateway/store/test_restarts_under_one_name.py
@@ -1,4 +1,4 @@
-"""A server that starts again under its name is another incarnation, whoever tells it first."""
+"""A server that restarts under its name is a new incarnation, whichever source shows it first."""
 
 from __future__ import annotations
 
@@ -35,43 +35,43 @@
 
 
 class RestartingServer(RuleBasedStateMachine):
-    """One server that restarts, seen by entries and reports that may lag."""
+    """One server that restarts, observed through entries and reports that may be outdated."""
 
     def __init__(self) -> None:
         super().__init__()
         self.time = 0.0
         self.table = InstanceTable()
         self.forgotten: list[str] = []
-        self.before: list[Instance] = []
+        self.previous: list[Instance] = []
         self.table.on_forgotten = self.forgotten.append
-        self.table.on_restarted = self.before.append
+        self.table.on_restarted = self.previous.append
         self.start = FIRST_MS
         self.version = 5
         self.seen = 0
-        self.said: list[tuple[int, int]] = []
-        self.say()
+        self.reports: list[tuple[int, int]] = []
+        self.keep_report()
 
-    def say(self) -> None:
-        """What the server says of itself now, which may be heard later."""
-        self.said.append((self.start, self.version))
+    def keep_report(self) -> None:
+        """Keep the server's present state, which may be delivered later."""
+        self.reports.append((self.start, self.version))
 
     @rule(later_ms=st.integers(1, 10_000), version=st.integers(1, 9))
     def restart(self, later_ms: int, version: int) -> None:
-        """It begins with weights of its own, maybe older ones."""
+        """The new incarnation starts with its own weights, maybe older ones."""
         self.start += later_ms
         self.version = version
-        self.say()
+        self.keep_report()
 
     @rule()
     def load(self) -> None:
-        """Versions rise within an incarnation."""
+        """Load newer weights; versions increase within an incarnation."""
         self.version += 1
-        self.say()
+        self.keep_report()
 
     @rule(which=st.integers(0, 100), tells_start=st.booleans())
     def hear_entry(self, which: int, tells_start: bool) -> None:
-        """An entry, which may be of any time before."""
-        start, version = self.said[which % len(self.said)]
+        """Deliver an entry, which may be arbitrarily old."""
+        start, version = self.reports[which % len(self.reports)]
         record = InstanceRecord(
             "e-1", "s", "10.0.0.1:1", weight_versions={MODEL: version}, started_ms=start
         )
@@ -83,16 +83,16 @@
 
     @rule(which=st.integers(0, 100))
     def hear_report(self, which: int) -> None:
-        """What the server itself answers, or another gateway tells of that."""
+        """Deliver a report from the server itself, or from another gateway."""
         if self.table.get("e-1") is None:
             return
-        start, version = self.said[which % len(self.said)]
+        start, version = self.reports[which % len(self.reports)]
         self.table.on_start_seen("e-1", start, {MODEL: version})
         self.seen = max(self.seen, start)
 
     @invariant()
     def the_newest_start_that_was_heard_holds(self) -> None:
-        """An older one never comes back."""
+        """An older incarnation never replaces a newer one."""
         known = self.table.get("e-1")
         if known is not None:
             assert known.record.started_ms == self.seen
@@ -100,16 +100,16 @@
 
     @invariant()
     def versions_are_those_of_the_incarnation(self) -> None:
-        """None is carried over from the one before."""
+        """No version is carried over from the previous incarnation."""
         known = self.table.get("e-1")
         if known is not None and known.version(MODEL) is not None:
-            assert (self.seen, known.version(MODEL)) in self.said
+            assert (self.seen, known.version(MODEL)) in self.reports
 
     @invariant()
     def all_that_was_believed_of_those_before_is_forgotten(self) -> None:
-        """Once for each restart that was seen."""
-        assert len(self.forgotten) == len(self.before)
-        starts = [item.record.started_ms for item in self.before]
+        """The state of the previous incarnation is dropped once for each observed restart."""
+        assert len(self.forgotten) == len(self.previous)
+        starts = [item.record.started_ms for item in self.previous]
         assert starts == sorted(set(starts))
 
 
@@ -117,20 +117,20 @@
 TestRestartingServer = RestartingServer.TestCase
 
 
-def test_what_is_told_of_another_start_does_not_mix() -> None:
-    """Keys differ by the start; without one they are as before."""
+def test_keys_of_different_starts_differ() -> None:
+    """Keys differ by the start time; without one, the key depends on the name alone."""
     keys = {incarnation_key("e-1", start) for start in (0, FIRST_MS, FIRST_MS + 1)}
     assert len(keys) == 3
 
 
 def entry(server: StandinServer, started_ms: int, version: int | None = 1) -> dict[str, Any]:
-    """Its entry with its start."""
+    """The server's entry with its start time."""
     return {**server.entry("engine", version), "born": started_ms}
 
 
-@pytest.mark.parametrize("told_by", ["entry", "report"])
-def test_a_restart_under_one_name_forgets_what_was_known(told_by: str) -> None:
-    """Health, load, weights and kept prompts: the entry, or the server's own report, tells it."""
+@pytest.mark.parametrize("source", ["entry", "report"])
+def test_a_restart_under_one_name_drops_the_state_of_the_previous_incarnation(source: str) -> None:
+    """Health, load, weights and cached prompts; the entry or the server's own report shows it."""
 
     async def scenario(harness: Harness) -> None:
         starts = {"e-1": FIRST_MS}
@@ -158,18 +158,18 @@
         old.health.on_result(AttemptResult.NOT_SENT, context.now())
         old.note_version(MODEL, 7)
         starts["e-1"] = FIRST_MS + 10
-        if told_by == "entry":
+        if source == "entry":
             harness.store.put("servers", "e-1", entry(server, FIRST_MS + 10))
         else:
-            # Named weights make the holder of the lease ask the server for its state.
+            # New target weights make the lease holder request the server's state.
             harness.store.put("versions", MODEL, {"Model": MODEL, "Version": 8})
         await harness.until(lambda: started(harness) == FIRST_MS + 10)
         new = context.instances.get("e-1")
         assert new is not None and new is not old
         assert not new.health.is_ejected(context.now())
-        # Not the 7 that the one before had; an order may have given it the named 8 by now.
+        # Not the 7 of the previous incarnation; an order may have loaded the target 8 by now.
         assert new.version(MODEL) in (1, 8)
-        # An entry that lags changes nothing.
+        # An outdated entry changes nothing.
         harness.store.put("servers", "e-1", entry(server, FIRST_MS, 7))
         harness.store.put("servers", "e-9", {**entry(server, 1), "Address": "127.0.0.1:1"})
         await harness.until(lambda: context.instances.get("e-9") is not None)
@@ -180,14 +180,14 @@
 
 
 def started(harness: Harness) -> int:
-    """Start of the server as the gateway knows it."""
+    """Start time of the server as known by the gateway."""
     assert harness.node is not None
     known = harness.node.context.instances.get("e-1")
     return known.record.started_ms if known is not None else 0
 
 
-def test_news_of_an_end_does_not_end_the_next_incarnation() -> None:
-    """A gateway that learns late of the one before tells of that one."""
+def test_a_late_notice_of_a_termination_does_not_end_the_next_incarnation() -> None:
+    """A late notice names the start time of the terminated incarnation."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("e-1", "engine", serve_whole, 1)
@@ -207,11 +207,11 @@
     run_with_gateway(scenario)
 
 
-def test_a_store_of_kept_state_that_starts_again_is_sent_all_anew() -> None:
-    """Its events say when it started; by itself a lower position says nothing."""
+def test_a_prompt_cache_store_that_restarts_counts_as_emptied() -> None:
+    """Its events include its start time; a lower position alone shows nothing."""
 
     class Calls:
-        """Answers from a list."""
+        """Answers calls from a list of start times."""
 
         def __init__(self, starts: list[int]) -> None:
             self.starts = starts
--- a/tests/gateway/store/test_store_eras.py
+++ b/tests/gateway/store/test_store_eras.py
@@ -1,4 +1,4 @@
-"""Eras of the store: what mirrors tell across them, and answers whose era is odd."""
+"""Eras of the store: what mirrors serve across them, and answers with unexpected eras."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 CONFLICT = b'{"Metadata":{"Name":"a","Revision":4},"Spec":{}}'
 
 
-class _Sink(NoOpEventHandler):
-    """Keeps what it was told."""
+class _RecordingHandler(NoOpEventHandler):
+    """Keeps the objects and counts the restores."""
 
     def __init__(self) -> None:
         self.specs: dict[str, bytes] = {}
@@ -60,14 +60,14 @@
     return StoredObject(name, position, spec)
 
 
-def _pair() -> tuple[KindMirror, _Sink, KindMirror, _Sink]:
+def _pair() -> tuple[KindMirror, _RecordingHandler, KindMirror, _RecordingHandler]:
     """A reader and a follower that both know a and b at (1, 10)."""
-    reader_sink, follower_sink = _Sink(), _Sink()
-    reader, follower = KindMirror("kind", reader_sink), KindMirror("kind", follower_sink)
+    reader_handler, follower_handler = _RecordingHandler(), _RecordingHandler()
+    reader, follower = KindMirror("kind", reader_handler), KindMirror("kind", follower_handler)
     position = StorePlace(1, 10)
     reader.on_list([_stored("a", position), _stored("b", position)], position, 0.0)
     _feed(reader, follower)
-    return reader, reader_sink, follower, follower_sink
+    return reader, reader_handler, follower, follower_handler
 
 
 def _feed(reader: KindMirror, follower: KindMirror) -> FedKind | None:
@@ -77,90 +77,90 @@
     return fed
 
 
-def test_followers_are_told_what_differs_after_a_return() -> None:
-    """At a revision far below theirs; what is the same isn't told again."""
-    reader, reader_sink, follower, sink = _pair()
+def test_followers_get_the_differences_after_a_restore() -> None:
+    """At a revision far below theirs; unchanged objects aren't sent again."""
+    reader, reader_handler, follower, handler = _pair()
     back = StorePlace(2, 4)
     reader.on_list([_stored("a", back), _stored("c", back)], back, 0.0)
     assert reader.has_changes(follower.position)
     fed = _feed(reader, follower)
     assert fed is not None and not fed.whole
     assert {item.name for item in fed.objects} == {"b", "c"}
-    assert sink.specs == reader_sink.specs == {"a": b"{}", "c": b"{}"}
-    assert follower.position == back and sink.eras == reader_sink.eras == 1
+    assert handler.specs == reader_handler.specs == {"a": b"{}", "c": b"{}"}
+    assert follower.position == back and handler.eras == reader_handler.eras == 1
     change = ObjectChange(_stored("a", StorePlace(2, 5), b"[]"), deleted=False)
     reader.on_changes(ObjectChanges((change,), StorePlace(2, 5)), 0.0)
     _feed(reader, follower)
-    assert sink.specs["a"] == b"[]"
+    assert handler.specs["a"] == b"[]"
 
 
-def test_a_follower_that_knew_more_of_the_former_era_is_told_all() -> None:
-    """Its reader can't tell the differences to a state that it never knew."""
-    reader, _, follower, sink = _pair()
+def test_a_follower_that_knew_more_of_the_former_era_gets_all_objects() -> None:
+    """Its reader can't compute the differences from a position that it never knew."""
+    reader, _, follower, handler = _pair()
     lost = ObjectChange(_stored("lost", StorePlace(1, 11)), deleted=False)
     follower.on_changes(ObjectChanges((lost,), StorePlace(1, 11)), 0.0)
     back = StorePlace(2, 4)
     reader.on_list([_stored("a", back), _stored("b", back)], back, 0.0)
     fed = _feed(reader, follower)
     assert fed is not None and fed.whole
-    assert set(sink.specs) == {"a", "b"}
+    assert set(handler.specs) == {"a", "b"}
 
 
-def test_a_follower_that_missed_an_era_is_told_what_differs() -> None:
-    """Two returns in a row."""
-    reader, _, follower, sink = _pair()
+def test_a_follower_that_missed_an_era_gets_the_differences() -> None:
+    """The store is restored twice in a row."""
+    reader, _, follower, handler = _pair()
     for era in (2, 3):
         back = StorePlace(era, 4)
         reader.on_list([_stored("a", back), _stored(f"of-{era}", back)], back, 0.0)
     fed = _feed(reader, follower)
     assert fed is not None and not fed.whole
-    assert set(sink.specs) == {"a", "of-3"} and sink.eras == 1
+    assert set(handler.specs) == {"a", "of-3"} and handler.eras == 1
     assert follower.position == StorePlace(3, 4)
 
 
-def test_a_follower_that_read_the_new_era_before_its_reader_is_told_all() -> None:
-    """The reader never knew the state that the follower starts from."""
+def test_a_follower_that_read_the_new_era_before_its_reader_gets_all_objects() -> None:
+    """The reader never knew the position from which the follower starts."""
     reader, _, _, _ = _pair()
-    sink = _Sink()
-    follower = KindMirror("kind", sink)
+    handler = _RecordingHandler()
+    follower = KindMirror("kind", handler)
     follower.on_list([_stored("a", StorePlace(2, 4))], StorePlace(2, 4), 0.0)
     back = StorePlace(2, 6)
     reader.on_list([_stored("a", back), _stored("b", back)], back, 0.0)
     fed = _feed(reader, follower)
     assert fed is not None and fed.whole
-    assert set(sink.specs) == {"a", "b"}
+    assert set(handler.specs) == {"a", "b"}
 
 
-def test_a_follower_within_a_gap_of_its_reader_is_told_all() -> None:
-    """A change and its reverse, which the reader's lists don't show."""
-    reader, _, follower, sink = _pair()
+def test_a_follower_within_a_gap_of_its_reader_gets_all_objects() -> None:
+    """The reader's lists don't show a change and its reversal in between."""
+    reader, _, follower, handler = _pair()
     changed = ObjectChange(_stored("a", StorePlace(1, 11), b"[]"), deleted=False)
     follower.on_changes(ObjectChanges((changed,), StorePlace(1, 11)), 0.0)
     later = StorePlace(1, 15)
     reader.on_list([_stored("a", later), _stored("b", later)], later, 0.0)
     _feed(reader, follower)
-    assert sink.specs["a"] == b"{}"
+    assert handler.specs["a"] == b"{}"
 
 
-def test_many_gaps_are_not_kept_for_ever() -> None:
-    """Followers that are further behind are told all."""
-    reader, _, follower, sink = _pair()
+def test_the_number_of_gaps_is_bounded() -> None:
+    """Followers that are further behind get all objects."""
+    reader, _, follower, handler = _pair()
     for revision in range(11, 12 + MAX_GAPS + 1):
         position = StorePlace(1, revision)
         reader.on_list([_stored("a", position), _stored(f"b-{revision}", position)], position, 0.0)
     fed = _feed(reader, follower)
     assert fed is not None and fed.whole
-    assert set(sink.specs) == {"a", f"b-{revision}"}
+    assert set(handler.specs) == {"a", f"b-{revision}"}
 
 
-def test_changes_that_are_known_by_now_bring_nothing_back() -> None:
-    """Both a reader and the store tell a gateway that stands in for its reader."""
-    _, _, follower, sink = _pair()
+def test_outdated_changes_do_not_restore_old_contents() -> None:
+    """A gateway whose reader fails may get changes both from a reader and from the store."""
+    _, _, follower, handler = _pair()
     newer = ObjectChange(_stored("a", StorePlace(1, 12), b"2"), deleted=False)
     follower.on_changes(ObjectChanges((newer,), StorePlace(1, 12)), 0.0)
     older = ObjectChange(_stored("a", StorePlace(1, 11), b"1"), deleted=False)
     follower.on_changes(ObjectChanges((older,), StorePlace(1, 11)), 0.0)
-    assert sink.specs["a"] == b"2" and follower.position == StorePlace(1, 12)
+    assert handler.specs["a"] == b"2" and follower.position == StorePlace(1, 12)
 
 
 def _head(status: int, fields: list[HeaderField]) -> AnswerHead:
@@ -197,7 +197,7 @@
 
 
 class _Lines(StoreRecorder):
-    """Keeps the lines that would be written."""
+    """Keeps the events of the lines that would be logged."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -226,8 +226,8 @@
     return caught.value.problem
 
 
-def test_eras_may_jump_and_are_told_once() -> None:
-    """From none to the first that is told, too."""
+def test_eras_may_jump_and_are_logged_once() -> None:
+    """Also the step from answers without an era to the first one with an era."""
     client, _, lines = _client(
         (200, PAGE, None), (200, PAGE, b"4"), (200, PAGE, b"4"), (200, PAGE, b"9")
     )
@@ -236,8 +236,8 @@
     assert lines.lines == ["store-era"] * 3
 
 
-def test_an_answer_of_an_era_that_has_ended_is_void() -> None:
-    """Told once, however many come."""
+def test_an_answer_of_an_era_that_has_ended_is_rejected() -> None:
+    """However many come, only one line is logged."""
     client, _, lines = _client((200, PAGE, b"4"), (200, PAGE, b"3"), (200, PAGE, b"3"))
     asyncio.run(client.list_all("k"))
     assert _problem(client.list_all("k")) is StoreProblem.HISTORY_LOST
@@ -246,8 +246,8 @@
 
 
 @pytest.mark.parametrize("era", [None, b"", b"-1", b"4, 4", b"four", b"1.5", b"9" * 40])
-def test_an_answer_whose_era_is_missing_or_unreadable_gives_nothing(era: bytes | None) -> None:
-    """It is told once, and the call counts as failed."""
+def test_an_answer_whose_era_is_missing_or_unreadable_is_a_failure(era: bytes | None) -> None:
+    """One line is logged, and the calls fail."""
     client, _, lines = _client((200, CHANGES, b"4"), (200, CHANGES, era), (200, CHANGES, era))
     position = StorePlace(4, 5)
     asyncio.run(client.watch("k", position, 0.0))
@@ -257,14 +257,14 @@
 
 
 def test_pages_of_two_eras_make_no_list() -> None:
-    """The first one belongs to a history that the second one's store has lost."""
+    """The first page belongs to a history that the store has lost by the second one."""
     client, _, _ = _client((200, FIRST_PAGE, b"1"), (200, PAGE, b"2"))
     assert _problem(client.list_all("k")) is StoreProblem.HISTORY_LOST
 
 
 @pytest.mark.parametrize("status", [409, 410, 429, 503])
-def test_a_refusal_tells_the_era_too(status: int) -> None:
-    """And ends the former one."""
+def test_a_refusal_shows_the_era_too(status: int) -> None:
+    """It ends the previous era like any other answer."""
     client, calls, _ = _client((200, CHANGES, b"1"), (status, b"{}", b"2"))
     position = StorePlace(1, 5)
     asyncio.run(client.watch("k", position, 0.0))
@@ -273,11 +273,11 @@
     asked = len(calls.targets)
     assert _problem(client.watch("k", position, 0.0)) is StoreProblem.HISTORY_LOST
     assert _problem(client.replace("k", "a", b"{}", position)) is StoreProblem.CONFLICT
-    assert len(calls.targets) == asked, "nothing is asked or written on what is known of an old era"
+    assert len(calls.targets) == asked, "no call is sent with a position of an old era"
 
 
 def test_a_conflict_shows_the_object_in_its_era() -> None:
-    """So that the next condition is one of the present history."""
+    """So that the next conditional write uses a position of the present history."""
     client, _, _ = _client((409, CONFLICT, b"2"))
     with pytest.raises(StoreError) as caught:
         asyncio.run(client.replace("k", "a", b"{}", StorePlace(2, 3)))
@@ -285,15 +285,15 @@
     assert caught.value.current.position == StorePlace(2, 4)
 
 
-def test_watches_that_wait_are_given_up_when_another_call_shows_a_new_era() -> None:
-    """Their connections hold, and a kind may wait for ten seconds."""
+def test_waiting_watches_are_cancelled_when_another_call_shows_a_new_era() -> None:
+    """Their connections stay open, and a watch may wait for ten seconds."""
 
     async def scenario(harness: Harness) -> None:
         await harness.start()
         assert harness.node is not None
         instances = harness.node.context.instances
-        copy = harness.store.copy()
-        harness.store.come_back(copy, cut=False)
+        snapshot = harness.store.copy()
+        harness.store.come_back(snapshot, cut=False)
         harness.store.put("servers", "app-1", _entry())
         # Only the watch of the configuration ends at once, by a change of its kind.
         harness.store.calls.clear()
@@ -315,22 +315,22 @@
     return StoredObject(name, position, entry)
 
 
-def test_gateways_that_a_copy_lacks_are_kept_until_they_had_time_to_write_again() -> None:
-    """What all gateways share is divided by their number."""
+def test_gateways_missing_after_a_restore_are_kept_until_they_had_time_to_write_again() -> None:
+    """Shared limits are divided by the number of gateways, which must not drop for a moment."""
     clock = [0.0]
     directory = GatewayDirectory("front-1", EventLog("front-1", None), now=lambda: clock[0])
-    told: list[set[str]] = []
-    directory.add_listener(lambda others: told.append({other.name for other in others}))
+    reported: list[set[str]] = []
+    directory.add_listener(lambda others: reported.append({other.name for other in others}))
     position = StorePlace(1, 9)
     directory.on_list([_gateway(f"front-{number}", position) for number in (1, 2, 3)], 0.0)
-    assert told[-1] == {"front-2", "front-3"} and directory.own_position == position
+    assert reported[-1] == {"front-2", "front-3"} and directory.own_position == position
     directory.on_new_era(StorePlace(2, 3), position)
     directory.on_list([], 0.0)
-    assert told[-1] == {"front-2", "front-3"} and directory.own_position is None
+    assert reported[-1] == {"front-2", "front-3"} and directory.own_position is None
     back = ObjectChange(_gateway("front-2", StorePlace(2, 4)), deleted=False)
     directory.on_changes((back,), 0.0)
     clock[0] = MISSING_ENTRY_RETENTION_SECONDS
     directory.expire_missing(clock[0])
-    assert told[-1] == {"front-2"}
+    assert reported[-1] == {"front-2"}
     directory.on_changes((ObjectChange(back.stored, deleted=True),), 0.0)
-    assert told[-1] == set(), "without a return an entry that goes is gone"
+    assert reported[-1] == set(), "without a restore, a deleted entry removes its gateway at once"
--- a/tests/gateway/store/test_store_feed.py
+++ b/tests/gateway/store/test_store_feed.py
@@ -1,4 +1,4 @@
-"""Gateways that follow a reader of the store: ranking, proofs, and every way a reader fails."""
+"""Gateways that follow a reader of the store: ranking, proofs, and failures of readers."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 def plan_of(record: GatewayRecord, listed: list[GatewayRecord]) -> ReadingPlan:
-    """The plan of one gateway that knows a list."""
+    """The plan of one gateway that knows a list of gateways."""
     plan = ReadingPlan(record.name, record.zone)
     plan.set_gateways(listed)
     return plan
 
 
 def test_one_gateway_of_each_zone_reads_and_all_agree_on_it() -> None:
-    """Whatever the order of the list, the others of a zone follow its reader."""
+    """The other gateways of a zone follow its reader, whatever the order of the list."""
     listed = records()
     shuffled = listed[:]
     random.Random(3).shuffle(shuffled)
@@ -58,7 +58,7 @@
 
 
 def test_the_widest_link_of_a_zone_reads() -> None:
-    """Whatever the hash of its name."""
+    """The bandwidth of the link takes precedence over the hash of the name."""
     wide = GatewayRecord("front-99", "zone-1", "10.0.0.99:1", "10.0.0.99:2", 200.0)
     listed = [*records(), wide]
     for record in listed:
@@ -69,7 +69,7 @@
 
 
 def test_failed_readers_are_set_aside_for_longer_each_time() -> None:
-    """The other zones' readers come next, then the second of the zone, then the store."""
+    """The readers of other zones come next, then the second one of the zone, then the store."""
     listed = records()
     follower = next(item for item in listed if plan_of(item, listed).choose(0.0) is not None)
     plan = plan_of(follower, listed)
@@ -88,7 +88,7 @@
 
 
 def test_a_gateway_without_others_reads_the_store_itself() -> None:
-    """Also one whose others tell nothing, or are not listed yet."""
+    """Also when the other gateways serve no feed, or aren't listed yet."""
     plan = ReadingPlan("front-1", "zone-1")
     assert plan.is_reader
     plan.set_gateways([GatewayRecord("front-2", "zone-1", "10.0.0.2:1")])
@@ -96,7 +96,7 @@
 
 
 class _Collector(NoOpEventHandler):
-    """A sink that keeps the names it knows."""
+    """An event handler that keeps the names of the objects."""
 
     def __init__(self) -> None:
         self.names: set[str] = set()
@@ -120,11 +120,11 @@
     return StoredObject(name, _at(revision), spec)
 
 
-def test_a_mirror_tells_what_a_follower_lacks() -> None:
-    """All of it at first; changes later; what vanished while lists were read again."""
+def test_a_mirror_serves_the_changes_that_a_follower_lacks() -> None:
+    """All objects at first, then changes, then the differences between two lists."""
     reader = KindMirror("kind", _Collector())
-    sink = _Collector()
-    follower = KindMirror("kind", sink)
+    handler = _Collector()
+    follower = KindMirror("kind", handler)
     assert reader.since(None) is None and not reader.has_changes(None)
     reader.on_list([_stored("a", 1), _stored("b", 2)], _at(10), 0.0)
 
@@ -134,21 +134,23 @@
             follower.apply_update(FedUpdate(follower.position, fed), 0.0)
 
     feed()
-    assert sink.names == {"a", "b"} and follower.position == _at(10)
+    assert handler.names == {"a", "b"} and follower.position == _at(10)
     assert not reader.has_changes(_at(10))
     reader.on_changes(ObjectChanges((ObjectChange(_stored("c", 11), False),), _at(12)), 0.0)
     feed()
-    assert sink.names == {"a", "b", "c"} and follower.position == _at(12)
+    assert handler.names == {"a", "b", "c"} and follower.position == _at(12)
     reader.on_list([_stored("c", 11), _stored("d", 14)], _at(15), 0.0)
     assert reader.has_changes(_at(12))
     feed()
-    assert sink.names == {"c", "d"} and follower.position == _at(15)
+    assert handler.names == {"c", "d"} and follower.position == _at(15)
     follower.on_list([_stored("a", 1)], _at(9), 0.0)
-    assert sink.names == {"c", "d"}, "an older list is void"
+    assert handler.names == {"c", "d"}, "an older list is discarded"
     reader.on_changes(ObjectChanges((), _at(20)), 0.0)
     assert not reader.has_changes(_at(15))
     feed()
-    assert follower.position == _at(20), "the position stays near, so that the store still knows it"
+    assert follower.position == _at(20), (
+        "the position advances without changes, so that the store still has its history"
+    )
 
 
 async def _start_pair(
@@ -158,7 +160,7 @@
     reader_link: float = 0.0,
     **bounds: int,
 ) -> tuple[GatewayNode, GatewayNode]:
-    """A reader and its follower; each may see the store through a proxy."""
+    """A reader and its follower; each may connect to the store through a proxy."""
     await harness.add_server("app-1", "app", serve_whole)
     harness.store.put("config", "main", configuration())
     harness.internal_ports = harness.free_ports()
@@ -180,7 +182,7 @@
 
 
 def _is_fed(node: GatewayNode) -> bool:
-    """Whether it follows a reader; one that is still reading its first lists doesn't yet."""
+    """Whether it is ready and follows a reader, which it doesn't while reading its first lists."""
     return node.context.is_ready() and bool(node.context.followed_reader)
 
 
@@ -188,8 +190,8 @@
     return sum(f"/{kind}" in call.target for call in harness.store.calls)
 
 
-def test_a_follower_learns_all_from_its_reader_and_leaves_the_store_alone() -> None:
-    """A new version is in force at the follower, which asked the store for its list only."""
+def test_a_follower_gets_all_changes_from_its_reader_without_calls_to_the_store() -> None:
+    """The follower applies a new version, but only called the store for its first lists."""
 
     async def scenario(harness: Harness) -> None:
         _, follower = await _start_pair(harness)
@@ -201,7 +203,7 @@
             lambda: context.route_table is not None and context.route_table.version == 2
         )
         await harness.until(lambda: context.instances.get("app-2") is not None)
-        # One watch of each kind was waiting when the calls were cleared; only the reader's go on.
+        # One watch of each kind was waiting when the calls were cleared; only the reader goes on.
         assert _calls_for(harness, "config") <= 2
         assert context.freshness.age(context.now()) < context.replication_times.calm_age
 
@@ -209,13 +211,13 @@
 
 
 def _first_calls_for(harness: Harness, kind: str) -> list[str]:
-    """Lists of a kind; watches, which a reader goes on with, aren't counted."""
+    """Lists of a kind, without watches, which a reader keeps sending."""
     targets = [call.target for call in harness.store.calls if f"/{kind}" in call.target]
     return [target for target in targets if "Watch=" not in target]
 
 
-def test_a_gateway_that_restarts_alone_learns_all_from_its_reader() -> None:
-    """One cheap list of whom to ask; its entry of before stands, so it isn't written again."""
+def test_a_gateway_that_restarts_alone_gets_all_objects_from_its_reader() -> None:
+    """It reads one cheap list of the gateways; its own entry is still there and isn't rewritten."""
 
     async def scenario(harness: Harness) -> None:
         _, follower = await _start_pair(harness, reader_link=WIDE_LINK)
@@ -233,8 +235,8 @@
     run_with_gateway(scenario)
 
 
-def test_an_ended_incarnation_is_told_to_the_other_gateways() -> None:
-    """The one that met it tells, so that no other gateway has to."""
+def test_a_terminated_incarnation_is_announced_to_the_other_gateways() -> None:
+    """The gateway that detected it announces it, so that no other has to detect it too."""
 
     async def scenario(harness: Harness) -> None:
         reader, follower = await _start_pair(harness)
@@ -250,8 +252,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_follower_whose_reader_ends_reads_the_store_itself() -> None:
-    """Nothing that changes after the reader's end is missed."""
+def test_a_follower_whose_reader_stops_reads_the_store_itself() -> None:
+    """No change after the stop of the reader is missed."""
 
     async def scenario(harness: Harness) -> None:
         reader, follower = await _start_pair(harness)
@@ -266,8 +268,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_reader_that_lost_the_store_does_not_vouch_for_what_it_knows() -> None:
-    """Its followers read the store themselves, and keep their keys."""
+def test_a_reader_that_lost_the_store_does_not_attest_its_state() -> None:
+    """Its followers read the store themselves, and go on accepting keys."""
 
     async def scenario(harness: Harness) -> None:
         proxy = FaultProxy(harness.store.address)
@@ -287,8 +289,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_reader_that_can_not_vouch_costs_no_calls_while_another_one_can() -> None:
-    """Its followers learn from another zone's reader at once, and miss nothing."""
+def test_a_reader_that_can_not_attest_costs_no_calls_while_another_one_can() -> None:
+    """Its followers turn to another zone's reader at once, and miss no change."""
 
     async def scenario(harness: Harness) -> None:
         reader, follower = await _start_pair(harness)
@@ -299,7 +301,7 @@
         times = reader.context.replication_times
         reader.context.replication_times = msgspec.structs.replace(times, max_proof_age=0.0)
         reads_store = False
-        # It refuses, and is asked again several times.
+        # It refuses, and is polled again several times.
         later = context.now() + 4 * MAX_STARTING_SECONDS
         while context.now() < later:
             reads_store = reads_store or context.reads_store
@@ -316,7 +318,7 @@
 
 
 def test_a_follower_goes_back_to_its_reader() -> None:
-    """When the reader can vouch again, the store is left alone again."""
+    """When the reader can attest its state again, the follower stops reading the store."""
 
     async def scenario(harness: Harness) -> None:
         proxy = FaultProxy(harness.store.address)
@@ -334,8 +336,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_follower_that_is_cut_from_the_store_is_served_by_its_reader() -> None:
-    """Its proofs come from the reader, so that it goes on serving keys."""
+def test_a_follower_partitioned_from_the_store_is_served_by_its_reader() -> None:
+    """Its proofs come from the reader, so that it goes on accepting keys."""
 
     async def scenario(harness: Harness) -> None:
         proxy = FaultProxy(harness.store.address)
@@ -355,8 +357,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_reader_that_the_store_turns_away_learns_from_another_gateway() -> None:
-    """It keeps its keys and takes what changes, and reads the store again when it can."""
+def test_a_reader_that_the_store_refuses_gets_changes_from_another_gateway() -> None:
+    """It goes on accepting keys and applying changes, and reads the store again when it can."""
 
     async def scenario(harness: Harness) -> None:
         proxy = FaultProxy(harness.store.address)
@@ -385,7 +387,7 @@
 
 
 def test_a_plan_names_substitutes_for_a_reader_only_among_others() -> None:
-    """Readers of other zones first; a gateway alone in its zone has them too."""
+    """Readers of other zones come first; a gateway alone in its zone has substitutes too."""
     plan = ReadingPlan("front-1", "zone-1", 1000.0)
     assert plan.choose_substitute(0.0) is None
     others = [
@@ -401,8 +403,8 @@
     assert second is not None and second.name == "front-2"
 
 
-def test_a_store_that_is_away_is_asked_for_one_kind_only() -> None:
-    """The other kinds are asked for when it is back, and nothing is missed."""
+def test_an_unavailable_store_is_called_for_one_kind_only() -> None:
+    """The other kinds are requested when it is available again, and no change is missed."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -422,8 +424,8 @@
     run_with_gateway(scenario)
 
 
-def test_a_reader_that_can_not_vouch_is_asked_again_soon_however_often_it_refused() -> None:
-    """A silent one is left alone for longer and longer."""
+def test_a_reader_that_can_not_attest_is_polled_again_soon_however_often_it_refused() -> None:
+    """A silent one is set aside for increasing times."""
     plan = ReadingPlan("front-1", "zone-1")
     other = "front-2"
     plan.set_gateways([GatewayRecord(other, "zone-1", "10.0.0.1:1", "10.0.0.1:2", 9.0)])
@@ -436,8 +438,8 @@
     assert plan.choose(SET_ASIDE_SECONDS) is None
 
 
-def test_bad_questions_get_a_typed_answer() -> None:
-    """Bytes that are no question, kinds that nobody follows, absurd waits."""
+def test_malformed_feed_requests_get_a_typed_answer() -> None:
+    """Malformed bodies, unknown kinds, and excessive hold times."""
 
     async def scenario(harness: Harness) -> None:
         reader, _ = await _start_pair(harness)
--- a/tests/gateway/store/test_store_restores.py
+++ b/tests/gateway/store/test_store_restores.py
@@ -1,4 +1,4 @@
-"""The object store comes back from a copy that is some seconds old, and goes on from there."""
+"""The object store is restored from a snapshot that is some seconds old, and continues from it."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 LEASES = "milletcourse-leases"
 LOST_VERSIONS = 6
 SETTLED_SECONDS = 0.6
-"""By now all gateways have read the store that came back, and follow their reader again."""
-HEARD_SECONDS = 0.5
-JUDGED_SECONDS = 1.0
-LISTED_SECONDS = 2.0
-ORDERED_SECONDS = 5.0
-LOOK_SECONDS = 0.5
-LOOKS = 10
-"""Until no proof of before is worth anything."""
+"""By now all gateways have read the restored store, and follow their reader again."""
+PROPAGATION_SECONDS = 0.5
+OBSERVATION_SECONDS = 1.0
+REWRITE_SECONDS = 2.0
+ORDER_TIMEOUT_SECONDS = 5.0
+CHECK_SECONDS = 0.5
+CHECKS = 10
+"""Together with the interval, long enough for all proofs from before the restore to expire."""
 ONE_TENANT = [{"Name": "tenant-1", "ApiKeys": ["key-1"], "Priority": 1}]
 
 
-async def _write_much(fleet: GatewayFleet) -> None:
-    """Writes to each kind, which all gateways have seen."""
+async def _write_all_kinds(fleet: GatewayFleet) -> None:
+    """Write to each kind, and wait until all gateways have the changes."""
     store = fleet.harness.store
     names = list(store.objects["servers"])
     for version in range(2, LOST_VERSIONS + 2):
@@ -63,44 +63,44 @@
     return table is not None and table.version == version
 
 
-async def _start_and_lose(harness: Harness, first_era: int | None = 1) -> SignallingFleet:
-    """Gateways before a store that came back without its latest writes, and got them again."""
+async def _start_and_restore(harness: Harness, first_era: int | None = 1) -> SignallingFleet:
+    """Gateways with a store that was restored without its latest writes, then written again."""
     harness.store.era = first_era
     fleet = SignallingFleet(harness)
     await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
-    copy = harness.store.copy()
-    await _write_much(fleet)
-    harness.store.come_back(copy)
+    snapshot = harness.store.copy()
+    await _write_all_kinds(fleet)
+    harness.store.come_back(snapshot)
     await fleet.load(SETTLED_SECONDS)
     return fleet
 
 
 @pytest.mark.parametrize("first_era", [None, 0, 7])
-def test_a_server_that_leaves_after_the_store_came_back_gets_no_requests_from_followers(
+def test_a_server_that_drains_after_a_restore_gets_no_requests_from_followers(
     first_era: int | None,
 ) -> None:
-    """Followers asked with a revision that the store had not reached again."""
+    """Guards against followers that go on from a revision which the store hasn't reached again."""
 
     async def scenario(harness: Harness) -> None:
-        fleet = await _start_and_lose(harness, first_era)
+        fleet = await _start_and_restore(harness, first_era)
         leaving = await fleet.most_asked()
         entry = harness.store.objects["servers"][leaving]["Spec"]
         harness.store.put("servers", leaving, {**entry, "State": "draining"})
-        await fleet.load(HEARD_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         since = asyncio.get_running_loop().time()
-        await fleet.load(JUDGED_SECONDS)
+        await fleet.load(OBSERVATION_SECONDS)
         assert fleet.arrivals[leaving].count_since(since) == 0
 
     run_with_gateway(scenario)
 
 
-def test_a_key_that_is_revoked_after_the_store_came_back_is_refused_by_followers() -> None:
-    """They went on with a configuration that their reader had replaced."""
+def test_a_key_that_is_revoked_after_a_restore_is_refused_by_followers() -> None:
+    """Guards against followers that keep a configuration which their reader has replaced."""
 
     async def scenario(harness: Harness) -> None:
-        fleet = await _start_and_lose(harness)
+        fleet = await _start_and_restore(harness)
         harness.store.put("config", "main", configuration(LOST_VERSIONS + 2, Tenants=ONE_TENANT))
-        await asyncio.sleep(HEARD_SECONDS)
+        await asyncio.sleep(PROPAGATION_SECONDS)
         assert await _statuses_with(fleet, "key-2") == [401] * len(fleet.nodes)
 
     run_with_gateway(scenario)
@@ -115,27 +115,27 @@
     return statuses
 
 
-async def _revoke_and_lose(harness: Harness) -> SignallingFleet:
-    """Gateways that know that `key-2` is revoked, before a store that has lost it."""
+async def _revoke_and_restore(harness: Harness) -> SignallingFleet:
+    """Gateways that know that `key-2` is revoked, with a store that has lost the revocation."""
     fleet = SignallingFleet(harness)
     await fleet.start({"s-1": Mood(), "s-2": Mood()})
-    copy = harness.store.copy()
+    snapshot = harness.store.copy()
     harness.store.put("config", "main", configuration(2, Tenants=ONE_TENANT))
     for node in fleet.nodes:
         await harness.until(lambda node=node: _has_version(node, 2))
-    harness.store.come_back(copy, writes_again=False)
+    harness.store.come_back(snapshot, writes_again=False)
     await asyncio.sleep(SETTLED_SECONDS)
     return fleet
 
 
-def test_a_revoked_key_stays_revoked_when_an_older_configuration_comes_back() -> None:
-    """Until the operator has written again, and after that."""
+def test_a_revoked_key_stays_revoked_when_an_older_configuration_is_restored() -> None:
+    """Both before and after the operator has written the configuration again."""
 
     async def scenario(harness: Harness) -> None:
-        fleet = await _revoke_and_lose(harness)
+        fleet = await _revoke_and_restore(harness)
         assert await _statuses_with(fleet, "key-2") == [401] * len(fleet.nodes)
         harness.store.put("config", "main", configuration(2, Tenants=ONE_TENANT))
-        await asyncio.sleep(HEARD_SECONDS)
+        await asyncio.sleep(PROPAGATION_SECONDS)
         assert await _statuses_with(fleet, "key-2") == [401] * len(fleet.nodes)
         assert await _statuses_with(fleet, "key-1") == [200] * len(fleet.nodes)
 
@@ -143,13 +143,13 @@
 
 
 @pytest.mark.parametrize("is_reader", [False, True])
-def test_a_gateway_that_starts_before_the_second_writing_serves_no_revoked_key(
+def test_a_gateway_that_starts_before_the_rewrite_accepts_no_revoked_key(
     is_reader: bool,
 ) -> None:
-    """It knows the copy alone; another gateway tells it that a later version was in force."""
+    """It only knows the snapshot; another gateway reports that a later version was in force."""
 
     async def scenario(harness: Harness) -> None:
-        fleet = await _revoke_and_lose(harness)
+        fleet = await _revoke_and_restore(harness)
         link_megabits = 1000.0 if is_reader else 0.0
         started = await harness.add_gateway("front-9", link_megabits=link_megabits)
         context = started.context
@@ -168,11 +168,13 @@
 
 
 @pytest.mark.parametrize("ends", [False, True])
-def test_a_lost_revocation_is_known_in_other_zones_and_after_the_end_of_all(ends: bool) -> None:
-    """Readers of different zones don't follow each other; processes forget."""
+def test_a_lost_revocation_is_known_in_other_zones_and_after_a_restart_of_all_gateways(
+    ends: bool,
+) -> None:
+    """Readers of different zones don't follow each other, and processes lose their memory."""
 
     async def scenario(harness: Harness) -> None:
-        fleet = await _revoke_and_lose(harness)
+        fleet = await _revoke_and_restore(harness)
         entries = harness.store.objects[GATEWAYS]
         await harness.until(
             lambda: any(entry["Spec"]["lost_configuration"] == 2 for entry in entries.values())
@@ -196,16 +198,17 @@
 
 
 BOUND_SECONDS = 2.0
-"""On keys that were revoked."""
+"""Bound on the time until a revoked key is refused."""
 SHORT_BOUNDS = {"RevokeMs": 2000, "FailClosed": True}
 
 
-async def _lose_a_revocation(harness: Harness, restarts: bool) -> list[GatewayNode]:
-    """A store that has lost a revocation that no running gateway heard of; two gateways.
+async def _restore_without_a_revocation(harness: Harness, restarts: bool) -> list[GatewayNode]:
+    """Two gateways with a store that has lost a revocation which no running gateway received.
 
     Args:
-        harness: The store.
-        restarts: The gateways that heard of it ended with the store's absence, and others start.
+        harness: Holds the store.
+        restarts: The gateways that received it stopped while the store was unavailable, and others
+            start.
     """
     store = harness.store
     await harness.add_server("s-1", "app", serve_whole)
@@ -216,13 +219,13 @@
     nodes.append(harness.node)
     for node in nodes:
         await harness.until(node.context.is_ready)
-    copy = store.copy()
+    snapshot = store.copy()
     store.unavailable = True
     store.cut()
     if restarts:
         for node in nodes:
             node.close()
-    store.come_back(copy, writes_again=False)
+    store.come_back(snapshot, writes_again=False)
     store.unavailable = False
     if restarts:
         nodes = [await harness.add_gateway(f"front-{number}", **SHORT_BOUNDS) for number in (3, 4)]
@@ -230,7 +233,7 @@
 
 
 async def _answers_to(nodes: list[GatewayNode], key: str, seconds: float) -> set[int]:
-    """Statuses that clients with a key get for a while."""
+    """Statuses that clients with a key get during a time."""
     statuses = set()
     ends_at = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < ends_at:
@@ -238,37 +241,37 @@
             client = await Client.connect(node.frontend_address)
             statuses.add((await client.ask("/safe/", key=key)).status)
             client.close()
-        await asyncio.sleep(LOOK_SECONDS / 5)
+        await asyncio.sleep(CHECK_SECONDS / 5)
     return statuses
 
 
 @pytest.mark.parametrize("restarts", [True, False])
-def test_a_key_whose_revocation_nobody_knows_after_a_return_is_refused_from_the_bound_on(
+def test_a_key_whose_revocation_no_gateway_knows_after_a_restore_is_refused_from_the_bound_on(
     restarts: bool,
 ) -> None:
-    """A proof made from the copy was worth as much as one from before the return."""
+    """Guards against proofs from the restored snapshot that count like those from before it."""
 
     async def scenario(harness: Harness) -> None:
-        nodes = await _lose_a_revocation(harness, restarts)
+        nodes = await _restore_without_a_revocation(harness, restarts)
         await asyncio.sleep(BOUND_SECONDS)
         assert await _answers_to(nodes, "key-2", BOUND_SECONDS / 2) == {503}
         harness.store.put("config", "main", configuration(2, Tenants=ONE_TENANT))
-        await asyncio.sleep(HEARD_SECONDS)
-        assert await _answers_to(nodes, "key-2", HEARD_SECONDS) == {401}
-        assert await _answers_to(nodes, "key-1", HEARD_SECONDS) == {200}
+        await asyncio.sleep(PROPAGATION_SECONDS)
+        assert await _answers_to(nodes, "key-2", PROPAGATION_SECONDS) == {401}
+        assert await _answers_to(nodes, "key-1", PROPAGATION_SECONDS) == {200}
 
     run_with_gateway(scenario)
 
 
-def test_keys_are_served_again_when_the_operator_had_the_time_to_write_and_did_not() -> None:
-    """Nothing was lost; what was found is written down for gateways that start later."""
+def test_keys_are_accepted_again_when_the_operator_had_the_time_to_write_and_did_not() -> None:
+    """Nothing was lost then; the confirmed era is stored for gateways that start later."""
 
     async def scenario(harness: Harness) -> None:
-        nodes = await _lose_a_revocation(harness, restarts=True)
+        nodes = await _restore_without_a_revocation(harness, restarts=True)
         await asyncio.sleep(WRITTEN_AGAIN_SECONDS)
         for node in nodes:
             await harness.until(node.context.is_ready)
-        assert await _answers_to(nodes, "key-2", HEARD_SECONDS) == {200}
+        assert await _answers_to(nodes, "key-2", PROPAGATION_SECONDS) == {200}
         entries = harness.store.objects[GATEWAYS]
         await harness.until(
             lambda: any(entry["Spec"]["confirmed_era"] == 1 for entry in entries.values())
@@ -283,14 +286,14 @@
     run_with_gateway(scenario)
 
 
-def test_what_is_known_of_a_return_is_written_down_at_once(
+def test_the_state_of_a_restore_is_written_to_the_store_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All gateways ended within a second, and the next ones refused keys for five."""
+    """Otherwise, when all gateways stop within a second, their successors refuse keys for five."""
     monkeypatch.setattr(registration, "CHECK_INTERVAL_SECONDS", 60.0)
 
     async def scenario(harness: Harness) -> None:
-        await _revoke_and_lose(harness)
+        await _revoke_and_restore(harness)
         entries = harness.store.objects[GATEWAYS]
         await harness.until(
             lambda: any(entry["Spec"]["lost_configuration"] == 2 for entry in entries.values())
@@ -303,12 +306,12 @@
     run_with_gateway(scenario)
 
 
-def test_keys_are_served_on_over_a_short_return_after_which_the_operator_writes_again() -> None:
-    """Proofs from before the return hold until they are too old."""
+def test_keys_stay_accepted_over_a_restore_after_which_the_operator_soon_writes_again() -> None:
+    """Proofs from before the restore are valid until they are too old."""
 
     async def scenario(harness: Harness) -> None:
-        nodes = await _lose_a_revocation(harness, restarts=False)
-        assert await _answers_to(nodes, "key-1", HEARD_SECONDS) == {200}
+        nodes = await _restore_without_a_revocation(harness, restarts=False)
+        assert await _answers_to(nodes, "key-1", PROPAGATION_SECONDS) == {200}
         harness.store.put("config", "main", configuration(1))
         assert await _answers_to(nodes, "key-1", BOUND_SECONDS * 2) == {200}
 
@@ -316,37 +319,37 @@
 
 
 def test_gateways_whose_entries_the_store_lost_are_listed_again() -> None:
-    """Each looked at its entry only when it had something to write."""
+    """Guards against gateways that check their entry only when they have a change to write."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         harness.store.put("config", "main", configuration())
-        copy = harness.store.copy()
+        snapshot = harness.store.copy()
         await fleet.start({"s-1": Mood(), "s-2": Mood()})
         names = {node.context.settings.name for node in fleet.nodes}
         await harness.until(lambda: set(harness.store.objects[GATEWAYS]) == names)
-        harness.store.come_back(copy)
-        await asyncio.sleep(LISTED_SECONDS)
+        harness.store.come_back(snapshot)
+        await asyncio.sleep(REWRITE_SECONDS)
         assert set(harness.store.objects.get(GATEWAYS, {})) == names
 
     run_with_gateway(scenario)
 
 
-def test_a_server_that_is_gone_gets_no_requests_when_its_entry_comes_back() -> None:
-    """It may serve on for a while, as servers do that leave without a word."""
+def test_a_departed_server_gets_no_requests_when_its_entry_is_restored() -> None:
+    """The server may go on serving for a while, like servers that depart without a signal."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
         departed = await fleet.most_asked()
-        copy = harness.store.copy()
+        snapshot = harness.store.copy()
         harness.store.remove("servers", departed)
-        await fleet.load(HEARD_SECONDS)
-        harness.store.come_back(copy, writes_again=False)
+        await fleet.load(PROPAGATION_SECONDS)
+        harness.store.come_back(snapshot, writes_again=False)
         since = asyncio.get_running_loop().time()
-        await fleet.load(JUDGED_SECONDS)
+        await fleet.load(OBSERVATION_SECONDS)
         harness.store.remove("servers", departed)
-        await fleet.load(HEARD_SECONDS)
+        await fleet.load(PROPAGATION_SECONDS)
         assert fleet.arrivals[departed].count_since(since) == 0
 
     run_with_gateway(scenario)
@@ -354,7 +357,7 @@
 
 @dataclass
 class LoadingServer:
-    """A model server that takes weights as ordered."""
+    """A model server that loads weights as ordered."""
 
     name: str
     version: int = 1
@@ -379,7 +382,7 @@
 
 
 async def _start_roll_out(harness: Harness, gateways: int) -> tuple[LoadingServer, StoreCopy]:
-    """A server that was brought to version 2, and a copy of the store from before that."""
+    """A server that was updated to version 2, and a snapshot of the store from before that."""
     engine = LoadingServer("e-1")
     await harness.add_server("e-1", "engine", engine.behave, 1)
     harness.store.put("versions", "model-1", {"Model": "model-1", "Version": 1})
@@ -391,10 +394,10 @@
             f"front-{number + 1}", zone=f"zone-{number + 1}", LeaseMs=1500, VersionMs=3000
         )
         await harness.until(node.context.is_ready)
-    copy = harness.store.copy()
+    snapshot = harness.store.copy()
     harness.store.put("versions", "model-1", {"Model": "model-1", "Version": 2})
     await harness.until(lambda: engine.version == 2)
-    return engine, copy
+    return engine, snapshot
 
 
 @pytest.mark.parametrize("first_era", [None, 0, 1])
@@ -402,17 +405,20 @@
 def test_newer_weights_are_ordered_when_the_store_lost_the_lease(
     closes_holder: bool, first_era: int | None
 ) -> None:
-    """Nobody made it again, since all had seen it; and no two holders may share a token."""
+    """Guards against a lost lease that no gateway creates again, since all of them know it.
+
+    No two holders may share a fencing token.
+    """
 
     async def scenario(harness: Harness) -> None:
         harness.store.era = first_era
-        engine, copy = await _start_roll_out(harness, gateways=2)
-        harness.store.come_back(copy)
+        engine, snapshot = await _start_roll_out(harness, gateways=2)
+        harness.store.come_back(snapshot)
         if closes_holder:
             _close(harness, engine.orders[-1]["Holder"])
         await asyncio.sleep(SETTLED_SECONDS)
         harness.store.put("versions", "model-1", {"Model": "model-1", "Version": 3})
-        async with asyncio.timeout(ORDERED_SECONDS):
+        async with asyncio.timeout(ORDER_TIMEOUT_SECONDS):
             while engine.version != 3:
                 await asyncio.sleep(0.01)
         holders: dict[int, set[str]] = {}
@@ -436,7 +442,7 @@
 def test_followers_stay_with_their_reader_while_the_configuration_is_not_written_again(
     found: str,
 ) -> None:
-    """The reader reads the store all right; what it found is no proof for keys, here as there."""
+    """The reader can read the store, but the configuration found there proves no keys anywhere."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
@@ -446,32 +452,32 @@
             harness.store.remove("config", "main")
         elif found == "unreadable":
             harness.store.put("config", "main", {"Version": "none"})
-        copy = harness.store.copy()
+        snapshot = harness.store.copy()
         harness.store.put("config", "main", configuration(2))
         for node in fleet.nodes:
             await harness.until(lambda node=node: _has_version(node, 2))
-        harness.store.come_back(copy, writes_again=False)
+        harness.store.come_back(snapshot, writes_again=False)
         await asyncio.sleep(SETTLED_SECONDS)
-        for _ in range(LOOKS):
-            await asyncio.sleep(LOOK_SECONDS)
+        for _ in range(CHECKS):
+            await asyncio.sleep(CHECK_SECONDS)
             assert sum(node.context.reads_store for node in fleet.nodes) == 1
         assert await _statuses_with(fleet, "key-1") == [503] * len(fleet.nodes)
         harness.store.put("config", "main", configuration(2))
-        await asyncio.sleep(HEARD_SECONDS)
+        await asyncio.sleep(PROPAGATION_SECONDS)
         assert await _statuses_with(fleet, "key-1") == [200] * len(fleet.nodes)
 
     run_with_gateway(scenario)
 
 
-def test_operators_see_what_a_return_changed_and_whether_all_is_as_in_the_store() -> None:
-    """A gateway compares what it knows with what the store holds."""
+def test_operators_see_what_a_restore_changed_and_whether_caches_equal_the_store() -> None:
+    """A gateway compares its cached objects with those in the store."""
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(), "s-2": Mood()})
-        copy = harness.store.copy()
-        await _write_much(fleet)
-        harness.store.come_back(copy, writes_again=False)
+        snapshot = harness.store.copy()
+        await _write_all_kinds(fleet)
+        harness.store.come_back(snapshot, writes_again=False)
         await asyncio.sleep(SETTLED_SECONDS)
         assert harness.node is not None
         assert b"store_returns_total 4.0" in harness.metrics.render()
@@ -499,16 +505,16 @@
     return msgspec.json.decode(body, type=StoreState)
 
 
-def test_a_gateway_that_starts_after_a_return_forgets_what_a_stale_list_showed_it() -> None:
-    """Stale lists may show servers that the store has lost; no watch tells of them."""
+def test_a_gateway_that_starts_after_a_restore_drops_lost_objects_of_a_stale_list() -> None:
+    """Stale lists may show servers that the store has lost, and no watch reports their loss."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("s-1", "app", serve_whole)
         harness.store.put("config", "main", configuration())
-        copy = harness.store.copy()
+        snapshot = harness.store.copy()
         harness.store.stale_shows_lost = True
         harness.store.put("servers", "lost", harness.store.objects["servers"]["s-1"]["Spec"])
-        harness.store.come_back(copy, writes_again=False)
+        harness.store.come_back(snapshot, writes_again=False)
         harness.store.put("config", "main", configuration(2))
         await harness.start_gateway()
         assert harness.node is not None
