--- a/src/milletcourse/gateway/store/kind_watch.py
+++ b/src/milletcourse/gateway/store/kind_watch.py
@@ -66,7 +66,7 @@
         self._random = random_source
         self._stale_lists = stale_lists
         self._history_lost = False
-        self._place = mirror.position
+        self._position = mirror.position
         self._failures = 0
         self._is_late = False
         self._overrun_seconds = 0.0
@@ -89,7 +89,7 @@
                 self._failures = 0
                 self.reached.set()
             except StoreError as error:
-                self._place = None
+                self._position = None
                 self._mirror.is_receiving = self._is_late = False
                 self._history_lost = error.problem is StoreProblem.HISTORY_LOST
                 if error.problem is StoreProblem.HISTORY_LOST and self._failures == 0:
@@ -99,8 +99,8 @@
 
     async def _step(self) -> None:
         if elapsed_seconds() >= self._confirm_at and not self._mirror.is_confirmed:
-            self._place, self._history_lost = None, True
-        if self._place is None or self._uses_lists:
+            self._position, self._history_lost = None, True
+        if self._position is None or self._uses_lists:
             await self._list()
             return
         kind = self._mirror.kind
@@ -109,10 +109,10 @@
         # the store sent it: at most its overrun beyond the wait ago.
         not_out_at = None if self._is_late else elapsed_seconds() - self._overrun_seconds
         changes, sent_at = await self._store.watch(
-            kind, self._place, wait_seconds, lambda: self._mirror.on_change_coming(not_out_at)
+            kind, self._position, wait_seconds, lambda: self._mirror.on_change_coming(not_out_at)
         )
         self._mirror.on_changes(changes, sent_at)
-        self._place = max(changes.position, self._place)
+        self._position = max(changes.position, self._position)
         self._overrun_seconds = max(elapsed_seconds() - sent_at - wait_seconds, 0.0)
         self._update_lateness(self._overrun_seconds)
         if self._is_late and _superseded_bytes(changes) >= MAX_SUPERSEDED_BYTES:
@@ -140,7 +140,7 @@
             # A stale list may show objects that the store has lost since.
             raise StoreError(StoreProblem.HISTORY_LOST)
         self._mirror.on_list(objects, position, sent_at, stale)
-        self._place = position
+        self._position = position
         self._update_lateness(elapsed_seconds() - sent_at)
         if self._uses_lists:
             self._uses_lists = self._is_late and before != self._mirror.specs()
