--- a/src/milletcourse/gateway/clients/connection_limiter.py
+++ b/src/milletcourse/gateway/clients/connection_limiter.py
@@ -46,7 +46,7 @@
             return capacity
         waiting = waiting_connections(listening)
         context.record.clients_waiting(len(self.clients), waiting)
-        context.short_of_room_until = context.now() + SHORTAGE_SECONDS
+        context.short_of_descriptors_until = context.now() + SHORTAGE_SECONDS
         self._close_idle(min(waiting, MAX_CLOSED_AT_ONCE))
         return 0
 
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -93,7 +93,7 @@
         self._permit = permit
         self._ended = False
         self._connection: ServerConnection | None = None
-        self._silence_timer = AttendedTimer(context.attended, self._on_silent)
+        self._silence_timer = AttendedTimer(context.responsive_clock, self._on_silent)
         self._waiting_tokens = 0
         self._dispatch = DispatchBuilder(context, job, instance)
         self.sent_at = float("inf")
@@ -118,7 +118,7 @@
             return
         self.silence = Silence(
             self._silent_seconds(),
-            self._context.attended.absent_seconds - self._stall_seconds_before,
+            self._context.responsive_clock.absent_seconds - self._stall_seconds_before,
         )
         self._connection.abort()
 
@@ -207,11 +207,11 @@
         return result
 
     def _note_received(self) -> None:
-        self._last_received_at = self._context.attended.seconds()
-        self._stall_seconds_before = self._context.attended.absent_seconds
+        self._last_received_at = self._context.responsive_clock.seconds()
+        self._stall_seconds_before = self._context.responsive_clock.absent_seconds
 
     def _silent_seconds(self) -> float:
-        return self._context.attended.seconds() - self._last_received_at
+        return self._context.responsive_clock.seconds() - self._last_received_at
 
     def _may_still_be_sent(self) -> bool:
         """Check again, after the connection is established, that the request may be sent."""
@@ -367,5 +367,5 @@
         usual = event_gap_timeout(route) if self._relay.has_started else first_event_timeout(route)
         silent = self._silent_seconds()
         return extra_silence_seconds(
-            usual, silent, self._context.server_answers.answers_others(self._instance)
+            usual, silent, self._context.server_answer_rates.answered_recently(self._instance)
         )
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -234,7 +234,7 @@
             await asyncio.wait((check,), timeout=MAX_CRASH_CHECK_SECONDS)
 
     def _truncated_stream(self) -> StreamCut:
-        table = self._context.table
+        table = self._context.route_table
         return StreamCut(
             self._servers,
             self._end_cause.value if self._end_cause is not None else None,
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one gateway share."""
+"""State and services that all parts of one gateway share."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 from milletcourse.gateway.servers.descriptors import descriptor_plan
 from milletcourse.gateway.servers.server_permits import ServerPermits
 from milletcourse.gateway.servers.signal_monitor import SignalMonitor
-from milletcourse.gateway.state.cache_store_reach import CacheStoreReach
-from milletcourse.gateway.state.server_answers import ServerAnswers
+from milletcourse.gateway.state.answer_rates import ServerAnswerRates
+from milletcourse.gateway.state.cache_store_availability import CacheStoreAvailability
 from milletcourse.gateway.state.settings import GatewaySettings
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.gateway.telling.figures import Figures
@@ -53,40 +53,44 @@
 
 FRESHNESS_MARGIN_SECONDS = 0.4
 """Keys are refused this long before the bound on revocation."""
-BUDGET_SHARE = 0.8
-"""Share of the allowed retries that the gateways use; the rest covers uneven windows."""
-UNKNOWN_GATEWAYS = 10
-"""Divides what all gateways share until the list of them is known."""
+RETRY_BUDGET_SHARE = 0.8
+"""Share of the allowed retries that the gateways use; the remainder covers windows that differ
+between gateways."""
+ASSUMED_GATEWAYS = 10
+"""Number of gateways that share the budgets and limits, assumed until the list is known."""
 MAX_SHOWN_AGE_SECONDS = 999.0
-"""Shown for a proof that there never was."""
+"""Age shown when there has never been a proof."""
 RETRY_AFTER_SECONDS = 0.2
 RETRY_AFTER_SPREAD_SECONDS = 0.4
-"""Returns are spread, so that refused clients don't come back together."""
+"""Random addition, so that refused clients don't all retry at the same time."""
 
 
 class GatewayContext:
     """State and services of one gateway.
 
     Attributes:
-        mechanisms: Those that are switched on.
-        planned_stop: The planned stop that is under way, None before.
-        reading: How often the state of the object store is asked for.
-        descriptors: Who may have how many of this process' descriptors.
-        short_of_room_until: Clients waited to be accepted a moment before this time.
-        attended: Time by which the silence of others is judged.
-        lag: Which requests the configuration in force may decide while a newer one is on its way.
-        effects: What the latest configurations changed.
-        confirmed_era: Whether the configuration in the store may be believed after a return.
+        mechanisms: Mechanisms that are switched on.
+        planned_stop: The planned stop in progress, None before.
+        replication_times: Wait times and proof ages for replication of the object store.
+        descriptors: Partition of the file descriptors of this process.
+        short_of_descriptors_until: Until this monotonic time client connections count as waiting to
+            be accepted for lack of descriptors.
+        responsive_clock: Time during which the event loop ran, by which timeouts on the silence of
+            peers and servers are measured.
+        lag: Which requests may be decided by the configuration in force while a newer one is being
+            received.
+        effects: Effects of the latest configuration changes.
+        confirmed_era: Whether the configuration in the store is confirmed after a restore.
         lost_configuration: Which version the store holds, and which later one it has lost.
-        reads_store: This gateway reads the store itself, so that it may vouch for what it knows.
-        followed_reader: Name of the gateway that it follows instead; empty for none.
-        cache_store_reach: Which stores of kept prompt state answer.
-        on_instance_ended: Called when an answer showed that an incarnation has ended.
-        restart_listeners: Called with the incarnation before when a server has started again.
-        wake_listeners: Called when the machine has woken from a suspension.
-        news_listeners: Called when there is news that the other gateways need at once.
-        on_return_news: Called when something is known of a return of the store that gateways need
-            which start after the end of all others.
+        reads_store: This gateway reads the store itself, so that it may serve followers.
+        followed_reader: Name of the gateway that it follows instead; empty when there is none.
+        cache_store_availability: Which prompt-cache stores answer.
+        on_instance_ended: Called when an answer showed that an incarnation has terminated.
+        restart_listeners: Called with the previous incarnation when a server has restarted.
+        wake_listeners: Called when the machine has resumed from suspension.
+        update_listeners: Called when there is an update that the other gateways need at once.
+        on_restore_update: Called when this gateway learns something of a restore of the store that
+            gateways need which start after all others have stopped.
     """
 
     def __init__(
@@ -103,20 +107,20 @@
         self.dialect = dialect
         self.random = random_source
         self.log = log
-        self.record = Recorder(log, figures, self._belief, self.now)
-        self.table: RouteTable | None = None
+        self.record = Recorder(log, figures, self._reported_state, self.now)
+        self.route_table: RouteTable | None = None
         self.planned_stop: PlannedStop | None = None
         self.loop = asyncio.get_running_loop()
         bounds = settings.bounds
-        self.reading = self._reading_times(settings)
+        self.replication_times = self._replication_times_of(settings)
         self.reads_store = False
         self.followed_reader = ""
         self.freshness = ProofOfFreshness(
-            self._key_bound(settings), bounds.fail_closed, self.reading.steady_state_age
+            self._key_bound(settings), bounds.fail_closed, self.replication_times.steady_state_age
         )
         self.lag = ConfigurationLag(bounds.config_apply)
         self.effects = EffectHistory()
-        self.on_return_news: Callable[[], None] = lambda: None
+        self.on_restore_update: Callable[[], None] = lambda: None
         self.confirmed_era = ConfirmedEra(self._on_era_confirmed)
         self.lost_configuration = LostConfiguration(lambda: self.configuration_version)
         self.instances = InstanceTable()
@@ -125,8 +129,8 @@
         self.instances.on_restarted = self._on_restarted
         self.wake_listeners: set[Callable[[], None]] = set()
         self._sleep_detector = SleepDetector()
-        self.attended = AttendedClock()
-        self.news_listeners: list[Callable[[], None]] = []
+        self.responsive_clock = AttendedClock()
+        self.update_listeners: list[Callable[[], None]] = []
         self.server_signals = ServerSignals()
         pauses = PermitRetryDelays()
         self.signal_watch = SignalMonitor(
@@ -134,8 +138,8 @@
             pauses,
             self.instances,
             self.record,
-            self._on_news,
-            self._on_leaving,
+            self._announce_update,
+            self._on_draining,
         )
         self.permits = ServerPermits(
             settings.name,
@@ -143,7 +147,7 @@
             pauses,
             self.signal_watch.on_reports,
             random_source,
-            self.attended,
+            self.responsive_clock,
             self.now,
             lambda: self.members,
             figures,
@@ -151,12 +155,12 @@
         self.gate = VersionGate(bounds.version)
         self.crash_evidence = CrashEvidence()
         self.loads = LoadExchange(settings.name, self.crash_evidence, self.server_signals)
-        self.server_answers = ServerAnswers(self.loads, mechanisms, self.now)
+        self.server_answer_rates = ServerAnswerRates(self.loads, mechanisms, self.now)
         self.tenant_limits = TenantLimits(
             SummedPeerUsage(self.loads, lambda: self.members), bounds.limit_tolerance
         )
         self.cache_stores = CacheStorePlan()
-        self.cache_store_reach = CacheStoreReach(self.cache_stores, log)
+        self.cache_store_availability = CacheStoreAvailability(self.cache_stores, log)
         self.selector = InstanceSelector(
             self.instances,
             self.gate,
@@ -167,29 +171,31 @@
             pauses,
         )
         self.weights = WeightedChoice(random_source)
-        self.short_of_room_until = float("-inf")
+        self.short_of_descriptors_until = float("-inf")
         self.descriptors = descriptor_plan(settings.max_descriptors)
         self.pool = ConnectionPool(
             dialect,
             self._on_opened,
-            self.attended,
+            self.responsive_clock,
             self.descriptors.idle_servers,
-            self._connection_part,
+            self._connection_quota,
+        )
+        self.crash_watch = CrashDetector(
+            self.crash_evidence, self.pool, self.record, self._announce_update
         )
-        self.crash_watch = CrashDetector(self.crash_evidence, self.pool, self.record, self._on_news)
         self.gateways = 0
         self._budgets: dict[str, RetryBudget] = {}
         self._suspected: set[str] = set()
 
     def now(self) -> float:
-        """Monotonic seconds, those of a suspended machine included."""
+        """Monotonic seconds, including the time while the machine is suspended."""
         return elapsed_seconds()
 
-    def note_sleep(self) -> None:
-        """Notice that the machine was suspended, before anything is served, sent or renewed.
+    def handle_suspension(self) -> None:
+        """Detect that the machine was suspended, before anything is served, sent or renewed.
 
-        All that ends by time is kept by a clock that counts the sleep, so it has ended already;
-        timers have stood still, and are set anew.
+        Deadlines are kept on a clock that includes the suspension, so they have passed already;
+        timers were stopped, and are set again by the listeners.
         """
         slept = self._sleep_detector.take_sleep()
         if not slept:
@@ -199,12 +205,12 @@
             listener()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Take changed bounds into force; addresses stay as they are until a restart."""
+        """Apply changed bounds; addresses stay as they are until a restart."""
         bounds = settings.bounds
         self.settings = settings
-        self.reading = self._reading_times(settings)
+        self.replication_times = self._replication_times_of(settings)
         self.freshness.set_bound(
-            self._key_bound(settings), bounds.fail_closed, self.reading.steady_state_age
+            self._key_bound(settings), bounds.fail_closed, self.replication_times.steady_state_age
         )
         self.lag.apply_seconds = bounds.config_apply
         self.gate.bound_seconds = bounds.version
@@ -215,11 +221,11 @@
     def _key_bound(settings: GatewaySettings) -> float:
         return settings.bounds.revoke - FRESHNESS_MARGIN_SECONDS
 
-    def _reading_times(self, settings: GatewaySettings) -> ReplicationTimes:
+    def _replication_times_of(self, settings: GatewaySettings) -> ReplicationTimes:
         return replication_times(self._key_bound(settings), settings.bounds.config_apply)
 
     def own_loads(self) -> list[InstanceLoad]:
-        """This gateway's load on each server that has some, and how it went there lately."""
+        """This gateway's load and recent results on each server that has some."""
         now = self.now()
         loads = []
         for instance in self.instances:
@@ -237,19 +243,19 @@
         return loads
 
     def set_gateways(self, count: int) -> None:
-        """The number of gateways that share the retry budget, this one included."""
+        """Set the number of gateways that share the retry budget, including this one."""
         if count != self.gateways:
             self.gateways = count
             self._budgets.clear()
 
     @property
     def members(self) -> int:
-        """Gateways that share what is bounded for all of them together."""
-        return self.gateways or UNKNOWN_GATEWAYS
+        """Number of gateways among which global bounds are divided."""
+        return self.gateways or ASSUMED_GATEWAYS
 
     def limits(self) -> EdgeLimits:
-        """Bounds on what clients send; defaults before the first configuration."""
-        return self.table.limits if self.table is not None else EdgeLimits()
+        """Bounds on client requests; defaults before the first configuration."""
+        return self.route_table.limits if self.route_table is not None else EdgeLimits()
 
     @property
     def stopping(self) -> bool:
@@ -258,41 +264,44 @@
 
     @property
     def refusing(self) -> bool:
-        """Whether a planned stop has come so far that new requests are refused."""
+        """Whether a planned stop has reached the phase that refuses new requests."""
         stop = self.planned_stop
         return stop is not None and stop.phase(self.now()) is not StopPhase.DRAINING
 
     def asks_clients_to_leave(self) -> bool:
-        """Whether answers ask clients to close their connections: others need the room."""
-        return self.stopping or self.now() < self.short_of_room_until
+        """Whether answers ask clients to close their connections.
+
+        They do during a planned stop, and while other clients wait for descriptors.
+        """
+        return self.stopping or self.now() < self.short_of_descriptors_until
 
     @property
     def configuration_version(self) -> int:
-        """Version in force, 0 before the first."""
-        return self.table.version if self.table is not None else 0
+        """Version in force, 0 before the first one."""
+        return self.route_table.version if self.route_table is not None else 0
 
     def _on_era_confirmed(self, era: int, evidence: EraEvidence) -> None:
         self.record.store.era_confirmed(era, evidence)
-        self.on_return_news()
+        self.on_restore_update()
 
     def on_lost_configuration(self, version: int) -> None:
-        """A version that is in force at another gateway isn't in the store.
+        """Handle a version that is in force at another gateway, but missing in the store.
 
-        Until it, or a later one, is written again, no proof says that a key still holds.
+        Until it or a later one is written again, nothing proves that a key is still valid.
         """
         if not self.lost_configuration.on_peer_version(version):
             return
         self.freshness.forget()
-        if self.table is not None:
+        if self.route_table is not None:
             self.record.store.configuration_lost(version, self.configuration_version)
 
     def on_unanswered(self, request: UnansweredRequest) -> None:
-        """A request that was read ends without a whole answer."""
+        """Record a request that was read but ended without a complete answer."""
         self.record.unanswered(request, self.dialect.request_id_of(request.fields), self.stopping)
 
     def is_ready(self) -> bool:
         """Whether clients should be sent here."""
-        knows_all = self.table is not None and self.instances.is_listed
+        knows_all = self.route_table is not None and self.instances.is_listed
         return knows_all and not self.stopping and self.freshness.allows_keys(self.now())
 
     def budget(self, service: str) -> RetryBudget:
@@ -302,28 +311,28 @@
             bounds = self.settings.bounds
             budget = self._budgets[service] = shared_retry_budget(
                 self.now(),
-                ratio=bounds.retry_ratio * BUDGET_SHARE,
-                slack=bounds.retry_slack * BUDGET_SHARE,
+                ratio=bounds.retry_ratio * RETRY_BUDGET_SHARE,
+                slack=bounds.retry_slack * RETRY_BUDGET_SHARE,
                 window_seconds=bounds.budget_window,
                 members=self.members,
             )
         return budget
 
-    def note_limits(self) -> None:
-        """Say which tenants were refused over their limits since the last call."""
+    def report_limits(self) -> None:
+        """Log the tenants that were refused over their limits since the last call."""
         for state in self.tenant_limits.due_reports(self.now()):
             self.record.limited(state)
 
     def retry_after(self) -> float:
-        """When a refused client may come back."""
+        """Seconds after which a refused client may retry."""
         return RETRY_AFTER_SECONDS + self.random.random() * RETRY_AFTER_SPREAD_SECONDS
 
     def may_use_keys(self, tenant: TenantRecord | None) -> bool:
-        """Whether a request of a tenant may be sent on now; public ones always."""
+        """Whether a request of a tenant may be forwarded now; public ones always may."""
         return tenant is None or self.freshness.allows_keys(self.now())
 
     def note_result(self, instance: Instance, result: AttemptResult) -> None:
-        """A sign of a server's health; says when it is ejected or back."""
+        """Update a server's health by a result, and record when it is ejected or returns."""
         now = self.now()
         was_ejected = instance.health.is_ejected(now)
         instance.health.on_result(result, now)
@@ -334,39 +343,43 @@
             self.record.return_of(instance.name, result)
 
     def note_successor(self, instance: Instance, successor: str) -> None:
-        """Another server answered at the address of one, so that incarnation has ended."""
-        is_news = self.end_instance(instance.name, successor, instance.record.started_ms)
-        if is_news and self.on_instance_ended is not None:
+        """Retire an incarnation at whose address another one answered."""
+        is_new = self.retire_instance(instance.name, successor, instance.record.started_ms)
+        if is_new and self.on_instance_ended is not None:
             self.on_instance_ended(instance)
 
-    def _connection_part(self, address: str) -> int:
-        """Connections to a server that this gateway keeps at most."""
-        service = self.table.service(self.instances.service_at(address)) if self.table else None
+    def _connection_quota(self, address: str) -> int:
+        """Most connections to a server that this gateway may keep."""
+        service = (
+            self.route_table.service(self.instances.service_at(address))
+            if self.route_table
+            else None
+        )
         takes = service.max_connections if service is not None else 0
         return connection_share(takes, self.members, self.settings.name, address)
 
-    def _on_leaving(self, instance: Instance) -> None:
-        """A server leaves: it closes its connections after their next answer."""
+    def _on_draining(self, instance: Instance) -> None:
+        """Close connections to a server that is draining, each after its next answer."""
         self.pool.close_to(instance.record.address)
 
     def _on_restarted(self, before: Instance) -> None:
-        """A server has started again under its name: what it had at work ended with it."""
+        """Handle a restart of a server under its name, which aborted all its running requests."""
         self.record.instance_restarted(before.name)
         self.crash_watch.on_instance_terminated(before.name)
         for listener in self.restart_listeners:
             listener(before)
 
-    def end_instance(self, name: str, successor: str, started_ms: int) -> bool:
-        """Take an incarnation out of use; True when this wasn't known.
+    def retire_instance(self, name: str, successor: str, started_ms: int) -> bool:
+        """Take a terminated incarnation out of use; True when its end wasn't known yet.
 
         Args:
             name: The server.
-            successor: Who answers in its place, or who says so.
-            started_ms: Start of the incarnation that has ended, 0 when it isn't known.
+            successor: Incarnation that answers in its place, or the source of the report.
+            started_ms: Start of the terminated incarnation in ms, 0 when it isn't known.
         """
         known = self.instances.get(name)
         if known is not None and started_ms and started_ms < known.record.started_ms:
-            # It has started again since.
+            # The server has restarted since.
             return False
         if Mechanism.INCARNATION_CHECK not in self.mechanisms or not self.instances.terminate(name):
             return False
@@ -374,14 +387,17 @@
         self.crash_watch.on_instance_terminated(name)
         return True
 
-    def _on_news(self) -> None:
-        """Let the other gateways know at once."""
+    def _announce_update(self) -> None:
+        """Send an update to the other gateways at once."""
         self.loads.on_update()
-        for listener in self.news_listeners:
+        for listener in self.update_listeners:
             listener()
 
-    def note_suspicions(self) -> None:
-        """Say which servers all gateways together found sick or well since the last call."""
+    def report_suspicions(self) -> None:
+        """Log the servers that became suspected, or stopped being so, since the last call.
+
+        A server is suspected by the results of all gateways together.
+        """
         now = self.now()
         suspected = {
             instance.name
@@ -396,8 +412,8 @@
         if address != self.settings.store:
             self.record.tally.on_connection()
 
-    def _belief(self) -> dict[str, Any]:
+    def _reported_state(self) -> dict[str, Any]:
         return {
-            "configuration": self.table.version if self.table is not None else None,
+            "configuration": self.route_table.version if self.route_table is not None else None,
             "proof_age": round(min(self.freshness.age(self.now()), MAX_SHOWN_AGE_SECONDS), 3),
         }
--- a/src/milletcourse/gateway/store/change_log.py
+++ b/src/milletcourse/gateway/store/change_log.py
@@ -1,4 +1,4 @@
-"""The latest changes of one kind of objects, as they are told to followers."""
+"""Log of the latest changes of one kind of objects, from which followers are served."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 MAX_GAPS = 32
 MAX_CHANGES = 2048
 MAX_BYTES = 1024 * 1024
-"""Of all contents and patches; a follower that is further behind is told all objects."""
-PATCHED_BYTES = 1024
-"""A content of this size is told as a patch."""
+"""Total of all contents and patches; a follower that is further behind gets all objects."""
+MIN_PATCHED_BYTES = 1024
+"""A content of at least this size is sent as a patch."""
 
 
 class LoggedChange(msgspec.Struct, frozen=True):
     """One change.
 
     Attributes:
-        at: State of the store with which it became known.
+        observed_at: Store position with which it became known.
         name: Name of the object.
-        place: Its change as the store counts it.
-        gone: The object went.
-        spec: Its content; empty for one that went, and beside a patch.
-        patch: Makes its content from the one before; None for a small one.
+        position: Position of the change itself.
+        deleted: The object was deleted.
+        spec: Its content; empty for a deleted object, and when there is a patch.
+        patch: Builds its content from the one before; None for a small content.
     """
 
-    at: StorePosition
+    observed_at: StorePosition
     name: str
-    place: StorePosition
-    gone: bool
+    position: StorePosition
+    deleted: bool
     spec: bytes
     patch: ContentPatch | None
 
     @property
     def size(self) -> int:
-        """Bytes that it brings."""
+        """Bytes of its content or patch."""
         return len(self.spec) + (len(self.patch.steps) if self.patch is not None else 0)
 
 
@@ -52,34 +52,34 @@
         self._bytes = 0
         self._start: StorePosition | None = None
         self._gaps: deque[tuple[StorePosition, StorePosition]] = deque()
-        """States between which changes aren't known one by one, just how the ends differ."""
+        """Pairs of positions between which single changes aren't known, only the difference."""
 
-    def begin(self, place: StorePosition) -> None:
-        """Nothing before this state is known."""
-        self._start = place
+    def start_at(self, position: StorePosition) -> None:
+        """Start the log; no change up to this position is known."""
+        self._start = position
 
-    def note(self, change: ObjectChange, before: bytes | None, place: StorePosition) -> None:
-        """A change has become known.
+    def append(self, change: ObjectChange, before: bytes | None, position: StorePosition) -> None:
+        """Add a change.
 
         Args:
             change: The change.
             before: The object's content until now, None without one.
-            place: State of the store with it.
+            position: Store position with which it became known.
         """
         stored = change.stored
-        is_large = not change.gone and len(stored.spec) >= PATCHED_BYTES
+        is_large = not change.deleted and len(stored.spec) >= MIN_PATCHED_BYTES
         patch = change.patch or _patch(before, stored.spec) if is_large else None
-        spec = b"" if change.gone or is_large else stored.spec
-        logged = LoggedChange(place, stored.name, stored.place, change.gone, spec, patch)
+        spec = b"" if change.deleted or is_large else stored.spec
+        logged = LoggedChange(position, stored.name, stored.position, change.deleted, spec, patch)
         self._changes.append(logged)
         self._bytes += logged.size
         while len(self._changes) > MAX_CHANGES or self._bytes > MAX_BYTES:
             dropped = self._changes.popleft()
             self._bytes -= dropped.size
-            self._start = dropped.at
+            self._start = dropped.observed_at
 
-    def note_gap(self, begin: StorePosition, end: StorePosition) -> None:
-        """What lies between two states isn't known one by one."""
+    def add_gap(self, begin: StorePosition, end: StorePosition) -> None:
+        """Note that single changes between two positions aren't known."""
         if begin == end:
             return
         self._gaps.append((begin, end))
@@ -87,22 +87,22 @@
             _, last = self._gaps.popleft()
             self._start = last if self._start is None else max(self._start, last)
 
-    def covers(self, place: StorePosition | None) -> TypeGuard[StorePosition]:
-        """Whether what differs from a state is kept: not from one within a gap."""
-        if place is None or self._start is None or place < self._start:
+    def covers(self, position: StorePosition | None) -> TypeGuard[StorePosition]:
+        """Whether the log holds all differences from a position; not from one within a gap."""
+        if position is None or self._start is None or position < self._start:
             return False
-        return not any(begin < place < end for begin, end in self._gaps)
+        return not any(begin < position < end for begin, end in self._gaps)
 
-    def has_after(self, place: StorePosition) -> bool:
-        """Whether a change became known after a state."""
-        return bool(self._changes) and self._changes[-1].at > place
+    def has_after(self, position: StorePosition) -> bool:
+        """Whether a change became known after a position."""
+        return bool(self._changes) and self._changes[-1].observed_at > position
 
-    def after(self, place: StorePosition) -> list[LoggedChange]:
-        """Changes that became known after a state."""
-        return [change for change in self._changes if change.at > place]
+    def after(self, position: StorePosition) -> list[LoggedChange]:
+        """Changes that became known after a position."""
+        return [change for change in self._changes if change.observed_at > position]
 
     def patch(self, name: str, base: int, result: int) -> ContentPatch | None:
-        """A patch of an object's content by the sums of both contents."""
+        """The patch of an object with these checksums of the base and of the result."""
         for change in reversed(self._changes):
             patch = change.patch
             if change.name != name or patch is None:
--- a/src/milletcourse/gateway/store/directory.py
+++ b/src/milletcourse/gateway/store/directory.py
@@ -1,4 +1,4 @@
-"""The list of gateways, which each of them enters itself into; kept in the object store."""
+"""The list of gateways in the object store, in which each gateway writes its own entry."""
 
 from __future__ import annotations
 
@@ -11,41 +11,42 @@
 from milletcourse.exchange.messages.peer_messages import CrashReport, ServerCrash
 from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.replication.reader_selection import GatewayRecord
-from milletcourse.gateway.store.kind_mirror import IgnoringSink
-from milletcourse.gateway.store.object_store import UNREADABLE, ObjectChange, StoredObject
+from milletcourse.gateway.store.kind_mirror import NoOpEventHandler
+from milletcourse.gateway.store.object_store import DECODE_ERRORS, ObjectChange, StoredObject
 from milletcourse.gateway.telling.event_log import EventLog
 from milletcourse.runtime.addresses import split_address
 from milletcourse.runtime.clock import elapsed_seconds
 
 MAX_IDENTITY = 2**64 - 1
 MAX_GATEWAYS = 512
-"""Further ones are neither told nor followed."""
-KEPT_SECONDS = 5.0
-"""Gateways that are missing in an older copy of the list are kept this long: those that live write
-their entries again within two seconds, and what all share is divided by their number."""
+"""Further gateways are neither reported to listeners nor followed."""
+MISSING_ENTRY_RETENTION_SECONDS = 5.0
+"""Gateways that are missing after the store was restored from an older snapshot are kept this long:
+running ones write their entries again within two seconds, and shared limits are divided by the
+number of gateways."""
 
 
 class ContainedRequest(msgspec.Struct, frozen=True):
-    """A request that isn't sent to servers, as it stands in the object store.
+    """A request that isn't sent to servers since it crashes them, as stored in the object store.
 
     Attributes:
-        content: Identity of its content as text: numbers in JSON lose digits beyond 53 bits.
-        ends: Servers that ended under it, with ages as of `GatewayEntry.contained_at`.
+        content: Identity of its content as text, since JSON numbers lose digits beyond 53 bits.
+        ends: Servers that crashed while they ran it, with ages as of `GatewayEntry.contained_at`.
     """
 
     content: str
     ends: list[ServerCrash]
 
     @classmethod
-    def of(cls, report: CrashReport) -> ContainedRequest:
+    def from_report(cls, report: CrashReport) -> ContainedRequest:
         """The stored form of a report."""
         return cls(identity_text(report.identity), report.crashes)
 
-    def report(self) -> CrashReport:
-        """The report; raises `ValueError` when the identity is none."""
+    def to_report(self) -> CrashReport:
+        """The report; raises `ValueError` when the identity is malformed."""
         identity = int(self.content, 16)
         if not 0 <= identity <= MAX_IDENTITY:
-            raise ValueError("no identity of a request")
+            raise ValueError("request identity is out of range")
         return CrashReport(identity, self.ends)
 
 
@@ -53,17 +54,17 @@
     """A gateway in the object store.
 
     Attributes:
-        address: `host:port` that takes datagrams.
+        address: `host:port` that receives datagrams.
         zone: Zone of its machine.
-        feed: `host:port` that tells what the store holds.
+        feed: `host:port` that serves the contents of the store to followers.
         link_megabits: Bandwidth of its machine's link in Mbit/s.
-        contained: Requests that aren't sent to servers, as it found: they outlast the end of all
-            gateways only here.
-        contained_at: Wall-clock seconds at which `contained` was so.
-        confirmed_era: Latest era of the store that this gateway was the first to find confirmed: a
-            gateway that starts after the end of all others goes by it.
+        contained: Requests that it found to crash servers, and that aren't sent to them. Only this
+            entry outlasts a restart of all gateways.
+        contained_at: Wall-clock seconds at which `contained` was written.
+        confirmed_era: Latest era of the store that this gateway was the first to find confirmed;
+            used by a gateway that starts after all others have stopped.
         lost_configuration: Version of a configuration that was in force, and that the store had
-            lost when this was written; 0 for none.
+            lost when this entry was written; 0 for none.
     """
 
     address: str
@@ -76,13 +77,13 @@
     lost_configuration: int = 0
 
 
-class GatewayDirectory(IgnoringSink):
-    """Follows the list; the known gateways stay known while the store is away.
+class GatewayDirectory(NoOpEventHandler):
+    """Tracks the list; the known gateways stay known while the store is unavailable.
 
     Attributes:
-        is_listed: Set when the list is known, which may be some seconds old at first.
-        own_entry: What the list says of this gateway: of an earlier process, right after a start.
-        own_place: Its latest change, None without one.
+        is_listed: Set once the list is known; the first list may be some seconds old.
+        own_entry: This gateway's entry in the list; at first, that of an earlier process.
+        own_position: Position of its latest change, None without an entry.
     """
 
     def __init__(
@@ -92,13 +93,13 @@
         on_entry: Callable[[GatewayEntry, bool], None] | None = None,
         now: Callable[[], float] = elapsed_seconds,
     ) -> None:
-        """No gateway known yet.
+        """Create an empty directory.
 
         Args:
             own_name: Name of this gateway.
-            log: For entries that can't be understood.
-            on_entry: Told of each entry, and whether it is this gateway's own.
-            now: Monotonic time.
+            log: Gets a line for each malformed entry.
+            on_entry: Called with each entry, and whether it is this gateway's own.
+            now: Returns monotonic time in seconds.
         """
         self._now = now
         self._on_entry = on_entry
@@ -106,76 +107,76 @@
         self._log = log
         self.is_listed = asyncio.Event()
         self.own_entry: GatewayEntry | None = None
-        self.own_place: StorePosition | None = None
+        self.own_position: StorePosition | None = None
         self._others: dict[str, GatewayRecord] = {}
         self._missing: dict[str, GatewayRecord] = {}
         self._confirmed_eras: dict[str, int] = {}
-        self._kept_until = float("-inf")
+        self._retained_until = float("-inf")
         self._listeners: list[Callable[[list[GatewayRecord]], None]] = []
 
     @property
     def confirmed_era(self) -> int:
-        """Latest era of the store that some entry says to be confirmed."""
+        """Latest confirmed era of the store in any entry."""
         return max(self._confirmed_eras.values(), default=UNKNOWN_ERA)
 
     def add_listener(self, listener: Callable[[list[GatewayRecord]], None]) -> None:
-        """Call this with the other gateways whenever the list changes."""
+        """Add a function that is called with the other gateways whenever the list changes."""
         self._listeners.append(listener)
 
     def on_list(self, objects: list[StoredObject], sent_at: float) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
         before = self._others
         self._others = {}
         self._confirmed_eras = {}
-        self.own_entry, self.own_place = None, None
+        self.own_entry, self.own_position = None, None
         for stored in objects:
-            self._note(stored)
+            self._apply_entry(stored)
         for name, record in before.items():
             if name not in self._others:
-                self._miss(record)
-        self._tell()
+                self._retain(record)
+        self._notify()
         self.is_listed.set()
 
     def on_changes(self, changes: tuple[ObjectChange, ...], sent_at: float) -> None:
-        """See `KindSink`."""
+        """See `KindEventHandler`."""
         if not changes:
             return
         for change in changes:
-            if change.gone:
-                self._drop(change.stored.name)
+            if change.deleted:
+                self._remove(change.stored.name)
             else:
-                self._note(change.stored)
-        self._tell()
+                self._apply_entry(change.stored)
+        self._notify()
 
-    def on_era(self, place: StorePosition, before: StorePosition | None) -> None:
-        """See `KindSink`: what the store lost isn't gone yet."""
+    def on_new_era(self, position: StorePosition, before: StorePosition | None) -> None:
+        """See `KindEventHandler`: gateways whose entries the store lost may still be running."""
         if before is not None:
-            self._kept_until = self._now() + KEPT_SECONDS
+            self._retained_until = self._now() + MISSING_ENTRY_RETENTION_SECONDS
 
     def expire_missing(self, now: float) -> None:
-        """Drop gateways that did not write their entries again."""
-        if self._missing and now >= self._kept_until:
+        """Remove gateways that haven't written their entries again in time."""
+        if self._missing and now >= self._retained_until:
             self._missing.clear()
-            self._tell()
+            self._notify()
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         self._confirmed_eras.pop(name, None)
         if name == self._own_name:
-            self.own_entry, self.own_place = None, None
+            self.own_entry, self.own_position = None, None
         record = self._others.pop(name, None)
         if record is not None:
-            self._miss(record)
+            self._retain(record)
 
-    def _miss(self, record: GatewayRecord) -> None:
-        if self._now() < self._kept_until:
+    def _retain(self, record: GatewayRecord) -> None:
+        if self._now() < self._retained_until:
             self._missing[record.name] = record
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         others = [*self._others.values(), *self._missing.values()]
         for listener in self._listeners:
             listener(others)
 
-    def _note(self, stored: StoredObject) -> None:
+    def _apply_entry(self, stored: StoredObject) -> None:
         entry = decode_entry(stored.spec)
         self._others.pop(stored.name, None)
         self._confirmed_eras.pop(stored.name, None)
@@ -185,7 +186,7 @@
         if entry is not None and entry.confirmed_era > UNKNOWN_ERA:
             self._confirmed_eras[stored.name] = entry.confirmed_era
         if stored.name == self._own_name:
-            self.own_entry, self.own_place = entry, stored.place
+            self.own_entry, self.own_position = entry, stored.position
             return
         if len(self._others) >= MAX_GATEWAYS:
             return
@@ -198,12 +199,12 @@
 
 
 def decode_entry(spec: bytes) -> GatewayEntry | None:
-    """Understand an entry; None when it is none."""
+    """Decode an entry; None when it is malformed."""
     try:
         entry = msgspec.json.decode(spec, type=GatewayEntry)
         split_address(entry.address)
         if entry.feed:
             split_address(entry.feed)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     return entry
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -1,4 +1,4 @@
-"""Tells the gateways that follow this one what the object store holds."""
+"""Serves the contents of the object store to the gateways that follow this one."""
 
 from __future__ import annotations
 
@@ -26,158 +26,160 @@
 FEED_PATH = "/feed"
 CONTENT_PATH = "/content"
 MAX_HOLD_SECONDS = 5.0
-"""No question is kept longer, whatever it asks for."""
+"""No request is held longer, whatever time it asks for."""
 MIN_WAIT_SECONDS = 0.01
 _JSON = HeaderField(b"Content-Type", b"application/json")
 _BINARY = HeaderField(b"Content-Type", b"application/octet-stream")
 
 
 class StoreFeed:
-    """Answers the questions of followers from what the mirrors know.
+    """Answers the feed requests of followers from the mirrors.
 
-    It vouches for what the store holds, not for what may be done by it: whether the configuration
-    found there is worth anything, each gateway judges by what it knows itself.
+    It attests what the store holds, not that the configuration found there is valid: each gateway
+    judges that from its own state.
     """
 
     def __init__(
-        self, context: GatewayContext, mirrors: Sequence[KindMirror], proven: KindMirror
+        self, context: GatewayContext, mirrors: Sequence[KindMirror], proof_mirror: KindMirror
     ) -> None:
-        """Nothing asked yet.
+        """Create a feed and subscribe it to the mirrors.
 
         Args:
             context: The gateway.
-            mirrors: What is told.
-            proven: The one of them whose calls prove that the store is read here.
+            mirrors: Kinds that are served.
+            proof_mirror: The one of them whose calls prove that the store is read here.
         """
         self._context = context
-        self._proven = proven
+        self._proof_mirror = proof_mirror
         self._mirrors = {mirror.kind: mirror for mirror in mirrors}
         self._waiters: set[asyncio.Future[None]] = set()
         for mirror in mirrors:
-            mirror.on_news = self._wake
+            mirror.on_change = self._wake
 
     async def handle(self, request: ClientRequest, client: ClientConnection) -> None:
-        """Answer one question; the handler of `ClientConnection`."""
+        """Answer one request; the handler of `ClientConnection`."""
         if request.target == CONTENT_PATH.encode():
             self._answer_content(request, client)
         else:
-            await self._answer_news(request, client)
+            await self._answer_feed(request, client)
 
     def _answer_content(self, request: ClientRequest, client: ClientConnection) -> None:
-        """Bring a content that was announced; its sums tell whether it is meant."""
-        question = decode_content_request(request.body)
-        if question is None:
-            refuse(client, MalformedRequest("no question about a content"))
+        """Send an announced content, which is identified by its checksums."""
+        query = decode_content_request(request.body)
+        if query is None:
+            refuse(client, MalformedRequest("malformed content request"))
             return
-        mirror = self._mirrors.get(question.kind)
+        mirror = self._mirrors.get(query.kind)
         patch = None
         if mirror is not None:
-            patch = mirror.patch(question.name, question.base, question.result)
+            patch = mirror.patch(query.name, query.base, query.result)
         if patch is None:
-            refuse(client, NotFound("this content isn't known here"))
+            refuse(client, NotFound("this content isn't available here"))
             return
         client.send_whole(200, b"", [_BINARY], encode_patch(patch))
 
-    async def _answer_news(self, request: ClientRequest, client: ClientConnection) -> None:
+    async def _answer_feed(self, request: ClientRequest, client: ClientConnection) -> None:
         received_at = self._context.now()
-        question = decode_feed_request(request.body)
-        if question is None:
-            refuse(client, MalformedRequest("no question about the store"))
+        query = decode_feed_request(request.body)
+        if query is None:
+            refuse(client, MalformedRequest("malformed feed request"))
             return
-        self._note_positions(question)
-        self._note_configuration(question)
-        self._context.confirmed_era.on_peer_confirmed(question.confirmed_era)
-        await self._wait_for_news(question, received_at)
-        if not self._vouches() or self._is_an_era_behind(question):
-            refuse(client, NotReady("the store isn't read here now"))
+        self._note_positions(query)
+        self._note_configuration(query)
+        self._context.confirmed_era.on_peer_confirmed(query.confirmed_era)
+        await self._wait_for_changes(query, received_at)
+        if not self._can_attest() or self._is_an_era_behind(query):
+            refuse(client, NotReady("this gateway isn't reading the store at present"))
             return
-        told = [
-            self._mirrors[position.kind].since(position.position, question.accepts_patches)
-            for position in question.positions
-            if position.kind in self._mirrors
+        changed_kinds = [
+            self._mirrors[asked.kind].since(asked.position, query.accepts_patches)
+            for asked in query.positions
+            if asked.kind in self._mirrors
         ]
-        proof_offset = self._proven.proved_at - received_at
-        news = [kind for kind in told if kind is not None]
-        answer = self._with_coming_change(FeedResponse(news, proof_offset), question, received_at)
-        client.send_whole(200, b"", [_JSON], encode_feed_response(answer, question.accepts_patches))
+        proof_offset = self._proof_mirror.proved_at - received_at
+        changes = [kind for kind in changed_kinds if kind is not None]
+        answer = self._with_pending_change(FeedResponse(changes, proof_offset), query, received_at)
+        client.send_whole(200, b"", [_JSON], encode_feed_response(answer, query.accepts_patches))
 
-    def _with_coming_change(
-        self, answer: FeedResponse, question: FeedRequest, received_at: float
+    def _with_pending_change(
+        self, answer: FeedResponse, query: FeedRequest, received_at: float
     ) -> FeedResponse:
-        """The answer with what is known of a configuration that it doesn't bring."""
+        """Add to an answer what is known of a newer configuration that it doesn't contain."""
         context = self._context
         effect = not_out_at = None
-        if any(kind.kind == self._proven.kind and kind.is_announced for kind in answer.kinds):
-            effect = context.effects.since(question.configuration)
-            not_out_at = context.effects.not_committed_at(question.configuration)
+        if any(kind.kind == self._proof_mirror.kind and kind.is_announced for kind in answer.kinds):
+            effect = context.effects.since(query.configuration)
+            not_out_at = context.effects.not_committed_at(query.configuration)
         else:
             not_out_at = context.lag.not_committed_at
         return msgspec.structs.replace(
             answer,
-            is_receiving=self._proven.is_receiving,
+            is_receiving=self._proof_mirror.is_receiving,
             effect=effect,
             unpublished_offset=not_out_at - received_at if not_out_at is not None else None,
             configuration=context.configuration_version,
             confirmed_era=context.confirmed_era.latest,
         )
 
-    def _note_configuration(self, question: FeedRequest) -> None:
-        """A follower that knows no later state of the store, but a later configuration."""
-        known = self._proven.place
+    def _note_configuration(self, query: FeedRequest) -> None:
+        """Detect that the store has lost a configuration which a follower has in force.
+
+        Such a follower has a later configuration, but no later position of the store.
+        """
+        known = self._proof_mirror.position
         asked = next(
-            (item.position for item in question.positions if item.kind == self._proven.kind), None
+            (item.position for item in query.positions if item.kind == self._proof_mirror.kind),
+            None,
         )
         if known is not None and asked is not None and asked <= known:
-            self._context.on_lost_configuration(question.configuration)
+            self._context.on_lost_configuration(query.configuration)
 
-    def _note_positions(self, question: FeedRequest) -> None:
-        for position in question.positions:
-            mirror = self._mirrors.get(position.kind)
-            known = mirror.place if mirror is not None else None
-            if known is not None and position.position is not None:
-                self._context.record.store.follower_position(
-                    position.kind, position.position, known
-                )
+    def _note_positions(self, query: FeedRequest) -> None:
+        for asked in query.positions:
+            mirror = self._mirrors.get(asked.kind)
+            known = mirror.position if mirror is not None else None
+            if known is not None and asked.position is not None:
+                self._context.record.store.follower_position(asked.kind, asked.position, known)
 
-    def _is_an_era_behind(self, question: FeedRequest) -> bool:
-        """Whether the follower knows of a return of the store that isn't known here.
+    def _is_an_era_behind(self, query: FeedRequest) -> bool:
+        """Whether the follower knows of a restore of the store that isn't known here yet.
 
-        What is proved here is then of a history that the store has lost.
+        The proofs of this gateway then belong to a history that the store has lost.
         """
-        for position in question.positions:
-            mirror = self._mirrors.get(position.kind)
-            known = mirror.place if mirror is not None else None
-            asked = position.position
-            if asked is not None and known is not None and asked.era > known.era:
+        for asked in query.positions:
+            mirror = self._mirrors.get(asked.kind)
+            known = mirror.position if mirror is not None else None
+            position = asked.position
+            if position is not None and known is not None and position.era > known.era:
                 return True
         return False
 
-    def _vouches(self) -> bool:
-        """Whether what is known here is current enough to be told.
+    def _can_attest(self) -> bool:
+        """Whether the mirrors are current enough to be served.
 
-        While a change is on its way here, followers have nothing to gain from the store: each of
-        them would ask it for the same content.
+        The allowed age is higher while this gateway is receiving a change: followers that turned to
+        the store would only request the same content from it.
         """
         context = self._context
         if not context.reads_store or context.stopping:
             return False
-        age = context.now() - self._proven.proved_at
-        if self._proven.is_receiving:
-            return age <= context.reading.max_receiving_age
-        return age <= context.reading.max_proof_age
+        age = context.now() - self._proof_mirror.proved_at
+        if self._proof_mirror.is_receiving:
+            return age <= context.replication_times.max_receiving_age
+        return age <= context.replication_times.max_proof_age
 
     def _is_proof_current(self) -> bool:
         return self._context.now() <= self._proof_ends_at()
 
     def _proof_ends_at(self) -> float:
-        return self._proven.proved_at + self._context.reading.max_proof_age
+        return self._proof_mirror.proved_at + self._context.replication_times.max_proof_age
 
-    async def _wait_for_news(self, question: FeedRequest, received_at: float) -> None:
-        """Wait until there is something to tell, or the question was kept long enough."""
-        until = received_at + min(question.hold_seconds, MAX_HOLD_SECONDS)
-        if self._is_an_era_behind(question):
+    async def _wait_for_changes(self, query: FeedRequest, received_at: float) -> None:
+        """Wait until there are changes, or until the request has been held long enough."""
+        until = received_at + min(query.hold_seconds, MAX_HOLD_SECONDS)
+        if self._is_an_era_behind(query):
             return
-        while self._vouches() and not self._has_news(question):
+        while self._can_attest() and not self._has_changes(query):
             ends_at = min(until, self._proof_ends_at()) if self._is_proof_current() else until
             seconds = ends_at - self._context.now()
             if seconds <= 0 and ends_at == until:
@@ -187,25 +189,25 @@
     async def _wait(self, seconds: float) -> None:
         waiter = self._context.loop.create_future()
         self._waiters.add(waiter)
-        timer = self._context.loop.call_later(seconds, _finish, waiter)
+        timer = self._context.loop.call_later(seconds, _resolve, waiter)
         try:
             await waiter
         finally:
             timer.cancel()
             self._waiters.discard(waiter)
 
-    def _has_news(self, question: FeedRequest) -> bool:
+    def _has_changes(self, query: FeedRequest) -> bool:
         return any(
-            self._mirrors[position.kind].has_news(position.position)
-            for position in question.positions
-            if position.kind in self._mirrors
+            self._mirrors[asked.kind].has_changes(asked.position)
+            for asked in query.positions
+            if asked.kind in self._mirrors
         )
 
     def _wake(self) -> None:
         for waiter in self._waiters:
-            _finish(waiter)
+            _resolve(waiter)
 
 
-def _finish(waiter: asyncio.Future[None]) -> None:
+def _resolve(waiter: asyncio.Future[None]) -> None:
     if not waiter.done():
         waiter.set_result(None)
--- a/tests/exchange/test_exchange_cores.py
+++ b/tests/exchange/test_exchange_cores.py
@@ -56,7 +56,7 @@
 )
 from milletcourse.exchange.servers.server_health import ServerHealth
 from milletcourse.gateway.state.settings import GatewayBounds
-from milletcourse.gateway.store.feed_client import FEED_MARGIN_SECONDS
+from milletcourse.gateway.store.feed_client import FEED_TIMEOUT_MARGIN_SECONDS
 from milletcourse.platform.documents import decode_configuration, read_settings
 
 SOURCES = Path(__file__).parents[2] / "src" / "milletcourse"
@@ -192,7 +192,7 @@
     assert times.watch_wait <= config_apply / 4
     # A follower detects a silent reader, or one without the store, before a change is due.
     assert times.max_proof_age < config_apply
-    assert times.feed_hold + FEED_MARGIN_SECONDS < config_apply
+    assert times.feed_hold + FEED_TIMEOUT_MARGIN_SECONDS < config_apply
 
 
 @pytest.mark.parametrize("duration", [1.0, 3.3])
--- a/tests/gateway/store/test_told_contents_machine.py
+++ b/tests/gateway/store/test_feed_contents_machine.py
@@ -1,4 +1,4 @@
-"""Whatever readers tell and bring, a follower's state is one that the store went through."""
+"""A follower's state is always one that the store had, whatever its readers announce and send."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.replication.pending_contents import FedUpdate, PendingContents
 from milletcourse.gateway.store import change_log, kind_mirror
-from milletcourse.gateway.store.kind_mirror import IgnoringSink, KindMirror
+from milletcourse.gateway.store.kind_mirror import KindMirror, NoOpEventHandler
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
 
 NAMES = ("main", "other")
 READERS = 2
 FOLLOWERS = 2
 SETTLING_ROUNDS = 40
-"""More than contents can wait at a follower."""
+"""More than the contents that can be pending at a follower."""
 
 
 class _Follower:
-    """What `FeedClient` does, one step at a time."""
+    """Does the work of `FeedClient` one step at a time."""
 
     def __init__(self) -> None:
-        self.mirror = KindMirror("kind", IgnoringSink())
+        self.mirror = KindMirror("kind", NoOpEventHandler())
         self.pending = PendingContents()
         self.reader = 0
 
     def ask(self, reader: KindMirror) -> None:
-        place = self.pending.position("kind", self.mirror.place)
-        fed = reader.since(place, as_patches=True)
+        position = self.pending.position("kind", self.mirror.position)
+        fed = reader.since(position, as_patches=True)
         if fed is not None:
-            self.take(self.pending.take(fed, place))
+            self.take(self.pending.take(fed, position))
 
     def fetch(self, reader: KindMirror) -> None:
-        question = self.pending.missing("kind")
-        if question is None:
+        query = self.pending.missing("kind")
+        if query is None:
             return
-        patch = reader.patch(question.name, question.base, question.result)
+        patch = reader.patch(query.name, query.base, query.result)
         if patch is None:
             self.pending.drop("kind")
             return
-        self.take(self.pending.on_patch(question, patch))
+        self.take(self.pending.on_patch(query, patch))
 
     def take(self, ready: list[FedUpdate]) -> None:
         for update in ready:
             try:
-                if not self.mirror.on_fed(update, 0.0):
+                if not self.mirror.apply_update(update, 0.0):
                     self.pending.drop("kind")
                     return
             except PatchError:
@@ -62,7 +62,7 @@
 
 
 def _content(draw: int, previous: bytes | None) -> bytes:
-    """A content that shares most entries with the one before; some are small."""
+    """A content that shares most entries with the previous one; some contents are small."""
     source = random.Random(draw)
     entries = (previous or b"").split(b"},")[:-1]
     if source.random() < 0.3:
@@ -77,31 +77,31 @@
 
 
 class ToldContents(RuleBasedStateMachine):
-    """A store, readers that follow it, and followers that ask either of them."""
+    """A store, readers that follow it, and followers that poll one of the readers."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.place = StorePosition(1, 1)
+        self.position = StorePosition(1, 1)
         self.objects: dict[str, StoredObject] = {}
-        self.history: dict[StorePosition, dict[str, bytes]] = {self.place: {}}
+        self.history: dict[StorePosition, dict[str, bytes]] = {self.position: {}}
         self.events: list[tuple[StorePosition, ObjectChange]] = []
-        self.readers = [KindMirror("kind", IgnoringSink()) for _ in range(READERS)]
+        self.readers = [KindMirror("kind", NoOpEventHandler()) for _ in range(READERS)]
         for reader in self.readers:
-            reader.on_list([], self.place, 0.0)
+            reader.on_list([], self.position, 0.0)
         self.followers = [_Follower() for _ in range(FOLLOWERS)]
 
     def _commit(self, change: ObjectChange) -> None:
-        self.events.append((self.place, change))
-        self.history[self.place] = {name: item.spec for name, item in self.objects.items()}
+        self.events.append((self.position, change))
+        self.history[self.position] = {name: item.spec for name, item in self.objects.items()}
 
     @rule(name=st.sampled_from(NAMES), draw=st.integers(0, 10**6), is_told=st.booleans())
     def change(self, name: str, draw: int, is_told: bool) -> None:
-        """An object gets another content; followers may hear of it at once."""
-        self.place = StorePosition(self.place.era, self.place.revision + 1)
+        """Change the content of an object; readers and followers may be updated at once."""
+        self.position = StorePosition(self.position.era, self.position.revision + 1)
         known = self.objects.get(name)
-        stored = StoredObject(name, self.place, _content(draw, known.spec if known else None))
+        stored = StoredObject(name, self.position, _content(draw, known.spec if known else None))
         self.objects[name] = stored
-        self._commit(ObjectChange(stored, gone=False))
+        self._commit(ObjectChange(stored, deleted=False))
         if is_told:
             for reader in self.readers:
                 self._watch(reader)
@@ -110,31 +110,31 @@
 
     @rule(name=st.sampled_from(NAMES))
     def remove(self, name: str) -> None:
-        """An object goes."""
+        """Delete an object."""
         if name in self.objects:
-            self.place = StorePosition(self.place.era, self.place.revision + 1)
-            self._commit(ObjectChange(self.objects.pop(name), gone=True))
+            self.position = StorePosition(self.position.era, self.position.revision + 1)
+            self._commit(ObjectChange(self.objects.pop(name), deleted=True))
 
     @rule(number=st.integers(0, READERS - 1))
     def watch(self, number: int) -> None:
-        """A reader hears of all changes since its state."""
+        """A reader receives all changes since its position."""
         self._watch(self.readers[number])
 
     @rule(number=st.integers(0, FOLLOWERS - 1))
     def follower_reads_the_store(self, number: int) -> None:
-        """While it has no reader."""
+        """A follower without a reader watches the store itself."""
         mirror = self.followers[number].mirror
-        if mirror.place is not None:
+        if mirror.position is not None:
             self._watch(mirror)
 
     def _watch(self, mirror: KindMirror) -> None:
-        known = mirror.place
+        known = mirror.position
         assert known is not None
-        if known.era != self.place.era:
+        if known.era != self.position.era:
             self._list(mirror)
             return
-        news = tuple(change for place, change in self.events if place > known)
-        mirror.on_changes(ObjectChanges(news, self.place), 0.0)
+        new_changes = tuple(change for position, change in self.events if position > known)
+        mirror.on_changes(ObjectChanges(new_changes, self.position), 0.0)
 
     @rule(number=st.integers(0, READERS - 1))
     def list(self, number: int) -> None:
@@ -142,48 +142,48 @@
         self._list(self.readers[number])
 
     def _list(self, mirror: KindMirror) -> None:
-        mirror.on_list(list_of(self.objects), self.place, 0.0)
+        mirror.on_list(list_of(self.objects), self.position, 0.0)
 
     @rule(draw=st.integers(1, 5))
     def come_back(self, draw: int) -> None:
-        """The store comes back from an older copy, and a change is written again."""
-        places = [place for place in self.history if place.era == self.place.era]
-        kept = places[-min(draw, len(places))]
+        """The store is restored from an older snapshot, which starts a new era."""
+        positions = [position for position in self.history if position.era == self.position.era]
+        kept = positions[-min(draw, len(positions))]
         self.objects = {
             name: StoredObject(name, kept, spec) for name, spec in self.history[kept].items()
         }
-        self.place = StorePosition(self.place.era + 1, kept.revision)
+        self.position = StorePosition(self.position.era + 1, kept.revision)
         self.events.clear()
-        self.history[self.place] = dict(self.history[kept])
+        self.history[self.position] = dict(self.history[kept])
 
     @rule(number=st.integers(0, FOLLOWERS - 1))
     def ask(self, number: int) -> None:
-        """A follower asks its reader, which tells or announces."""
+        """A follower polls its reader, which sends or announces contents."""
         follower = self.followers[number]
         follower.ask(self.readers[follower.reader])
 
     @rule(number=st.integers(0, FOLLOWERS - 1))
     def fetch(self, number: int) -> None:
-        """A content that was announced comes, or isn't there any more."""
+        """A follower fetches an announced content, which may be unavailable by now."""
         follower = self.followers[number]
         follower.fetch(self.readers[follower.reader])
 
     @rule(number=st.integers(0, FOLLOWERS - 1), reader=st.integers(0, READERS - 1))
     def change_reader(self, number: int, reader: int) -> None:
-        """It follows another one; what was announced is left."""
+        """A follower changes its reader, and drops the announced contents."""
         follower = self.followers[number]
         follower.pending.clear()
         follower.reader = reader
 
     @invariant()
     def followers_know_states_of_the_store(self) -> None:
-        """What a mirror knows is what the store held at its place."""
+        """The objects of a mirror are those of the store at the mirror's position."""
         for mirror in (*self.readers, *(follower.mirror for follower in self.followers)):
-            if mirror.place is not None:
-                assert mirror.specs() == self.history[mirror.place]
+            if mirror.position is not None:
+                assert mirror.specs() == self.history[mirror.position]
 
     def teardown(self) -> None:
-        """In the end all know what the store holds."""
+        """After settling, all mirrors hold the objects of the store."""
         for reader in self.readers:
             self._watch(reader)
         for follower in self.followers:
@@ -196,13 +196,13 @@
 
 
 def list_of(objects: dict[str, StoredObject]) -> list[StoredObject]:
-    """All objects of a list."""
+    """All objects as a list."""
     return [*objects.values()]
 
 
 @pytest.fixture(autouse=True)
 def _most_contents_are_announced(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(kind_mirror, "INLINE_BYTES", 100)
+    monkeypatch.setattr(kind_mirror, "MAX_INLINE_PATCH_BYTES", 100)
 
 
 RUNS = settings(
@@ -213,11 +213,11 @@
     report_multiple_bugs=False,
 )
 FINDING_RUNS = settings(RUNS, max_examples=2000, phases=[Phase.generate])
-"""Until the first find, without making it smaller."""
+"""Stops at the first failure, without shrinking it."""
 
 
-def test_followers_only_know_states_that_the_store_went_through() -> None:
-    """Across announcements, lost contents, other readers and returns of the store."""
+def test_followers_only_have_states_that_the_store_had() -> None:
+    """Also across announcements, lost contents, changes of the reader and restores of the store."""
     run_state_machine_as_test(ToldContents, settings=RUNS)
 
 
@@ -233,7 +233,11 @@
 
 @contextmanager
 def _announcements_get_lost_and_nothing_is_checked() -> Iterator[None]:
-    apply, take, on_fed = kind_mirror.apply_patch, PendingContents.take, KindMirror.on_fed
+    apply, take, apply_update = (
+        kind_mirror.apply_patch,
+        PendingContents.take,
+        KindMirror.apply_update,
+    )
 
     def apply_any(patch: ContentPatch, base: bytes | None) -> bytes:
         try:
@@ -248,34 +252,34 @@
         return take(pending, fed, since)
 
     def on_any(mirror: KindMirror, update: FedUpdate, sent_at: float) -> bool:
-        return on_fed(mirror, FedUpdate(mirror.place, update.fed), sent_at)
+        return apply_update(mirror, FedUpdate(mirror.position, update.fed), sent_at)
 
     kind_mirror.apply_patch = apply_any
-    KindMirror.on_fed = on_any  # type: ignore[method-assign]
+    KindMirror.apply_update = on_any  # type: ignore[method-assign]
     PendingContents.take = take_latest  # type: ignore[method-assign]
     try:
         yield
     finally:
         kind_mirror.apply_patch = apply
-        KindMirror.on_fed = on_fed  # type: ignore[method-assign]
+        KindMirror.apply_update = apply_update  # type: ignore[method-assign]
         PendingContents.take = take  # type: ignore[method-assign]
 
 
 @contextmanager
 def _two_lists_count_as_all_changes_between_them() -> Iterator[None]:
-    original = change_log.ChangeLog.note_gap
-    change_log.ChangeLog.note_gap = lambda *_: None  # type: ignore[method-assign]
+    original = change_log.ChangeLog.add_gap
+    change_log.ChangeLog.add_gap = lambda *_: None  # type: ignore[method-assign]
     try:
         yield
     finally:
-        change_log.ChangeLog.note_gap = original  # type: ignore[method-assign]
+        change_log.ChangeLog.add_gap = original  # type: ignore[method-assign]
 
 
 @contextmanager
 def _a_trimmed_log_counts_as_complete() -> Iterator[None]:
     original = change_log.ChangeLog.covers
     changes, change_log.MAX_CHANGES = change_log.MAX_CHANGES, 2
-    change_log.ChangeLog.covers = lambda log, place: place is not None  # type: ignore[assignment,method-assign]
+    change_log.ChangeLog.covers = lambda log, position: position is not None  # type: ignore[assignment,method-assign]
     try:
         yield
     finally:
@@ -293,6 +297,6 @@
 
 @pytest.mark.parametrize("defect", DEFECTS)
 def test_a_known_defect_is_found(defect: Callable[[], AbstractContextManager[None]]) -> None:
-    """Each breaks the same invariant."""
+    """The invariant detects each of these defects."""
     with defect(), pytest.raises(AssertionError):
         run_state_machine_as_test(ToldContents, settings=FINDING_RUNS)
