--- a/src/milletcourse/exchange/evidence/crash_evidence.py
+++ b/src/milletcourse/exchange/evidence/crash_evidence.py
@@ -21,7 +21,7 @@
     ended_in_turn,
 )
 from milletcourse.exchange.evidence.request_identity import identity_text
-from milletcourse.exchange.messages.peer_messages import CrashReport, ServerCrash
+from milletcourse.exchange.messages.peer_messages import CrashReport, ReportedCrash
 
 MAX_ANSWERED = 1024
 """Requests whose latest answer is remembered although no server ended under them: an answer speaks
@@ -320,7 +320,7 @@
 
 def _report(identity: int, record: CrashRecord, now: float) -> CrashReport:
     ends = [
-        ServerCrash(server, _age_ms(end.sent_at, now), _age_ms(end.ended_at, now))
+        ReportedCrash(server, _age_ms(end.sent_at, now), _age_ms(end.ended_at, now))
         for server, end in record.ends.items()
     ]
     cleared_ms = _age_ms(record.cleared_at, now) if record.was_answered else None
--- a/src/milletcourse/exchange/messages/peer_messages.py
+++ b/src/milletcourse/exchange/messages/peer_messages.py
@@ -146,7 +146,7 @@
     started_ms: int = 0
 
 
-class ServerCrash(msgspec.Struct, array_like=True, frozen=True):
+class ReportedCrash(msgspec.Struct, array_like=True, frozen=True):
     """A server that crashed while it processed a request.
 
     Attributes:
@@ -170,7 +170,7 @@
     """
 
     identity: int
-    crashes: Annotated[list[ServerCrash], msgspec.Meta(max_length=MAX_REPORTED_CRASHES)] = []
+    crashes: Annotated[list[ReportedCrash], msgspec.Meta(max_length=MAX_REPORTED_CRASHES)] = []
     cleared_ms: AgeMs | None = None
 
 
--- a/src/milletcourse/gateway/store/directory.py
+++ b/src/milletcourse/gateway/store/directory.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from milletcourse.exchange.evidence.request_identity import identity_text
-from milletcourse.exchange.messages.peer_messages import CrashReport, ServerCrash
+from milletcourse.exchange.messages.peer_messages import CrashReport, ReportedCrash
 from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.reading.store_reading import GatewayRecord
 from milletcourse.gateway.store.kind_mirror import IgnoringSink
@@ -34,7 +34,7 @@
     """
 
     content: str
-    ends: list[ServerCrash]
+    ends: list[ReportedCrash]
 
     @classmethod
     def of(cls, report: CrashReport) -> ContainedRequest:
--- a/tests/exchange/evidence/test_crash_evidence.py
+++ b/tests/exchange/evidence/test_crash_evidence.py
@@ -17,7 +17,7 @@
     MAX_AGE_MS,
     CrashReport,
     PeerMessage,
-    ServerCrash,
+    ReportedCrash,
     decode_message,
     encode_message,
 )
@@ -113,7 +113,7 @@
     """A gateway that answered a request well isn't told too late that a server ended under it."""
     evidence = CrashEvidence()
     evidence.on_answer(CRASHING, NOW + 10)
-    report = CrashReport(CRASHING, [ServerCrash(1, 9000, 8000), ServerCrash(2, 7000, 6000)])
+    report = CrashReport(CRASHING, [ReportedCrash(1, 9000, 8000), ReportedCrash(2, 7000, 6000)])
     evidence.merge([report], NOW + 11, False)
     assert evidence.ends(CRASHING) == 0
     assert evidence.has_news
@@ -134,7 +134,7 @@
     evidence = CrashEvidence()
     for number in range(3):
         ended_ms = 100 * (2 - number)
-        report = CrashReport(CRASHING, [ServerCrash(number, ended_ms + 100, ended_ms)])
+        report = CrashReport(CRASHING, [ReportedCrash(number, ended_ms + 100, ended_ms)])
         evidence.merge([report], NOW, True)
     assert evidence.containment(CRASHING, NOW) is not None
 
@@ -222,9 +222,9 @@
 @pytest.mark.parametrize("age", [-1, MAX_AGE_MS + 1])
 def test_absurd_ages_are_refused(age: int) -> None:
     """A message that holds one is none of ours."""
-    report = CrashReport(CRASHING, [ServerCrash(1, age, 0)])
+    report = CrashReport(CRASHING, [ReportedCrash(1, age, 0)])
     assert decode_message(encode_message(PeerMessage("g", 1, crashes=[report]))) is None
-    too_many = CrashReport(CRASHING, [ServerCrash(number, 5, 5) for number in range(7)])
+    too_many = CrashReport(CRASHING, [ReportedCrash(number, 5, 5) for number in range(7)])
     assert decode_message(encode_message(PeerMessage("g", 1, crashes=[too_many]))) is None
 
 
