--- a/src/milletcourse/exchange/evidence/crash_evidence.py
+++ b/src/milletcourse/exchange/evidence/crash_evidence.py
@@ -22,7 +22,7 @@
     sequential_crashes,
 )
 from milletcourse.exchange.evidence.request_identity import identity_text
-from milletcourse.exchange.messages.peer_messages import CrashReport, ServerCrash
+from milletcourse.exchange.messages.peer_messages import CrashReport, ReportedCrash
 
 MAX_ANSWERED = 1024
 """Requests without a crash whose latest answer is kept: an answer is evidence in a request's favor,
@@ -327,7 +327,7 @@
 
 def _report(identity: int, record: CrashRecord, now: float) -> CrashReport:
     ends = [
-        ServerCrash(server, _age_ms(end.sent_at, now), _age_ms(end.ended_at, now))
+        ReportedCrash(server, _age_ms(end.sent_at, now), _age_ms(end.ended_at, now))
         for server, end in record.crashes.items()
     ]
     cleared_ms = _age_ms(record.cleared_at, now) if record.was_answered else None
--- a/tests/exchange/evidence/test_crash_evidence.py
+++ b/tests/exchange/evidence/test_crash_evidence.py
@@ -17,7 +17,7 @@
     MAX_AGE_MS,
     CrashReport,
     PeerMessage,
-    ServerCrash,
+    ReportedCrash,
     decode_message,
     encode_message,
 )
@@ -115,7 +115,7 @@
     """A report of crashes before the answer adds none, and makes the answer an update."""
     evidence = CrashEvidence()
     evidence.on_answer(CRASHING, NOW + 10)
-    report = CrashReport(CRASHING, [ServerCrash(1, 9000, 8000), ServerCrash(2, 7000, 6000)])
+    report = CrashReport(CRASHING, [ReportedCrash(1, 9000, 8000), ReportedCrash(2, 7000, 6000)])
     evidence.merge([report], NOW + 11, False)
     assert evidence.crash_count(CRASHING) == 0
     assert evidence.has_updates
@@ -136,7 +136,7 @@
     evidence = CrashEvidence()
     for number in range(3):
         ended_ms = 100 * (2 - number)
-        report = CrashReport(CRASHING, [ServerCrash(number, ended_ms + 100, ended_ms)])
+        report = CrashReport(CRASHING, [ReportedCrash(number, ended_ms + 100, ended_ms)])
         evidence.merge([report], NOW, True)
     assert evidence.containment(CRASHING, NOW) is not None
 
@@ -224,9 +224,9 @@
 @pytest.mark.parametrize("age", [-1, MAX_AGE_MS + 1])
 def test_invalid_ages_are_refused(age: int) -> None:
     """A message with an age or a number of crashes out of range is not decoded."""
-    report = CrashReport(CRASHING, [ServerCrash(1, age, 0)])
+    report = CrashReport(CRASHING, [ReportedCrash(1, age, 0)])
     assert decode_message(encode_message(PeerMessage("g", 1, crashes=[report]))) is None
-    too_many = CrashReport(CRASHING, [ServerCrash(number, 5, 5) for number in range(7)])
+    too_many = CrashReport(CRASHING, [ReportedCrash(number, 5, 5) for number in range(7)])
     assert decode_message(encode_message(PeerMessage("g", 1, crashes=[too_many]))) is None
 
 
