--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -150,10 +150,13 @@
         signals = self._context.server_signals
         back_offs = [signals.back_off(instance.key, now) for instance in self._allowed(now)]
         first = min(
-            (item for item in back_offs if item is not None), key=lambda item: item.remaining_seconds
+            (item for item in back_offs if item is not None),
+            key=lambda item: item.remaining_seconds,
         )
         drawn = self._context.random.random()
-        return backoff_retry_seconds(first.remaining_seconds, first.total_seconds, self._job.rank, drawn)
+        return backoff_retry_seconds(
+            first.remaining_seconds, first.total_seconds, self._job.rank, drawn
+        )
 
     def _choose(self, left_out: set[str]) -> Choice | None:
         job = self._job
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -226,9 +226,7 @@
                 return
             self._apply_updates(self._pending.on_patch(query, patch))
 
-    async def _fetch_one(
-        self, reader: GatewayRecord, query: ContentRequest
-    ) -> ContentPatch | None:
+    async def _fetch_one(self, reader: GatewayRecord, query: ContentRequest) -> ContentPatch | None:
         call = Call("POST", CONTENT_PATH, encode_content_request(query))
         reply = await self._calls.call(reader.feed, call, CONTENT_TIMEOUT_SECONDS)
         patch = decode_patch(reply.body) if reply is not None and reply.status == 200 else None
