--- a/src/milletcourse/gateway/clients/client_connection.py
+++ b/src/milletcourse/gateway/clients/client_connection.py
@@ -17,7 +17,11 @@
 from milletcourse.exchange.messages.messages import HeaderField
 from milletcourse.exchange.messages.records import EdgeLimits
 from milletcourse.gateway.clients.request_reader import ClientRequest, RequestReader
-from milletcourse.gateway.telling.unanswered import RequestPhase, UnansweredCause, UnansweredRequest
+from milletcourse.gateway.telemetry.unanswered import (
+    RequestPhase,
+    UnansweredCause,
+    UnansweredRequest,
+)
 from milletcourse.runtime.clock import elapsed_seconds
 from milletcourse.runtime.sockets import unread_bytes
 
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -25,13 +25,13 @@
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.state.settings import GatewaySettings
 from milletcourse.gateway.store.object_store import ObjectStoreClient
-from milletcourse.gateway.telling.event_log import EventLog
-from milletcourse.gateway.telling.figures import Figures
+from milletcourse.gateway.telemetry.event_log import EventLog
+from milletcourse.gateway.telemetry.metrics_sink import Figures
 from milletcourse.runtime.acceptor import Acceptor, listening_socket
 from milletcourse.runtime.listeners import close_when_empty
 
 if TYPE_CHECKING:
-    from milletcourse.gateway.telling.metrics import GatewayMetrics
+    from milletcourse.gateway.telemetry.metrics import GatewayMetrics
 
 LISTEN_BACKLOG = 1024
 SWEEP_SECONDS = 0.25
--- a/src/milletcourse/gateway/operator_api.py
+++ b/src/milletcourse/gateway/operator_api.py
@@ -22,7 +22,7 @@
 from milletcourse.gateway.store.store_comparison import StoreState
 
 if TYPE_CHECKING:
-    from milletcourse.gateway.telling.metrics import GatewayMetrics
+    from milletcourse.gateway.telemetry.metrics import GatewayMetrics
 
 METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4"
 JSON_CONTENT_TYPE = b"application/json"
--- a/src/milletcourse/gateway/process.py
+++ b/src/milletcourse/gateway/process.py
@@ -15,10 +15,10 @@
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS, Mechanism
 from milletcourse.gateway.adapter import PlatformAdapter
 from milletcourse.gateway.node import GatewayNode
-from milletcourse.gateway.telling.event_log import EventLog, NonBlockingWriter
+from milletcourse.gateway.telemetry.event_log import EventLog, NonBlockingWriter
 
 if TYPE_CHECKING:
-    from milletcourse.gateway.telling.metrics import GatewayMetrics
+    from milletcourse.gateway.telemetry.metrics import GatewayMetrics
 
 STANDARD_OUTPUT = 1
 DUTY_FAILED_EXIT = 70
@@ -88,7 +88,7 @@
 
 def _new_metrics() -> GatewayMetrics:
     # Imported only where it is used: memory and start-up are priced.
-    from milletcourse.gateway.telling.metrics import GatewayMetrics
+    from milletcourse.gateway.telemetry.metrics import GatewayMetrics
 
     return GatewayMetrics()
 
--- a/src/milletcourse/gateway/requests/answer_relay.py
+++ b/src/milletcourse/gateway/requests/answer_relay.py
@@ -6,8 +6,8 @@
 
 from milletcourse.exchange.messages.messages import AnswerHead, ExchangeRequest
 from milletcourse.gateway.clients.client_connection import ClientConnection
-from milletcourse.gateway.telling.recorder import Recorder
-from milletcourse.gateway.telling.unanswered import RequestPhase
+from milletcourse.gateway.telemetry.recorder import Recorder
+from milletcourse.gateway.telemetry.unanswered import RequestPhase
 
 
 class ServerFailure(msgspec.Struct):
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -23,8 +23,8 @@
 from milletcourse.gateway.servers.server_connection import LossCause, ServerConnection
 from milletcourse.gateway.servers.server_permits import Permit
 from milletcourse.gateway.state.context import GatewayContext
-from milletcourse.gateway.telling.unanswered import RequestPhase
-from milletcourse.runtime.attended_timer import AttendedTimer
+from milletcourse.gateway.telemetry.unanswered import RequestPhase
+from milletcourse.runtime.responsive_timer import AttendedTimer
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 """Largest body of an answer that is not a stream."""
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -37,9 +37,9 @@
 from milletcourse.gateway.requests.stream_handover import StreamHandover
 from milletcourse.gateway.servers.server_connection import LossCause
 from milletcourse.gateway.state.context import GatewayContext
-from milletcourse.gateway.telling.recorder import StreamCut, VisitedServer
-from milletcourse.runtime.attended_clock import ABSENCE_SECONDS
-from milletcourse.runtime.attended_timer import SECOND_LOOK_SECONDS
+from milletcourse.gateway.telemetry.recorder import StreamCut, VisitedServer
+from milletcourse.runtime.responsive_clock import ABSENCE_SECONDS
+from milletcourse.runtime.responsive_timer import SECOND_LOOK_SECONDS
 
 CLOSED_BY_SERVER = (LossCause.RESET, LossCause.CLOSED)
 """Losses that may mean that the server's process has terminated."""
--- a/src/milletcourse/gateway/servers/call_client.py
+++ b/src/milletcourse/gateway/servers/call_client.py
@@ -12,9 +12,9 @@
 from milletcourse.gateway.servers.connection_pool import ConnectionPool
 from milletcourse.gateway.servers.descriptors import LocalResourceError
 from milletcourse.gateway.servers.server_connection import ServerConnection
-from milletcourse.gateway.telling.given_up_call import GivenUpCall
-from milletcourse.runtime.attended_timer import AttendedTimer
+from milletcourse.gateway.telemetry.aborted_call import GivenUpCall
 from milletcourse.runtime.clock import elapsed_seconds
+from milletcourse.runtime.responsive_timer import AttendedTimer
 
 MAX_REPLY_BYTES = 16 * 1024 * 1024
 
--- a/src/milletcourse/gateway/servers/connection_pool.py
+++ b/src/milletcourse/gateway/servers/connection_pool.py
@@ -14,8 +14,8 @@
     connect,
     open_connection,
 )
-from milletcourse.runtime.attended_clock import AttendedClock
 from milletcourse.runtime.clock import elapsed_seconds
+from milletcourse.runtime.responsive_clock import AttendedClock
 
 MAX_IDLE_PER_SERVER = 24
 """Bounds the descriptors of idle connections; larger bursts open new connections."""
--- a/src/milletcourse/gateway/servers/crash_detector.py
+++ b/src/milletcourse/gateway/servers/crash_detector.py
@@ -16,7 +16,7 @@
 from milletcourse.exchange.evidence.crash_evidence import Containment, CrashEvidence
 from milletcourse.exchange.servers.instance_table import Instance
 from milletcourse.gateway.servers.connection_pool import ConnectionPool
-from milletcourse.gateway.telling.recorder import Recorder
+from milletcourse.gateway.telemetry.recorder import Recorder
 
 UNVERIFIED_SECONDS = 5.0
 """A loss counts as a crash if the server is found to have terminated within this time. Entries of
--- a/src/milletcourse/gateway/servers/server_connection.py
+++ b/src/milletcourse/gateway/servers/server_connection.py
@@ -19,9 +19,9 @@
 from milletcourse.exchange.messages.messages import AnswerHead, HeaderField
 from milletcourse.gateway.servers.descriptors import LOCAL_RESOURCE_ERRNOS, LocalResourceError
 from milletcourse.runtime.addresses import split_address
-from milletcourse.runtime.attended_clock import AttendedClock
-from milletcourse.runtime.attended_timer import attended_timeout
 from milletcourse.runtime.clock import elapsed_seconds
+from milletcourse.runtime.responsive_clock import AttendedClock
+from milletcourse.runtime.responsive_timer import attended_timeout
 from milletcourse.runtime.sockets import reset_on_close
 
 CONNECT_TIMEOUT_SECONDS = 0.5
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -21,9 +21,9 @@
 from milletcourse.exchange.messages.peer_messages import MAX_AGE_MS, SignalReport
 from milletcourse.exchange.messages.quota_messages import PermitMessage, PermitStep, wire_ms
 from milletcourse.exchange.servers.instance_table import Instance
-from milletcourse.gateway.telling.figures import Figures
-from milletcourse.runtime.attended_clock import AttendedClock
-from milletcourse.runtime.attended_timer import attended_timeout
+from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.runtime.responsive_clock import AttendedClock
+from milletcourse.runtime.responsive_timer import attended_timeout
 
 PERMIT_REQUEST_TIMEOUT_SECONDS = 0.15
 """How long a request waits for a quota owner's reply; one in another region replies in less."""
--- a/src/milletcourse/gateway/servers/signal_monitor.py
+++ b/src/milletcourse/gateway/servers/signal_monitor.py
@@ -17,7 +17,7 @@
 from milletcourse.exchange.messages.messages import AnswerHead
 from milletcourse.exchange.messages.peer_messages import SignalReport
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
-from milletcourse.gateway.telling.recorder import Recorder
+from milletcourse.gateway.telemetry.recorder import Recorder
 
 
 class SignalMonitor:
--- a/src/milletcourse/gateway/state/cache_store_availability.py
+++ b/src/milletcourse/gateway/state/cache_store_availability.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from milletcourse.exchange.placement.cache_store_plan import CacheStorePlan
-from milletcourse.gateway.telling.event_log import EventLog
+from milletcourse.gateway.telemetry.event_log import EventLog
 
 
 class CacheStoreAvailability:
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -44,12 +44,12 @@
 from milletcourse.gateway.state.answer_rates import ServerAnswerRates
 from milletcourse.gateway.state.cache_store_availability import CacheStoreAvailability
 from milletcourse.gateway.state.settings import GatewaySettings
-from milletcourse.gateway.telling.event_log import EventLog
-from milletcourse.gateway.telling.figures import Figures
-from milletcourse.gateway.telling.recorder import Recorder
-from milletcourse.gateway.telling.unanswered import UnansweredRequest
-from milletcourse.runtime.attended_clock import AttendedClock
+from milletcourse.gateway.telemetry.event_log import EventLog
+from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.recorder import Recorder
+from milletcourse.gateway.telemetry.unanswered import UnansweredRequest
 from milletcourse.runtime.clock import SleepDetector, elapsed_seconds
+from milletcourse.runtime.responsive_clock import AttendedClock
 
 FRESHNESS_MARGIN_SECONDS = 0.4
 """Keys are refused this long before the bound on revocation."""
--- a/src/milletcourse/gateway/store/directory.py
+++ b/src/milletcourse/gateway/store/directory.py
@@ -13,7 +13,7 @@
 from milletcourse.exchange.replication.reader_selection import GatewayRecord
 from milletcourse.gateway.store.kind_mirror import NoOpEventHandler
 from milletcourse.gateway.store.object_store import DECODE_ERRORS, ObjectChange, StoredObject
-from milletcourse.gateway.telling.event_log import EventLog
+from milletcourse.gateway.telemetry.event_log import EventLog
 from milletcourse.runtime.addresses import split_address
 from milletcourse.runtime.clock import elapsed_seconds
 
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -21,7 +21,7 @@
 from milletcourse.exchange.replication.pending_contents import FedUpdate
 from milletcourse.gateway.store.change_log import MIN_PATCHED_BYTES, ChangeLog, LoggedChange
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
-from milletcourse.gateway.telling.store_recorder import StoreReturn
+from milletcourse.gateway.telemetry.store_recorder import StoreReturn
 
 MAX_INLINE_PATCH_BYTES = 4096
 """A larger patch is only announced, and sent to the followers that request it."""
--- a/src/milletcourse/gateway/telling/metrics.py
+++ b/src/milletcourse/gateway/telemetry/metrics.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING
 
 from milletcourse.exchange.messages.messages import AttemptResult
-from milletcourse.gateway.telling.figures import Figures
-from milletcourse.gateway.telling.unanswered import UnansweredCause
+from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.unanswered import UnansweredCause
 
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
--- a/src/milletcourse/gateway/telling/figures.py
+++ b/src/milletcourse/gateway/telemetry/metrics_sink.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from milletcourse.exchange.messages.messages import AttemptResult
-from milletcourse.gateway.telling.unanswered import UnansweredCause
+from milletcourse.gateway.telemetry.unanswered import UnansweredCause
 
 
 class Figures:
--- a/src/milletcourse/gateway/telling/recorder.py
+++ b/src/milletcourse/gateway/telemetry/recorder.py
@@ -16,11 +16,11 @@
 from milletcourse.exchange.messages.messages import AttemptResult, ExchangeRequest
 from milletcourse.exchange.messages.records import RouteRecord
 from milletcourse.exchange.rollout.weight_rollout import OrderReply, WeightOrder
-from milletcourse.gateway.telling.event_log import EventLog
-from milletcourse.gateway.telling.figures import Figures
-from milletcourse.gateway.telling.signal_recorder import SignalRecorder
-from milletcourse.gateway.telling.store_recorder import StoreRecorder
-from milletcourse.gateway.telling.unanswered import UnansweredRequest
+from milletcourse.gateway.telemetry.event_log import EventLog
+from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.signal_recorder import SignalRecorder
+from milletcourse.gateway.telemetry.store_recorder import StoreRecorder
+from milletcourse.gateway.telemetry.unanswered import UnansweredRequest
 
 MAX_SHOWN_SERVERS = 8
 """Of the servers that a request was kept from, its line names no more."""
--- a/src/milletcourse/gateway/telling/signal_recorder.py
+++ b/src/milletcourse/gateway/telemetry/signal_recorder.py
@@ -6,8 +6,8 @@
 
 from milletcourse.exchange.load.signal_record import LimitChange, ServerLimitState, Signal
 from milletcourse.exchange.messages.messages import ExchangeRequest
-from milletcourse.gateway.telling.event_log import EventLog
-from milletcourse.gateway.telling.figures import Figures
+from milletcourse.gateway.telemetry.event_log import EventLog
+from milletcourse.gateway.telemetry.metrics_sink import Figures
 
 MAX_UNREADABLE_SIGNALS = 100
 """Unreadable fields of servers that are remembered, so that each is told once."""
--- a/src/milletcourse/gateway/telling/store_recorder.py
+++ b/src/milletcourse/gateway/telemetry/store_recorder.py
@@ -6,9 +6,9 @@
 
 from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.replication.confirmed_era import EraEvidence
-from milletcourse.gateway.telling.event_log import EventLog
-from milletcourse.gateway.telling.figures import Figures
-from milletcourse.gateway.telling.given_up_call import GivenUpCall
+from milletcourse.gateway.telemetry.aborted_call import GivenUpCall
+from milletcourse.gateway.telemetry.event_log import EventLog
+from milletcourse.gateway.telemetry.metrics_sink import Figures
 
 MAX_NAMES = 8
 """Of objects that differ after a return, its line names no more."""
--- a/src/milletcourse/runtime/attended_timer.py
+++ b/src/milletcourse/runtime/responsive_timer.py
@@ -6,7 +6,7 @@
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 
-from milletcourse.runtime.attended_clock import AttendedClock
+from milletcourse.runtime.responsive_clock import AttendedClock
 
 SECOND_LOOK_SECONDS = 0.01
 """The loop runs timers before it reads its sockets, so that what has arrived is read between the
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -38,10 +38,10 @@
 from milletcourse.exchange.servers.instance_table import Instance, InstanceTable
 from milletcourse.gateway.servers.server_permits import ServerPermits
 from milletcourse.gateway.servers.signal_monitor import SignalMonitor
-from milletcourse.gateway.telling.event_log import EventLog
-from milletcourse.gateway.telling.figures import Figures
-from milletcourse.gateway.telling.recorder import Recorder
-from milletcourse.runtime.attended_clock import AttendedClock
+from milletcourse.gateway.telemetry.event_log import EventLog
+from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.recorder import Recorder
+from milletcourse.runtime.responsive_clock import AttendedClock
 
 SERVICE = ServiceRecord("app")
 NAMES = ("s-1", "s-2")
--- a/tests/gateway/store/test_registration.py
+++ b/tests/gateway/store/test_registration.py
@@ -18,7 +18,7 @@
     StoreProblem,
 )
 from milletcourse.gateway.store.registration import Registration
-from milletcourse.gateway.telling.event_log import EventLog
+from milletcourse.gateway.telemetry.event_log import EventLog
 
 WAIT_SECONDS = 5.0
 FIRST_ENTRY = GatewayEntry("127.0.0.1:1")
--- a/tests/gateway/store/test_store_eras.py
+++ b/tests/gateway/store/test_store_eras.py
@@ -24,9 +24,9 @@
     StoreError,
     StoreProblem,
 )
-from milletcourse.gateway.telling.event_log import EventLog
-from milletcourse.gateway.telling.figures import Figures
-from milletcourse.gateway.telling.store_recorder import StoreRecorder
+from milletcourse.gateway.telemetry.event_log import EventLog
+from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.store_recorder import StoreRecorder
 from milletcourse.platform.object_store import PlatformStoreDialect
 
 PAGE = b'{"items":[{"Metadata":{"Name":"a","Revision":3},"Spec":{}}],"At":5}'
--- a/tests/gateway/test_gateway_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -66,8 +66,8 @@
 def test_a_gateway_imports_only_what_it_uses() -> None:
     """Memory and start-up are priced on the users' machines; figures are written out late."""
     code = (
-        "import sys, milletcourse.platform.start, milletcourse.gateway.telling.metrics\n"
-        "milletcourse.gateway.telling.metrics.GatewayMetrics()\n"
+        "import sys, milletcourse.platform.start, milletcourse.gateway.telemetry.metrics\n"
+        "milletcourse.gateway.telemetry.metrics.GatewayMetrics()\n"
         f"print([name for name in {HEAVY_MODULES!r} if name in sys.modules])"
     )
     result = subprocess.run(
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -41,7 +41,11 @@
     StopPhase,
 )
 from milletcourse.gateway.requests.exchange import Exchange
-from milletcourse.gateway.telling.unanswered import RequestPhase, UnansweredCause, UnansweredRequest
+from milletcourse.gateway.telemetry.unanswered import (
+    RequestPhase,
+    UnansweredCause,
+    UnansweredRequest,
+)
 
 GRACE_MS = 5000
 """The stop refuses new work after two fifths of it."""
--- a/tests/gateway_harness.py
+++ b/tests/gateway_harness.py
@@ -14,8 +14,8 @@
 from gateway_standin import Behaviour, Client, StandinServer, StandinStore, configuration
 from milletcourse.exchange.mechanisms import ALL_MECHANISMS
 from milletcourse.gateway.node import GatewayNode
-from milletcourse.gateway.telling.event_log import EventLog
-from milletcourse.gateway.telling.metrics import GatewayMetrics
+from milletcourse.gateway.telemetry.event_log import EventLog
+from milletcourse.gateway.telemetry.metrics import GatewayMetrics
 from milletcourse.platform.start import new_adapter
 
 WAIT_SECONDS = 8.0
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -34,8 +34,8 @@
 from milletcourse.platform import object_store
 from milletcourse.platform.documents import ConfigurationDecoder
 from milletcourse.platform.start import start
-from milletcourse.runtime import attended_timer
-from milletcourse.runtime.attended_clock import AttendedClock
+from milletcourse.runtime import responsive_timer
+from milletcourse.runtime.responsive_clock import AttendedClock
 
 LOSES_EVERY = 50
 LATE_CONTENT_SECONDS = 3.0
@@ -100,7 +100,7 @@
 def take_a_pause_for_silence() -> None:
     """Time in which the process stood still counts, and nothing is read before the judgement."""
     AttendedClock.seconds = lambda clock: clock._now()  # type: ignore[method-assign]
-    attended_timer.SECOND_LOOK_SECONDS = 0.0
+    responsive_timer.SECOND_LOOK_SECONDS = 0.0
 
 
 def read_no_limit() -> None:
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -22,7 +22,7 @@
 
 from child_processes import start_child
 from gateway_standin import StandinStore, configuration
-from milletcourse.runtime.attended_clock import AttendedClock
+from milletcourse.runtime.responsive_clock import AttendedClock
 from soak.answers import Asked, Circumstances, Verdict, judge
 from soak.entry_ledger import EntryLedger
 from soak.ledger import Ledger, name_of
--- a/tests/test_attended_clock.py
+++ b/tests/test_responsive_clock.py
@@ -10,8 +10,8 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from milletcourse.runtime.attended_clock import ABSENCE_SECONDS, AttendedClock
-from milletcourse.runtime.attended_timer import AttendedTimer, attended_timeout
+from milletcourse.runtime.responsive_clock import ABSENCE_SECONDS, AttendedClock
+from milletcourse.runtime.responsive_timer import AttendedTimer, attended_timeout
 
 TURN_SECONDS = 0.25
 steps = st.lists(st.tuples(st.floats(0.0, 5.0), st.booleans()), max_size=30)
