--- a/src/milletcourse/gateway/clients/client_connection.py
+++ b/src/milletcourse/gateway/clients/client_connection.py
@@ -174,7 +174,7 @@
 
     def abort(self) -> None:
         """Abort the connection so that an unfinished answer cannot look complete."""
-        self._drop_queue(UnansweredCause.ANSWER_CUT)
+        self._drop_queue(UnansweredCause.ANSWER_TRUNCATED)
         self._closing = True
         if self._transport is not None:
             self._transport.abort()
@@ -185,9 +185,9 @@
         self.on_disconnected = None
         if self._current is not None and (self._task is not None or self._is_sending()):
             self._report_unanswered(
-                self._current, self._current_phase(), UnansweredCause.GRACE_OVER
+                self._current, self._current_phase(), UnansweredCause.GRACE_EXPIRED
             )
-        self._drop_queue(UnansweredCause.GRACE_OVER)
+        self._drop_queue(UnansweredCause.GRACE_EXPIRED)
         self.abort()
 
     def _is_sending(self) -> bool:
--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -101,7 +101,7 @@
             lambda found: self._on_entry(found, True),
             self._gateways_listed_at,
             self._context.random,
-            self._context.record.store.entry_written_again,
+            self._context.record.store.entry_rewritten,
         )
         self._spawn(registration.run())
         self._context.crash_watch.listeners.append(registration.on_change)
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -26,9 +26,9 @@
 from milletcourse.gateway.state.settings import GatewaySettings
 from milletcourse.gateway.store.object_store import ObjectStoreClient
 from milletcourse.gateway.telemetry.event_log import EventLog
-from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 from milletcourse.runtime.acceptor import Acceptor, listening_socket
-from milletcourse.runtime.listeners import close_when_empty
+from milletcourse.runtime.listeners import drain_and_close
 
 if TYPE_CHECKING:
     from milletcourse.gateway.telemetry.metrics import GatewayMetrics
@@ -53,7 +53,7 @@
         metrics: GatewayMetrics | None = None,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
     ) -> None:
-        figures = metrics or Figures()
+        figures = metrics or MetricsSink()
         self.context = GatewayContext(
             settings, adapter.headers, random_source, log, figures, mechanisms
         )
@@ -66,7 +66,7 @@
         self.duty_failed = asyncio.Event()
         self.readiness_address = settings.readiness
         self.frontend_address = settings.frontend
-        self._calls = CallClient(self.context.pool, self.context.record.store.call_given_up)
+        self._calls = CallClient(self.context.pool, self.context.record.store.call_aborted)
         self._store = ObjectStoreClient(
             settings.store,
             adapter.store,
@@ -161,7 +161,7 @@
         """Bounds on time, kept without a timer for each connection."""
         while True:
             due_at = self.context.now() + SWEEP_SECONDS
-            self.context.responsive_clock.expect_turn(SWEEP_SECONDS)
+            self.context.responsive_clock.on_loop_tick(SWEEP_SECONDS)
             await asyncio.sleep(SWEEP_SECONDS)
             self.context.handle_suspension()
             now = self._seen_running_at = self.context.now()
@@ -185,7 +185,7 @@
         """Sums for the log, at a bounded rate."""
         while True:
             await asyncio.sleep(TALLY_INTERVAL_SECONDS)
-            self.context.record.tallied()
+            self.context.record.write_tally()
 
     # -- planned stop ---------------------------------------------------------------------------
 
@@ -200,13 +200,13 @@
         for listener in self._listeners:
             await self._close_listener(listener)
         await self._end_connections(stop)
-        context.record.tallied()
+        context.record.write_tally()
         context.log.emit("stopped", unfinished=len(self._clients))
         self.close()
 
     async def _close_listener(self, listener: asyncio.Server | Acceptor) -> None:
         host, port = listener.sockets[0].getsockname()[:2]
-        waiting = await close_when_empty(listener)
+        waiting = await drain_and_close(listener)
         self.context.record.listener_closed(f"{host}:{port}", waiting)
 
     async def _end_connections(self, stop: PlannedStop) -> None:
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -24,7 +24,7 @@
 from milletcourse.gateway.servers.server_permits import Permit
 from milletcourse.gateway.state.context import GatewayContext
 from milletcourse.gateway.telemetry.unanswered import RequestPhase
-from milletcourse.runtime.responsive_timer import AttendedTimer
+from milletcourse.runtime.responsive_timer import ResponsiveTimer
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 """Largest body of an answer that is not a stream."""
@@ -93,7 +93,7 @@
         self._permit = permit
         self._ended = False
         self._connection: ServerConnection | None = None
-        self._silence_timer = AttendedTimer(context.responsive_clock, self._on_silent)
+        self._silence_timer = ResponsiveTimer(context.responsive_clock, self._on_silent)
         self._waiting_tokens = 0
         self._dispatch = DispatchBuilder(context, job, instance)
         self.sent_at = float("inf")
@@ -118,7 +118,7 @@
             return
         self.silence = Silence(
             self._silent_seconds(),
-            self._context.responsive_clock.absent_seconds - self._stall_seconds_before,
+            self._context.responsive_clock.stalled_seconds - self._stall_seconds_before,
         )
         self._connection.abort()
 
@@ -177,7 +177,7 @@
             # Marked as ended, since the server must not be ejected for a lack of local resources.
             self._ended = True
             self.abort_cause = AbortCause.LOCAL_RESOURCES
-            self._context.record.without_means()
+            self._context.record.descriptors_exhausted()
             return AttemptResult.NOT_SENT
         if connection is None:
             return AttemptResult.NOT_SENT
@@ -208,7 +208,7 @@
 
     def _note_received(self) -> None:
         self._last_received_at = self._context.responsive_clock.seconds()
-        self._stall_seconds_before = self._context.responsive_clock.absent_seconds
+        self._stall_seconds_before = self._context.responsive_clock.stalled_seconds
 
     def _silent_seconds(self) -> float:
         return self._context.responsive_clock.seconds() - self._last_received_at
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -37,9 +37,9 @@
 from milletcourse.gateway.requests.stream_handover import StreamHandover
 from milletcourse.gateway.servers.server_connection import LossCause
 from milletcourse.gateway.state.context import GatewayContext
-from milletcourse.gateway.telemetry.recorder import StreamCut, VisitedServer
-from milletcourse.runtime.responsive_clock import ABSENCE_SECONDS
-from milletcourse.runtime.responsive_timer import SECOND_LOOK_SECONDS
+from milletcourse.gateway.telemetry.recorder import StreamTruncation, VisitedServer
+from milletcourse.runtime.responsive_clock import STALL_THRESHOLD_SECONDS
+from milletcourse.runtime.responsive_timer import RECHECK_DELAY_SECONDS
 
 CLOSED_BY_SERVER = (LossCause.RESET, LossCause.CLOSED)
 """Losses that may mean that the server's process has terminated."""
@@ -114,10 +114,10 @@
 
     def _on_deadline(self) -> None:
         """End at the deadline, after data that arrived during an event-loop stall is delivered."""
-        if -self._seconds_left() > ABSENCE_SECONDS and not self._has_rechecked_deadline:
+        if -self._seconds_left() > STALL_THRESHOLD_SECONDS and not self._has_rechecked_deadline:
             self._has_rechecked_deadline = True
             loop = self._context.loop
-            self._deadline_timer = loop.call_later(SECOND_LOOK_SECONDS, self._on_deadline)
+            self._deadline_timer = loop.call_later(RECHECK_DELAY_SECONDS, self._on_deadline)
             return
         self._end(AbortCause.DEADLINE_EXCEEDED)
 
@@ -233,9 +233,9 @@
             # Without the result of this check, the request might crash one more server.
             await asyncio.wait((check,), timeout=MAX_CRASH_CHECK_SECONDS)
 
-    def _truncated_stream(self) -> StreamCut:
+    def _truncated_stream(self) -> StreamTruncation:
         table = self._context.route_table
-        return StreamCut(
+        return StreamTruncation(
             self._servers,
             self._end_cause.value if self._end_cause is not None else None,
             self._job.table.version,
@@ -316,7 +316,7 @@
                 self._search.signals_by_server,
             )
         elif self._relay.has_started:
-            record.cut(self._job.request, self._job.route, self._truncated_stream())
+            record.stream_truncated(self._job.request, self._job.route, self._truncated_stream())
             self._client.abort()
         elif step is NextStep.FORWARD_FAILURE and self._relay.failure is not None:
             record.passed_failure(self._job.route)
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -181,7 +181,7 @@
             if servers[key] not in self.signals_by_server:
                 self.signals_by_server[servers[key]] = signal.value
                 context.server_signals.on_kept_away(key)
-                context.record.signals.kept_away(self._job.service.name, signal)
+                context.record.signals.server_excluded(self._job.service.name, signal)
 
     def _servers(self) -> Iterable[Instance]:
         return self._context.instances.of_service(self._job.service.name).values()
--- a/src/milletcourse/gateway/servers/call_client.py
+++ b/src/milletcourse/gateway/servers/call_client.py
@@ -12,14 +12,14 @@
 from milletcourse.gateway.servers.connection_pool import ConnectionPool
 from milletcourse.gateway.servers.descriptors import LocalResourceError
 from milletcourse.gateway.servers.server_connection import ServerConnection
-from milletcourse.gateway.telemetry.aborted_call import GivenUpCall
+from milletcourse.gateway.telemetry.aborted_call import AbortedCall
 from milletcourse.runtime.clock import elapsed_seconds
-from milletcourse.runtime.responsive_timer import AttendedTimer
+from milletcourse.runtime.responsive_timer import ResponsiveTimer
 
 MAX_REPLY_BYTES = 16 * 1024 * 1024
 
 
-OnGivenUp = Callable[[GivenUpCall], None]
+OnGivenUp = Callable[[AbortedCall], None]
 
 
 class Call(msgspec.Struct, frozen=True):
@@ -101,7 +101,7 @@
         sent_at = elapsed_seconds()
         progress = AnswerProgress(first_byte_seconds)
         connection.send(_encode(address, call))
-        timer = AttendedTimer(self._pool.clock, connection.abort)
+        timer = ResponsiveTimer(self._pool.clock, connection.abort)
         timer.expect_within(first_byte_seconds)
         try:
             reply = await self._read(connection, sent_at, progress, timer, on_content)
@@ -112,7 +112,7 @@
             timer.stop()
         if reply is None and progress.has_started and self._on_given_up is not None:
             seconds = elapsed_seconds() - sent_at
-            self._on_given_up(GivenUpCall(address, call.target, progress.received_bytes, seconds))
+            self._on_given_up(AbortedCall(address, call.target, progress.received_bytes, seconds))
         return reply
 
     async def _read(
@@ -120,7 +120,7 @@
         connection: ServerConnection,
         sent_at: float,
         progress: AnswerProgress,
-        timer: AttendedTimer,
+        timer: ResponsiveTimer,
         on_content: Callable[[], None] | None,
     ) -> Reply | None:
         head: AnswerHead | None = None
--- a/src/milletcourse/gateway/servers/connection_pool.py
+++ b/src/milletcourse/gateway/servers/connection_pool.py
@@ -15,7 +15,7 @@
     open_connection,
 )
 from milletcourse.runtime.clock import elapsed_seconds
-from milletcourse.runtime.responsive_clock import AttendedClock
+from milletcourse.runtime.responsive_clock import ResponsiveClock
 
 MAX_IDLE_PER_SERVER = 24
 """Bounds the descriptors of idle connections; larger bursts open new connections."""
@@ -32,7 +32,7 @@
         self,
         dialect: HeaderDialect,
         on_opened: Callable[[str], None],
-        clock: AttendedClock,
+        clock: ResponsiveClock,
         max_idle: int,
         max_open_to: Callable[[str], int],
     ) -> None:
--- a/src/milletcourse/gateway/servers/crash_detector.py
+++ b/src/milletcourse/gateway/servers/crash_detector.py
@@ -118,13 +118,13 @@
     def release(self, identity: int) -> None:
         """Release a contained request on behalf of an operator."""
         self._evidence.release(identity, self._now())
-        self._record.released(identity)
+        self._record.containment_released(identity)
         self._on_update()
 
     def report_contained(self) -> None:
         """Report the requests that were newly contained since the last call."""
         for containment in self._evidence.take_newly_contained(self._now()):
-            self._record.contained(containment)
+            self._record.request_contained(containment)
 
     def _on_update(self) -> None:
         self.report_contained()
--- a/src/milletcourse/gateway/servers/server_connection.py
+++ b/src/milletcourse/gateway/servers/server_connection.py
@@ -20,8 +20,8 @@
 from milletcourse.gateway.servers.descriptors import LOCAL_RESOURCE_ERRNOS, LocalResourceError
 from milletcourse.runtime.addresses import split_address
 from milletcourse.runtime.clock import elapsed_seconds
-from milletcourse.runtime.responsive_clock import AttendedClock
-from milletcourse.runtime.responsive_timer import attended_timeout
+from milletcourse.runtime.responsive_clock import ResponsiveClock
+from milletcourse.runtime.responsive_timer import responsive_timeout
 from milletcourse.runtime.sockets import reset_on_close
 
 CONNECT_TIMEOUT_SECONDS = 0.5
@@ -245,7 +245,7 @@
 
 
 async def open_connection(
-    address: str, dialect: HeaderDialect, timeout_seconds: float, clock: AttendedClock
+    address: str, dialect: HeaderDialect, timeout_seconds: float, clock: ResponsiveClock
 ) -> ServerConnection | None:
     """Connect to a server; None when no connection was established in time.
 
@@ -261,7 +261,7 @@
 
 
 async def connect(
-    address: str, dialect: HeaderDialect, timeout_seconds: float, clock: AttendedClock
+    address: str, dialect: HeaderDialect, timeout_seconds: float, clock: ResponsiveClock
 ) -> ServerConnection:
     """Connect to a server.
 
@@ -285,7 +285,7 @@
         raise OSError(str(error)) from error
     loop = asyncio.get_running_loop()
     try:
-        async with attended_timeout(clock, min(timeout_seconds, CONNECT_TIMEOUT_SECONDS)):
+        async with responsive_timeout(clock, min(timeout_seconds, CONNECT_TIMEOUT_SECONDS)):
             _, protocol = await loop.create_connection(
                 lambda: ServerConnection(address, dialect), host, port
             )
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -21,9 +21,9 @@
 from milletcourse.exchange.messages.peer_messages import MAX_AGE_MS, SignalReport
 from milletcourse.exchange.messages.quota_messages import PermitMessage, PermitStep, wire_ms
 from milletcourse.exchange.servers.instance_table import Instance
-from milletcourse.gateway.telemetry.metrics_sink import Figures
-from milletcourse.runtime.responsive_clock import AttendedClock
-from milletcourse.runtime.responsive_timer import attended_timeout
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
+from milletcourse.runtime.responsive_clock import ResponsiveClock
+from milletcourse.runtime.responsive_timer import responsive_timeout
 
 PERMIT_REQUEST_TIMEOUT_SECONDS = 0.15
 """How long a request waits for a quota owner's reply; one in another region replies in less."""
@@ -75,10 +75,10 @@
         pauses: PermitRetryDelays,
         on_reports: ReportHandler,
         random_source: random.Random,
-        clock: AttendedClock,
+        clock: ResponsiveClock,
         now: Callable[[], float],
         members: Callable[[], int],
-        figures: Figures,
+        figures: MetricsSink,
     ) -> None:
         """Start without any permit requested or granted.
 
@@ -122,7 +122,7 @@
         if per_second is None:
             return self.without_limit(instance)
         reply = await self._request_permit(key, per_second, rank)
-        self._figures.on_unit_asked(reply.granted)
+        self._figures.on_permit_requested(reply.granted)
         if reply.granted:
             return Permit(key, self._now() + PERMIT_VALIDITY_SECONDS)
         self.pauses.on_denied(key, reply, per_second, self._now())
@@ -182,7 +182,7 @@
             self.homes.on_reply(chosen.name)
             return reply
         self.homes.on_no_reply(chosen.name, self._now())
-        self._figures.on_lender_silent()
+        self._figures.on_quota_owner_timeout()
         # Another quota owner is asked by the next request only: this one has waited long enough.
         return PermitReply(False)
 
@@ -205,7 +205,7 @@
             ),
         )
         try:
-            async with attended_timeout(self._clock, PERMIT_REQUEST_TIMEOUT_SECONDS):
+            async with responsive_timeout(self._clock, PERMIT_REQUEST_TIMEOUT_SECONDS):
                 message = await future
         except TimeoutError:
             return None
--- a/src/milletcourse/gateway/servers/signal_monitor.py
+++ b/src/milletcourse/gateway/servers/signal_monitor.py
@@ -157,7 +157,7 @@
         if not head.back_off.seconds:
             return
         if self._signals.on_back_off(instance.key, head.back_off.seconds, self._record.now()):
-            self._record.signals.resting(instance.name, head.back_off.seconds)
+            self._record.signals.backing_off(instance.name, head.back_off.seconds)
 
     def _on_limit_change(
         self, instance: Instance, change: LimitChange, per_second: float | None, source: str
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -45,11 +45,11 @@
 from milletcourse.gateway.state.cache_store_availability import CacheStoreAvailability
 from milletcourse.gateway.state.settings import GatewaySettings
 from milletcourse.gateway.telemetry.event_log import EventLog
-from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 from milletcourse.gateway.telemetry.recorder import Recorder
 from milletcourse.gateway.telemetry.unanswered import UnansweredRequest
-from milletcourse.runtime.clock import SleepDetector, elapsed_seconds
-from milletcourse.runtime.responsive_clock import AttendedClock
+from milletcourse.runtime.clock import SuspensionDetector, elapsed_seconds
+from milletcourse.runtime.responsive_clock import ResponsiveClock
 
 FRESHNESS_MARGIN_SECONDS = 0.4
 """Keys are refused this long before the bound on revocation."""
@@ -99,7 +99,7 @@
         dialect: HeaderDialect,
         random_source: random.Random,
         log: EventLog,
-        figures: Figures,
+        figures: MetricsSink,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
     ) -> None:
         self.settings = settings
@@ -128,8 +128,8 @@
         self.restart_listeners: list[Callable[[Instance], None]] = []
         self.instances.on_restarted = self._on_restarted
         self.wake_listeners: set[Callable[[], None]] = set()
-        self._sleep_detector = SleepDetector()
-        self.responsive_clock = AttendedClock()
+        self._sleep_detector = SuspensionDetector()
+        self.responsive_clock = ResponsiveClock()
         self.update_listeners: list[Callable[[], None]] = []
         self.server_signals = ServerSignals()
         pauses = PermitRetryDelays()
@@ -197,10 +197,10 @@
         Deadlines are kept on a clock that includes the suspension, so they have passed already;
         timers were stopped, and are set again by the listeners.
         """
-        slept = self._sleep_detector.take_sleep()
+        slept = self._sleep_detector.take_suspension_seconds()
         if not slept:
             return
-        self.record.woke(slept)
+        self.record.resumed_after_suspension(slept)
         for listener in list(self.wake_listeners):
             listener()
 
@@ -340,7 +340,7 @@
         if is_ejected and not was_ejected:
             self.record.ejection(instance.name, result)
         elif was_ejected and not is_ejected:
-            self.record.return_of(instance.name, result)
+            self.record.ejection_ended(instance.name, result)
 
     def note_successor(self, instance: Instance, successor: str) -> None:
         """Retire an incarnation at whose address another one answered."""
@@ -383,7 +383,7 @@
             return False
         if Mechanism.INCARNATION_CHECK not in self.mechanisms or not self.instances.terminate(name):
             return False
-        self.record.instance_ended(name, successor)
+        self.record.instance_replaced(name, successor)
         self.crash_watch.on_instance_terminated(name)
         return True
 
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -21,7 +21,7 @@
 from milletcourse.exchange.replication.pending_contents import FedUpdate
 from milletcourse.gateway.store.change_log import MIN_PATCHED_BYTES, ChangeLog, LoggedChange
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
-from milletcourse.gateway.telemetry.store_recorder import StoreReturn
+from milletcourse.gateway.telemetry.store_recorder import StoreRestore
 
 MAX_INLINE_PATCH_BYTES = 4096
 """A larger patch is only announced, and sent to the followers that request it."""
@@ -99,7 +99,7 @@
     def list_outdated(self, kind: str, listed: StorePosition, known: StorePosition) -> None:
         """A list was discarded, since a later position is known."""
 
-    def returned(self, store_return: StoreReturn) -> None:
+    def store_restored(self, store_return: StoreRestore) -> None:
         """The store was restored from an older snapshot."""
 
 
@@ -238,7 +238,9 @@
         if self._listener is not None:
             missing = [change.stored.name for change in changes if change.deleted]
             changed = [change.stored.name for change in changes if not change.deleted]
-            self._listener.returned(StoreReturn(self.kind, before, position, missing, changed))
+            self._listener.store_restored(
+                StoreRestore(self.kind, before, position, missing, changed)
+            )
 
     def _notify(self) -> None:
         if self.on_change is not None:
--- a/src/milletcourse/gateway/telemetry/aborted_call.py
+++ b/src/milletcourse/gateway/telemetry/aborted_call.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class GivenUpCall(msgspec.Struct, frozen=True):
+class AbortedCall(msgspec.Struct, frozen=True):
     """What is told of it.
 
     Attributes:
--- a/src/milletcourse/gateway/telemetry/event_log.py
+++ b/src/milletcourse/gateway/telemetry/event_log.py
@@ -50,8 +50,8 @@
     ) -> None:
         self._clock = clock
         self._buckets: dict[str, TokenBucket] = {}
-        self._left_out: dict[str, int] = {}
-        self._left_out_total = 0
+        self._suppressed: dict[str, int] = {}
+        self._suppressed_total = 0
         self._writer = writer
         self._logger: Any = None
         if writer is not None:
@@ -69,7 +69,7 @@
     def left_out(self) -> int:
         """Lines that were left out or dropped since the start."""
         dropped = self._writer.dropped if self._writer is not None else 0
-        return self._left_out_total + dropped
+        return self._suppressed_total + dropped
 
     def emit(self, event: str, **fields: Any) -> None:
         """Write an event, or count it as left out when its kind comes too often."""
@@ -80,10 +80,10 @@
         if bucket is None:
             bucket = self._buckets[event] = TokenBucket(_lines_per_second(event), BURST_LINES, now)
         if not bucket.take(1.0, now):
-            self._left_out[event] = self._left_out.get(event, 0) + 1
-            self._left_out_total += 1
+            self._suppressed[event] = self._suppressed.get(event, 0) + 1
+            self._suppressed_total += 1
             return
-        left_out = self._left_out.pop(event, 0)
+        left_out = self._suppressed.pop(event, 0)
         if left_out:
             fields["left_out"] = left_out
         self._logger.msg(event, **fields)
--- a/src/milletcourse/gateway/telemetry/metrics.py
+++ b/src/milletcourse/gateway/telemetry/metrics.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from milletcourse.exchange.messages.messages import AttemptResult
-from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 from milletcourse.gateway.telemetry.unanswered import UnansweredCause
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
         self.value = float(value)
 
 
-class GatewayMetrics(Figures):
+class GatewayMetrics(MetricsSink):
     """Figures of one gateway; labels are bounded by types."""
 
     def __init__(self) -> None:
@@ -43,15 +43,15 @@
         self._unanswered: Counter[str] = Counter()
         self._attempts: Counter[str] = Counter()
         self._orders: Counter[str] = Counter()
-        self._kept_away: Counter[tuple[str, str]] = Counter()
+        self._exclusions: Counter[tuple[str, str]] = Counter()
         self._ejections = 0
         self._containments = 0
         self._peer_messages_refused = 0
-        self._calls_failed = 0
-        self._store_returns = 0
-        self._units: Counter[str] = Counter()
-        self._lenders_silent = 0
-        self._without_means = 0
+        self._store_failures = 0
+        self._store_restores = 0
+        self._permit_requests: Counter[str] = Counter()
+        self._quota_owner_timeouts = 0
+        self._descriptors_exhausted = 0
         self._answers_by_bucket = [0] * (len(ANSWER_BUCKETS_SECONDS) + 1)
         self._answer_seconds = 0.0
         self.configuration = GaugeValue("configuration_version", "Version in force")
@@ -76,62 +76,62 @@
 
     # -- counting -------------------------------------------------------------------------------
 
-    def on_end(self, outcome: str) -> None:
-        """See `Figures`."""
+    def on_request_finished(self, outcome: str) -> None:
+        """See `MetricsSink`."""
         self._requests[outcome] += 1
 
     def on_unanswered(self, cause: UnansweredCause) -> None:
-        """See `Figures`."""
+        """See `MetricsSink`."""
         self._unanswered[cause.value] += 1
 
     def on_attempt(self, result: AttemptResult) -> None:
-        """See `Figures`."""
+        """See `MetricsSink`."""
         self._attempts[result.value] += 1
 
     def on_first_answer(self, seconds: float) -> None:
-        """See `Figures`."""
+        """See `MetricsSink`."""
         self._answers_by_bucket[bisect_left(ANSWER_BUCKETS_SECONDS, seconds)] += 1
         self._answer_seconds += seconds
 
     def on_ejection(self) -> None:
-        """See `Figures`."""
+        """See `MetricsSink`."""
         self._ejections += 1
 
     def on_containment(self) -> None:
-        """See `Figures`."""
+        """See `MetricsSink`."""
         self._containments += 1
 
     def on_peer_message_refused(self) -> None:
-        """See `Figures`."""
+        """See `MetricsSink`."""
         self._peer_messages_refused += 1
 
     def on_order(self, reply: str) -> None:
-        """See `Figures`."""
+        """See `MetricsSink`."""
         self._orders[reply] += 1
 
-    def on_unit_asked(self, granted: bool) -> None:
-        """See `Figures`."""
-        self._units["granted" if granted else "denied"] += 1
+    def on_permit_requested(self, granted: bool) -> None:
+        """See `MetricsSink`."""
+        self._permit_requests["granted" if granted else "denied"] += 1
 
-    def on_lender_silent(self) -> None:
-        """See `Figures`."""
-        self._lenders_silent += 1
+    def on_quota_owner_timeout(self) -> None:
+        """See `MetricsSink`."""
+        self._quota_owner_timeouts += 1
 
-    def on_kept_away(self, service: str, signal: str) -> None:
-        """See `Figures`."""
-        self._kept_away[service, signal] += 1
+    def on_server_excluded(self, service: str, signal: str) -> None:
+        """See `MetricsSink`."""
+        self._exclusions[service, signal] += 1
 
-    def on_without_means(self) -> None:
-        """See `Figures`."""
-        self._without_means += 1
+    def on_descriptors_exhausted(self) -> None:
+        """See `MetricsSink`."""
+        self._descriptors_exhausted += 1
 
     def on_store_failure(self) -> None:
-        """See `Figures`."""
-        self._calls_failed += 1
+        """See `MetricsSink`."""
+        self._store_failures += 1
 
-    def on_store_return(self) -> None:
-        """See `Figures`."""
-        self._store_returns += 1
+    def on_store_restored(self) -> None:
+        """See `MetricsSink`."""
+        self._store_restores += 1
 
     # -- telling --------------------------------------------------------------------------------
 
@@ -170,21 +170,21 @@
                 "limit_units",
                 "Sends to servers that limit their requests, by whether they were let through",
                 "reply",
-                self._units,
+                self._permit_requests,
             ),
         ):
             family = CounterMetricFamily(PREFIX + name, description, labels=[label])
             for value, count in counts.items():
                 family.add_metric([value], count)
             yield family
-        kept_away = CounterMetricFamily(
+        exclusions = CounterMetricFamily(
             f"{PREFIX}kept_away",
             "Requests that were kept from a server that leaves or rests",
             labels=["service", "signal"],
         )
-        for labels, count in self._kept_away.items():
-            kept_away.add_metric(labels, count)
-        yield kept_away
+        for labels, count in self._exclusions.items():
+            exclusions.add_metric(labels, count)
+        yield exclusions
         yield CounterMetricFamily(
             f"{PREFIX}ejections", "Servers ejected as outliers", self._ejections
         )
@@ -201,22 +201,22 @@
         yield CounterMetricFamily(
             f"{PREFIX}limit_lenders_silent",
             "Asks for a unit of a server's limit that the lending gateway didn't reply to",
-            self._lenders_silent,
+            self._quota_owner_timeouts,
         )
         yield CounterMetricFamily(
             f"{PREFIX}descriptors_exhausted",
             "Connections to servers that couldn't be opened for lack of a descriptor",
-            self._without_means,
+            self._descriptors_exhausted,
         )
         yield CounterMetricFamily(
             f"{PREFIX}store_failures",
             "Calls to the object store that gave nothing",
-            self._calls_failed,
+            self._store_failures,
         )
         yield CounterMetricFamily(
             f"{PREFIX}store_returns",
             "Times that the object store came back from an older copy, by each kind that showed it",
-            self._store_returns,
+            self._store_restores,
         )
         yield HistogramMetricFamily(
             f"{PREFIX}first_answer_seconds",
--- a/src/milletcourse/gateway/telemetry/metrics_sink.py
+++ b/src/milletcourse/gateway/telemetry/metrics_sink.py
@@ -6,10 +6,10 @@
 from milletcourse.gateway.telemetry.unanswered import UnansweredCause
 
 
-class Figures:
+class MetricsSink:
     """Takes what is counted, and keeps none of it; `GatewayMetrics` does."""
 
-    def on_end(self, outcome: str) -> None:
+    def on_request_finished(self, outcome: str) -> None:
         """A request has its final outcome."""
 
     def on_unanswered(self, cause: UnansweredCause) -> None:
@@ -33,20 +33,20 @@
     def on_order(self, reply: str) -> None:
         """A server replied to an order, or did not."""
 
-    def on_unit_asked(self, granted: bool) -> None:
+    def on_permit_requested(self, granted: bool) -> None:
         """A unit of a server's limit was asked for."""
 
-    def on_lender_silent(self) -> None:
+    def on_quota_owner_timeout(self) -> None:
         """The gateway that lends a server's limit didn't reply."""
 
-    def on_kept_away(self, service: str, signal: str) -> None:
+    def on_server_excluded(self, service: str, signal: str) -> None:
         """A request was kept from a server by that server's own word."""
 
-    def on_without_means(self) -> None:
+    def on_descriptors_exhausted(self) -> None:
         """A connection couldn't be opened for lack of a descriptor."""
 
     def on_store_failure(self) -> None:
         """A call to the object store gave nothing."""
 
-    def on_store_return(self) -> None:
+    def on_store_restored(self) -> None:
         """The store has come back from an older copy, as one kind of objects shows."""
--- a/src/milletcourse/gateway/telemetry/recorder.py
+++ b/src/milletcourse/gateway/telemetry/recorder.py
@@ -17,14 +17,14 @@
 from milletcourse.exchange.messages.records import RouteRecord
 from milletcourse.exchange.rollout.weight_rollout import OrderReply, WeightOrder
 from milletcourse.gateway.telemetry.event_log import EventLog
-from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 from milletcourse.gateway.telemetry.signal_recorder import SignalRecorder
 from milletcourse.gateway.telemetry.store_recorder import StoreRecorder
 from milletcourse.gateway.telemetry.unanswered import UnansweredRequest
 
 MAX_SHOWN_SERVERS = 8
 """Of the servers that a request was kept from, its line names no more."""
-Belief = Callable[[], dict[str, Any]]
+ReportedState = Callable[[], dict[str, Any]]
 """What the gateway goes by now: fields that are added to the lines of decisions."""
 
 
@@ -44,7 +44,7 @@
     address: str
     result: AttemptResult
     loss: str | None
-    left: str | None
+    abort_cause: str | None
     identity: int
 
 
@@ -68,7 +68,7 @@
     absent: float
 
 
-class StreamCut(msgspec.Struct, frozen=True):
+class StreamTruncation(msgspec.Struct, frozen=True):
     """Why a stream that its client had begun to read was not completed.
 
     Attributes:
@@ -95,29 +95,33 @@
     """
 
     def __init__(
-        self, log: EventLog, figures: Figures, belief: Belief, now: Callable[[], float]
+        self,
+        log: EventLog,
+        metrics: MetricsSink,
+        reported_state: ReportedState,
+        now: Callable[[], float],
     ) -> None:
         self._log = log
-        self._figures = figures
-        self._belief = belief
+        self._metrics = metrics
+        self._reported_state = reported_state
         self.now = now
         self._reachable: dict[str, bool] = {}
-        self.signals = SignalRecorder(log, figures)
-        self.store = StoreRecorder(log, figures)
+        self.signals = SignalRecorder(log, metrics)
+        self.store = StoreRecorder(log, metrics)
         self.tally = ServiceTally()
 
     # -- requests -------------------------------------------------------------------------------
 
     def refusal(self, failure: Failure, request_id: str, target: bytes) -> None:
         """A request was refused before it was routed."""
-        self._figures.on_end(failure.code)
+        self._metrics.on_request_finished(failure.code)
         self._log.emit(
             "request-refused",
             request_id=request_id,
             code=failure.code,
             detail=failure.detail,
             target=target.decode("latin-1"),
-            **self._belief(),
+            **self._reported_state(),
         )
 
     def limited(self, state: LimitState) -> None:
@@ -129,7 +133,7 @@
         failure: Failure,
         request: ExchangeRequest,
         route: RouteRecord,
-        kept_from: dict[str, str],
+        excluded_servers: dict[str, str],
     ) -> None:
         """A routed request ended with this gateway's own failure.
 
@@ -141,20 +145,20 @@
         """
         has_not_run = failure.run_state is RunState.NOT_RUN
         self.tally.on_end(route.name, Outcome.REFUSED if has_not_run else Outcome.FAILED)
-        self._figures.on_end(failure.code)
+        self._metrics.on_request_finished(failure.code)
         self._log.emit(
             "request-failed",
             route=route.name,
             code=failure.code,
             detail=failure.detail,
-            **_kept_from(kept_from),
-            **self._about(request),
-            **self._belief(),
+            **_excluded_servers_field(excluded_servers),
+            **self._request_fields(request),
+            **self._reported_state(),
         )
 
     def attempt(self, route: RouteRecord, result: AttemptResult, step: NextStep) -> None:
         """An attempt ended; those without an answer get a line by `attempt_failed`."""
-        self._figures.on_attempt(result)
+        self._metrics.on_attempt(result)
         if step is NextStep.RETRY:
             self.tally.on_retry(route.name)
 
@@ -173,15 +177,15 @@
             address=failed.address,
             result=failed.result.value,
             loss=failed.loss,
-            left=failed.left,
+            left=failed.abort_cause,
             step=step.value,
             content=identity_text(failed.identity),
-            **self._about(request),
+            **self._request_fields(request),
         )
 
     def first_answer(self, seconds: float) -> None:
         """The first byte of an answer goes to a client, this long after its request."""
-        self._figures.on_first_answer(seconds)
+        self._metrics.on_first_answer(seconds)
 
     def served(
         self,
@@ -191,7 +195,7 @@
         sends: int,
         first: float,
         gap: float,
-        kept_from: dict[str, str],
+        excluded_servers: dict[str, str],
     ) -> None:
         """A whole answer was passed on.
 
@@ -205,7 +209,7 @@
             kept_from: Servers that it didn't go to for their own word, with that word.
         """
         self.tally.on_end(route.name, served_outcome(route, first, gap))
-        self._figures.on_end("served")
+        self._metrics.on_request_finished("served")
         self._log.emit(
             "request-served",
             route=route.name,
@@ -213,21 +217,26 @@
             sends=sends,
             first=round(first, 3),
             gap=round(gap, 3),
-            **_kept_from(kept_from),
-            **self._about(request),
+            **_excluded_servers_field(excluded_servers),
+            **self._request_fields(request),
         )
 
     def passed_failure(self, route: RouteRecord) -> None:
         """A server's own failure was passed on; its attempt has a line."""
         self.tally.on_end(route.name, Outcome.SERVER_FAILURE)
-        self._figures.on_end("passed-failure")
+        self._metrics.on_request_finished("passed-failure")
 
-    def cut(self, request: ExchangeRequest, route: RouteRecord, cut: StreamCut) -> None:
+    def stream_truncated(
+        self, request: ExchangeRequest, route: RouteRecord, truncation: StreamTruncation
+    ) -> None:
         """A stream that a client had begun to read could not be completed."""
         self.tally.on_end(route.name, Outcome.TRUNCATED)
-        self._figures.on_end("cut")
+        self._metrics.on_request_finished("cut")
         self._log.emit(
-            "stream-cut", route=route.name, **msgspec.to_builtins(cut), **self._about(request)
+            "stream-cut",
+            route=route.name,
+            **msgspec.to_builtins(truncation),
+            **self._request_fields(request),
         )
 
     def client_left(
@@ -235,18 +244,18 @@
     ) -> None:
         """A client closed its connection before the answer was whole."""
         self.tally.on_end(route.name, Outcome.CLIENT_DISCONNECTED)
-        self._figures.on_end("client-left")
+        self._metrics.on_request_finished("client-left")
         self._log.emit(
             "client-left",
             route=route.name,
             instance=instance,
             stream_begun=stream_begun,
-            **self._about(request),
+            **self._request_fields(request),
         )
 
     def unanswered(self, request: UnansweredRequest, request_id: str, stopping: bool) -> None:
         """A request that was read ends without a whole answer, and its server isn't why."""
-        self._figures.on_unanswered(request.cause)
+        self._metrics.on_unanswered(request.cause)
         self._log.emit(
             "request-unanswered",
             request_id=request_id,
@@ -265,7 +274,7 @@
         """The event loop ran a timer this much later than it was due."""
         self._log.emit("loop-late", seconds=round(seconds, 3))
 
-    def tallied(self) -> None:
+    def write_tally(self) -> None:
         """Write what was counted since the last time, if it is anything."""
         report = self.tally.take()
         if report is not None:
@@ -275,14 +284,14 @@
 
     def ejection(self, instance: str, result: AttemptResult) -> None:
         """A server gets no new work for a while."""
-        self._figures.on_ejection()
+        self._metrics.on_ejection()
         self._log.emit("instance-ejected", instance=instance, result=result.value)
 
-    def return_of(self, instance: str, result: AttemptResult) -> None:
+    def ejection_ended(self, instance: str, result: AttemptResult) -> None:
         """An ejected server gets work again."""
         self._log.emit("instance-back", instance=instance, result=result.value)
 
-    def instance_ended(self, instance: str, successor: str) -> None:
+    def instance_replaced(self, instance: str, successor: str) -> None:
         """Another incarnation answers at a server's address; its name, or `told` by a peer."""
         self._log.emit("instance-ended", instance=instance, successor=successor)
 
@@ -290,9 +299,9 @@
         """A server has started again under its name: nothing of what was known of it holds."""
         self._log.emit("instance-restarted", instance=instance)
 
-    def without_means(self) -> None:
+    def descriptors_exhausted(self) -> None:
         """A connection to a server couldn't be opened for lack of a descriptor of this process."""
-        self._figures.on_without_means()
+        self._metrics.on_descriptors_exhausted()
         self._log.emit("descriptors-exhausted")
 
     def clients_waiting(self, clients: int, waiting: int) -> None:
@@ -301,20 +310,20 @@
 
     def peer_message_refused(self, sender: str) -> None:
         """A datagram that no gateway of this release sends, or one with absurd figures."""
-        self._figures.on_peer_message_refused()
+        self._metrics.on_peer_message_refused()
         self._log.emit("peer-message-refused", sender=sender)
 
-    def released(self, identity: int) -> None:
+    def containment_released(self, identity: int) -> None:
         """An operator released a contained request."""
         self._log.emit("request-released", content=identity_text(identity))
 
-    def woke(self, slept_seconds: float) -> None:
+    def resumed_after_suspension(self, slept_seconds: float) -> None:
         """The machine was suspended for a while, and goes on."""
-        self._log.emit("woke", slept=round(slept_seconds, 3), **self._belief())
+        self._log.emit("woke", slept=round(slept_seconds, 3), **self._reported_state())
 
-    def contained(self, containment: Containment) -> None:
+    def request_contained(self, containment: Containment) -> None:
         """Servers ended under a request, one after the other: it isn't sent to another one."""
-        self._figures.on_containment()
+        self._metrics.on_containment()
         self._log.emit(
             "request-contained",
             content=identity_text(containment.identity),
@@ -329,7 +338,7 @@
 
     def weight_order(self, order: WeightOrder, reply: OrderReply) -> None:
         """A server replied to an order, or did not."""
-        self._figures.on_order(reply.value)
+        self._metrics.on_order(reply.value)
         self._log.emit(
             "weight-order",
             instance=order.instance,
@@ -345,18 +354,20 @@
     def store_call(self, kind: str, succeeded: bool) -> None:
         """A call about a kind of objects ended; a line says when that changes."""
         if not succeeded:
-            self._figures.on_store_failure()
+            self._metrics.on_store_failure()
         if self._reachable.get(kind) == succeeded:
             return
         self._reachable[kind] = succeeded
-        self._log.emit("store-reached" if succeeded else "store-lost", kind=kind, **self._belief())
+        self._log.emit(
+            "store-reached" if succeeded else "store-lost", kind=kind, **self._reported_state()
+        )
 
-    def _about(self, request: ExchangeRequest) -> dict[str, Any]:
+    def _request_fields(self, request: ExchangeRequest) -> dict[str, Any]:
         seconds = round(self.now() - request.received_at, 3)
         return {"request_id": request.request_id, "seconds": seconds}
 
 
-def _kept_from(servers: dict[str, str]) -> dict[str, Any]:
+def _excluded_servers_field(servers: dict[str, str]) -> dict[str, Any]:
     """Field of a request's line that names servers and their words; mostly none."""
     if not servers:
         return {}
--- a/src/milletcourse/gateway/telemetry/signal_recorder.py
+++ b/src/milletcourse/gateway/telemetry/signal_recorder.py
@@ -7,22 +7,22 @@
 from milletcourse.exchange.load.signal_record import LimitChange, ServerLimitState, Signal
 from milletcourse.exchange.messages.messages import ExchangeRequest
 from milletcourse.gateway.telemetry.event_log import EventLog
-from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 
-MAX_UNREADABLE_SIGNALS = 100
+MAX_REMEMBERED_UNREADABLE_SIGNALS = 100
 """Unreadable fields of servers that are remembered, so that each is told once."""
 
 
 class SignalRecorder:
     """Writes a line and counts, when a server says something new or a request meets it."""
 
-    def __init__(self, log: EventLog, figures: Figures) -> None:
+    def __init__(self, log: EventLog, metrics: MetricsSink) -> None:
         self._log = log
-        self._figures = figures
-        self._unreadable: dict[tuple[str, str], str] = {}
+        self._metrics = metrics
+        self._logged_unreadable: dict[tuple[str, str], str] = {}
 
     def limit(
-        self, instance: str, change: LimitChange, per_second: float | None, told_by: str
+        self, instance: str, change: LimitChange, per_second: float | None, source: str
     ) -> None:
         """A server names a limit of requests, another one than before, or none any more.
 
@@ -36,7 +36,7 @@
             f"server-limit-{change.value}",
             instance=instance,
             per_second=per_second,
-            told_by=told_by,
+            told_by=source,
         )
 
     def at_limit(self, state: ServerLimitState, request: ExchangeRequest) -> None:
@@ -45,11 +45,11 @@
             "server-at-limit", **msgspec.structs.asdict(state), request_id=request.request_id
         )
 
-    def kept_away(self, service: str, signal: Signal) -> None:
+    def server_excluded(self, service: str, signal: Signal) -> None:
         """A request of a service was kept from a server that leaves or rests."""
-        self._figures.on_kept_away(service, signal.value)
+        self._metrics.on_server_excluded(service, signal.value)
 
-    def leaving(self, instance: str, told_by: str) -> None:
+    def leaving(self, instance: str, source: str) -> None:
         """A server says that it leaves.
 
         Args:
@@ -57,9 +57,9 @@
             told_by: `answer` when it said so here, `peer` when another gateway told it, `entry`
                 when it stands in the discovery.
         """
-        self._log.emit("server-leaving", instance=instance, told_by=told_by)
+        self._log.emit("server-leaving", instance=instance, told_by=source)
 
-    def resting(self, instance: str, seconds: float) -> None:
+    def backing_off(self, instance: str, seconds: float) -> None:
         """A server that turned a request away wants nothing from here for so long."""
         self._log.emit("server-resting", instance=instance, rest=round(seconds, 3))
 
@@ -71,9 +71,9 @@
             field: What it speaks of: its limit, its leaving, its rest.
             shown: What it says.
         """
-        if self._unreadable.get((instance, field)) == shown:
+        if self._logged_unreadable.get((instance, field)) == shown:
             return
-        if len(self._unreadable) >= MAX_UNREADABLE_SIGNALS:
-            self._unreadable.clear()
-        self._unreadable[instance, field] = shown
+        if len(self._logged_unreadable) >= MAX_REMEMBERED_UNREADABLE_SIGNALS:
+            self._logged_unreadable.clear()
+        self._logged_unreadable[instance, field] = shown
         self._log.emit(f"server-{field}-unreadable", instance=instance, shown=shown)
--- a/src/milletcourse/gateway/telemetry/store_recorder.py
+++ b/src/milletcourse/gateway/telemetry/store_recorder.py
@@ -6,15 +6,15 @@
 
 from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.exchange.replication.confirmed_era import EraEvidence
-from milletcourse.gateway.telemetry.aborted_call import GivenUpCall
+from milletcourse.gateway.telemetry.aborted_call import AbortedCall
 from milletcourse.gateway.telemetry.event_log import EventLog
-from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 
 MAX_NAMES = 8
 """Of objects that differ after a return, its line names no more."""
 
 
-class StoreReturn(msgspec.Struct, frozen=True):
+class StoreRestore(msgspec.Struct, frozen=True):
     """The store has come back from an older copy, as seen in one kind of objects.
 
     Attributes:
@@ -35,11 +35,11 @@
 class StoreRecorder:
     """Writes a line when the store comes back from an older copy, and when histories differ."""
 
-    def __init__(self, log: EventLog, figures: Figures) -> None:
+    def __init__(self, log: EventLog, metrics: MetricsSink) -> None:
         self._log = log
-        self._figures = figures
-        self._told_unreadable = False
-        self._told_outdated: dict[str, int] = {}
+        self._metrics = metrics
+        self._has_logged_unreadable_era = False
+        self._logged_outdated_era: dict[str, int] = {}
         self._kinds_ahead: set[str] = set()
 
     def era(self, before: int | None, era: int) -> None:
@@ -60,24 +60,24 @@
         """
         self._log.emit("store-era-confirmed", era=era, evidence=evidence.value)
 
-    def returned(self, store_return: StoreReturn) -> None:
+    def store_restored(self, store_return: StoreRestore) -> None:
         """The store has come back from an older copy, as one kind of objects shows."""
-        self._figures.on_store_return()
+        self._metrics.on_store_restored()
         self._log.emit(
             "store-returned",
             kind=store_return.kind,
-            before=_told(store_return.before),
-            after=_told(store_return.after),
+            before=_position_fields(store_return.before),
+            after=_position_fields(store_return.after),
             missing=len(store_return.missing),
             changed=len(store_return.changed),
             names=[*store_return.missing, *store_return.changed][:MAX_NAMES],
         )
 
-    def entry_written_again(self, place: StorePosition) -> None:
+    def entry_rewritten(self, position: StorePosition) -> None:
         """This gateway's own entry, which the store had lost, is there again."""
-        self._log.emit("entry-written-again", place=_told(place))
+        self._log.emit("entry-written-again", place=_position_fields(position))
 
-    def call_given_up(self, call: GivenUpCall) -> None:
+    def call_aborted(self, call: AbortedCall) -> None:
         """The answer to a call began, and did not become whole."""
         self._log.emit(
             "call-given-up",
@@ -116,8 +116,8 @@
 
     def era_unreadable(self) -> None:
         """The era of an answer is missing, or can't be understood; told once."""
-        if not self._told_unreadable:
-            self._told_unreadable = True
+        if not self._has_logged_unreadable_era:
+            self._has_logged_unreadable_era = True
             self._log.emit("store-era-unreadable")
 
     def answer_outdated(self, kind: str, era: int, known: int) -> None:
@@ -128,8 +128,8 @@
             era: Era of the answer.
             known: The latest era.
         """
-        if self._told_outdated.get(kind) != known:
-            self._told_outdated[kind] = known
+        if self._logged_outdated_era.get(kind) != known:
+            self._logged_outdated_era[kind] = known
             self._log.emit("store-answer-outdated", kind=kind, era=era, known=known)
 
     def configuration_outdated(self, found: int, known: int) -> None:
@@ -149,7 +149,12 @@
             listed: State that the list shows.
             known: State up to which the kind is known.
         """
-        self._log.emit("store-list-outdated", kind=kind, listed=_told(listed), known=_told(known))
+        self._log.emit(
+            "store-list-outdated",
+            kind=kind,
+            listed=_position_fields(listed),
+            known=_position_fields(known),
+        )
 
     def follower_position(self, kind: str, asked: StorePosition, known: StorePosition) -> None:
         """A follower asks with the state that it knows; a line when it is later than ours.
@@ -163,8 +168,13 @@
             self._kinds_ahead.discard(kind)
         elif kind not in self._kinds_ahead:
             self._kinds_ahead.add(kind)
-            self._log.emit("follower-ahead", kind=kind, asked=_told(asked), known=_told(known))
+            self._log.emit(
+                "follower-ahead",
+                kind=kind,
+                asked=_position_fields(asked),
+                known=_position_fields(known),
+            )
 
 
-def _told(place: StorePosition) -> dict[str, int]:
-    return msgspec.structs.asdict(place)
+def _position_fields(position: StorePosition) -> dict[str, int]:
+    return msgspec.structs.asdict(position)
--- a/src/milletcourse/gateway/telemetry/unanswered.py
+++ b/src/milletcourse/gateway/telemetry/unanswered.py
@@ -26,11 +26,11 @@
 
     HANDLER_FAILED = "handler-failed"
     """A defect of the gateway."""
-    GRACE_OVER = "grace-over"
+    GRACE_EXPIRED = "grace-over"
     """The grace time of a planned stop was over."""
     CONNECTION_CLOSING = "connection-closing"
     """The answer before it had said that the connection closes."""
-    ANSWER_CUT = "answer-cut"
+    ANSWER_TRUNCATED = "answer-cut"
     """The answer before it broke off, and its connection with it."""
     SLOW_READER = "slow-reader"
     """Its client was too far behind in reading."""
--- a/src/milletcourse/reports/loss_report.py
+++ b/src/milletcourse/reports/loss_report.py
@@ -31,7 +31,7 @@
     "store-lost": ("kind",),
 }
 """Lines of decisions, and the fields by which they are counted."""
-MAX_SHOWN = 12
+MAX_SHOWN_DECISIONS = 12
 """Most frequent decisions of a kind that a report names."""
 
 
@@ -49,7 +49,7 @@
     sent_again: int = 0
 
 
-class Moment(msgspec.Struct):
+class IntervalLosses(msgspec.Struct):
     """One stretch of time over all gateways.
 
     Attributes:
@@ -65,7 +65,7 @@
     store_calls: int = 0
 
 
-class Decision(msgspec.Struct):
+class DecisionCount(msgspec.Struct):
     """Decisions of one kind about one thing.
 
     Attributes:
@@ -97,15 +97,15 @@
 
     gateways: list[str]
     routes: dict[str, RouteLosses]
-    moments: list[Moment]
-    decisions: list[Decision]
+    moments: list[IntervalLosses]
+    decisions: list[DecisionCount]
     connections: int
     store_calls: dict[str, int]
     store_failures: dict[str, int]
     skipped: SkippedLines
 
 
-class _Sums:
+class _Totals:
     """What is added up while lines are read."""
 
     def __init__(self) -> None:
@@ -120,9 +120,9 @@
         self.calls: Counter[str] = Counter()
         self.failures: Counter[str] = Counter()
 
-    def add_tally(self, tally: TallyReport, stretch: int) -> None:
+    def add_tally(self, tally: TallyReport, interval: int) -> None:
         """Add one gateway's sums of a stretch of time."""
-        ends, extras = self.moments.setdefault(stretch, (Counter(), Counter()))
+        ends, extras = self.moments.setdefault(interval, (Counter(), Counter()))
         for route, outcomes in tally.ends.items():
             self.ends.setdefault(route, Counter()).update(outcomes)
             ends.update(outcomes)
@@ -138,23 +138,25 @@
 def loss_report(lines: Iterable[str]) -> LossReport:
     """Add up the logs of any number of gateways, in any order."""
     skipped = SkippedLines()
-    sums = _Sums()
+    totals = _Totals()
     documents = list(read_documents(lines, skipped))
-    first = min((at for at in map(_time, documents) if at is not None), default=0.0)
+    first = min((at for at in map(_timestamp, documents) if at is not None), default=0.0)
     for document in documents:
         event = str(document["event"])
-        sums.gateways.add(str(document.get("node", "")))
-        sums.left_out[event] += _whole(document.get("left_out"))
+        totals.gateways.add(str(document.get("node", "")))
+        totals.left_out[event] += _int_or_zero(document.get("left_out"))
         if event == TALLY_EVENT:
-            _add_tally(sums, document, first, skipped)
+            _add_tally(totals, document, first, skipped)
         elif event in DECISION_FIELDS:
             about = (str(document.get(name, "")) for name in DECISION_FIELDS[event])
-            sums.decisions[(event, *about)] += 1
-    return _report(sums, skipped)
+            totals.decisions[(event, *about)] += 1
+    return _report(totals, skipped)
 
 
-def _add_tally(sums: _Sums, document: dict[str, Any], first: float, skipped: SkippedLines) -> None:
-    at = _time(document)
+def _add_tally(
+    totals: _Totals, document: dict[str, Any], first: float, skipped: SkippedLines
+) -> None:
+    at = _timestamp(document)
     try:
         tally = msgspec.convert(document, TallyReport)
     except msgspec.ValidationError:
@@ -163,37 +165,39 @@
         skipped.unknown += 1
         return
     # A tally tells of the time before it.
-    sums.add_tally(tally, max(int((at - first) / TALLY_INTERVAL_SECONDS) - 1, 0))
+    totals.add_tally(tally, max(int((at - first) / TALLY_INTERVAL_SECONDS) - 1, 0))
 
 
-def _report(sums: _Sums, skipped: SkippedLines) -> LossReport:
+def _report(totals: _Totals, skipped: SkippedLines) -> LossReport:
     routes = {
         name: RouteLosses(
-            dict(sums.ends.get(name, {})), sums.superseded[name], sums.sent_again[name]
+            dict(totals.ends.get(name, {})), totals.superseded[name], totals.sent_again[name]
         )
-        for name in sorted({*sums.ends, *sums.superseded})
+        for name in sorted({*totals.ends, *totals.superseded})
     }
     moments = [
-        Moment(stretch * TALLY_INTERVAL_SECONDS, dict(ends), extras["superseded"], extras["calls"])
-        for stretch, (ends, extras) in sorted(sums.moments.items())
+        IntervalLosses(
+            interval * TALLY_INTERVAL_SECONDS, dict(ends), extras["superseded"], extras["calls"]
+        )
+        for interval, (ends, extras) in sorted(totals.moments.items())
     ]
     decisions = [
-        Decision(event, about, count, sums.left_out[event])
-        for (event, *about), count in sums.decisions.most_common()
+        DecisionCount(event, about, count, totals.left_out[event])
+        for (event, *about), count in totals.decisions.most_common()
     ]
     return LossReport(
-        sorted(sums.gateways),
+        sorted(totals.gateways),
         routes,
         moments,
         decisions,
-        sums.connections,
-        dict(sums.calls),
-        dict(sums.failures),
+        totals.connections,
+        dict(totals.calls),
+        dict(totals.failures),
         skipped,
     )
 
 
-def _time(document: dict[str, Any]) -> float | None:
+def _timestamp(document: dict[str, Any]) -> float | None:
     """Seconds since the epoch at which a line was written, None when it isn't told."""
     try:
         return datetime.fromisoformat(str(document.get("timestamp"))).timestamp()
@@ -201,7 +205,7 @@
         return None
 
 
-def _whole(value: object) -> int:
+def _int_or_zero(value: object) -> int:
     return value if isinstance(value, int) else 0
 
 
@@ -217,7 +221,7 @@
     shown: Counter[str] = Counter()
     for decision in report.decisions:
         shown[decision.event] += 1
-        if shown[decision.event] <= MAX_SHOWN:
+        if shown[decision.event] <= MAX_SHOWN_DECISIONS:
             about = " ".join(decision.about)
             lines.append(f"{decision.count:6} {decision.event} {about} ({decision.left_out})")
     calls = sum(report.store_calls.values())
--- a/src/milletcourse/runtime/acceptor.py
+++ b/src/milletcourse/runtime/acceptor.py
@@ -6,9 +6,9 @@
 import socket
 from collections.abc import Callable
 
-ACCEPTED_TOGETHER = 16
+MAX_ACCEPTS_PER_ITERATION = 16
 """Connections accepted in one turn of the event loop, so that others get their turns."""
-RETRY_SECONDS = 0.02
+RETRY_INTERVAL_SECONDS = 0.02
 """Without room, it is looked for again after this time."""
 
 
@@ -23,7 +23,7 @@
         self,
         listening: socket.socket,
         factory: Callable[[], asyncio.Protocol],
-        room: Callable[[], int],
+        capacity: Callable[[], int],
     ) -> None:
         """Accept from now on.
 
@@ -35,9 +35,9 @@
         """
         self._listening = listening
         self._factory = factory
-        self._room = room
+        self._capacity = capacity
         self._loop = asyncio.get_running_loop()
-        self._coming_up: set[asyncio.Task[None]] = set()
+        self._pending: set[asyncio.Task[None]] = set()
         self._retry: asyncio.TimerHandle | None = None
         self._is_closed = False
         listening.setblocking(False)
@@ -59,8 +59,8 @@
         self._listening.close()
 
     def _on_ready(self) -> None:
-        room = min(self._room() - len(self._coming_up), ACCEPTED_TOGETHER)
-        for _ in range(room):
+        capacity = min(self._capacity() - len(self._pending), MAX_ACCEPTS_PER_ITERATION)
+        for _ in range(capacity):
             try:
                 accepted, _ = self._listening.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
@@ -69,17 +69,17 @@
                 # No descriptor or no memory: what waits goes on waiting.
                 self._pause()
                 return
-            self._take(accepted)
-        if room <= 0:
+            self._start_connection(accepted)
+        if capacity <= 0:
             self._pause()
 
-    def _take(self, accepted: socket.socket) -> None:
+    def _start_connection(self, accepted: socket.socket) -> None:
         accepted.setblocking(False)
-        task = self._loop.create_task(self._come_up(accepted))
-        self._coming_up.add(task)
-        task.add_done_callback(self._coming_up.discard)
+        task = self._loop.create_task(self._connect(accepted))
+        self._pending.add(task)
+        task.add_done_callback(self._pending.discard)
 
-    async def _come_up(self, accepted: socket.socket) -> None:
+    async def _connect(self, accepted: socket.socket) -> None:
         try:
             await self._loop.connect_accepted_socket(self._factory, accepted)
         except OSError:
@@ -89,7 +89,7 @@
     def _pause(self) -> None:
         """Look again a little later: a readable socket would call at once."""
         self._loop.remove_reader(self._listening)
-        self._retry = self._loop.call_later(RETRY_SECONDS, self._resume)
+        self._retry = self._loop.call_later(RETRY_INTERVAL_SECONDS, self._resume)
 
     def _resume(self) -> None:
         self._retry = None
--- a/src/milletcourse/runtime/clock.py
+++ b/src/milletcourse/runtime/clock.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 _COUNTS_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-MIN_SLEEP_SECONDS = 0.1
+MIN_SUSPENSION_SECONDS = 0.1
 """Clocks that drift apart by less haven't slept; no bound is as short."""
 
 
@@ -26,17 +26,17 @@
     return time.time()
 
 
-class SleepDetector:
+class SuspensionDetector:
     """Notices that the machine was suspended, by the steady clock beside the one that counts it."""
 
     def __init__(self) -> None:
         self._ahead = self._seconds_ahead()
 
-    def take_sleep(self) -> float:
+    def take_suspension_seconds(self) -> float:
         """Seconds that the machine slept since the last call; 0 when it didn't."""
         ahead = self._seconds_ahead()
         slept = ahead - self._ahead
-        if slept < MIN_SLEEP_SECONDS:
+        if slept < MIN_SUSPENSION_SECONDS:
             return 0.0
         self._ahead = ahead
         return slept
--- a/src/milletcourse/runtime/memory_http.py
+++ b/src/milletcourse/runtime/memory_http.py
@@ -37,8 +37,10 @@
             if message is None:
                 self._complete = True
                 raise FailureError(BackendLost("connection reset"))
-            await connection.server.network.travel(connection.server, connection.client)
-            await connection.client.gate()
+            await connection.server.network.wait_for_transmission(
+                connection.server, connection.client
+            )
+            await connection.client.wait_while_frozen()
             self._complete = not message.get("more_body", False)
             body = message.get("body", b"")
             if body:
@@ -63,7 +65,7 @@
 
     async def send(self, request: HttpRequest, timeout_seconds: float) -> HttpResponse:
         """See `HttpClient.send`."""
-        await self._host.gate()
+        await self._host.wait_while_frozen()
         server = await self._connect(request)
         connection = MemoryConnection(self._host, server)
         loop = asyncio.get_running_loop()
@@ -72,14 +74,14 @@
             async with asyncio.timeout(timeout_seconds):
                 message = await connection.messages.get()
                 if message is not None:
-                    await server.network.travel(server, self._host)
+                    await server.network.wait_for_transmission(server, self._host)
         except TimeoutError:
             connection.client_closed.set()
             raise FailureError(BackendLost(f"{request.address}: no answer in time")) from None
         except asyncio.CancelledError:
             connection.client_closed.set()
             raise
-        await self._host.gate()
+        await self._host.wait_while_frozen()
         if message is None:
             raise FailureError(BackendLost(f"{request.address}: connection reset"))
         headers = {
@@ -96,8 +98,8 @@
             raise FailureError(BackendUnreachable(f"{request.address}: no such host"))
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
-                await network.travel(self._host, server)
-                await network.travel(server, self._host)
+                await network.wait_for_transmission(self._host, server)
+                await network.wait_for_transmission(server, self._host)
         except TimeoutError:
             raise FailureError(BackendUnreachable(f"{request.address}: no route")) from None
         server = network.host_at(request.address)
@@ -107,20 +109,20 @@
 
     async def _serve(self, connection: MemoryConnection, request: HttpRequest) -> None:
         server = connection.server
-        if not await server.network.deliver_request(connection):
-            connection.forget()
+        if not await server.network.wait_for_request_delivery(connection):
+            connection.detach()
             return
-        await server.gate()
+        await server.wait_while_frozen()
         application = server.application
         if application is None:
             connection.messages.put_nowait(None)
-            connection.forget()
+            connection.detach()
             return
         delivered = False
 
         async def receive() -> dict[str, Any]:
             nonlocal delivered
-            await server.gate()
+            await server.wait_while_frozen()
             if not delivered:
                 delivered = True
                 return {"type": "http.request", "body": request.body, "more_body": False}
@@ -128,7 +130,7 @@
             return {"type": "http.disconnect"}
 
         async def send(message: Mapping[str, Any]) -> None:
-            await server.gate()
+            await server.wait_while_frozen()
             connection.messages.put_nowait(dict(message))
 
         try:
@@ -136,7 +138,7 @@
         except Exception:  # the server drops the connection whatever the application raised
             connection.messages.put_nowait(None)
         finally:
-            connection.forget()
+            connection.detach()
 
 
 def _header_name(raw: bytes) -> str:
--- a/src/milletcourse/runtime/memory_network.py
+++ b/src/milletcourse/runtime/memory_network.py
@@ -17,7 +17,7 @@
 
 FROZEN_DATAGRAM_BUFFER = 64
 """Datagrams that a frozen host's socket keeps."""
-CUT_POLL_SECONDS = 0.05
+PARTITION_POLL_SECONDS = 0.05
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
     _frozen: bool = False
     _buffered: list[tuple[bytes, str]] = field(default_factory=list)
 
-    async def gate(self) -> None:
+    async def wait_while_frozen(self) -> None:
         """Wait while the host is frozen."""
         while self._frozen:
             await self._thawed.wait()
@@ -93,7 +93,7 @@
         self._frozen = False
         self._thawed.set()
         for connection in list(self.connections):
-            connection.break_from(self)
+            connection.on_host_killed(self)
 
     async def finish_requests(self) -> None:
         """Planned stop, as `HttpServer.stop` does it."""
@@ -120,7 +120,7 @@
         self._near_seconds = near_seconds
         self._far_seconds = far_seconds
         self._hosts: dict[str, MemoryHost] = {}
-        self._cuts: dict[tuple[str, str], None] = {}
+        self._partitioned_links: dict[tuple[str, str], None] = {}
 
     def add_host(self, name: str, place: str) -> MemoryHost:
         """A new machine with an address of its own."""
@@ -140,19 +140,19 @@
         """The host of an address."""
         return self._hosts.get(address)
 
-    def cut(self, sources: list[MemoryHost], destinations: list[MemoryHost]) -> None:
+    def partition(self, sources: list[MemoryHost], destinations: list[MemoryHost]) -> None:
         """Nothing passes from sources to destinations."""
         for source in sources:
             for destination in destinations:
-                self._cuts[source.address, destination.address] = None
+                self._partitioned_links[source.address, destination.address] = None
 
     def heal(self) -> None:
         """All links work again."""
-        self._cuts.clear()
+        self._partitioned_links.clear()
 
-    def is_cut(self, source: MemoryHost, destination: MemoryHost) -> bool:
+    def is_partitioned(self, source: MemoryHost, destination: MemoryHost) -> bool:
         """Whether messages from source to destination are held up."""
-        return (source.address, destination.address) in self._cuts
+        return (source.address, destination.address) in self._partitioned_links
 
     def latency(self, source: MemoryHost, destination: MemoryHost) -> float:
         """One-way delay in seconds, with a little jitter."""
@@ -160,13 +160,13 @@
         base = self._near_seconds if near else self._far_seconds
         return base * (1.0 + 0.2 * self._random.random())
 
-    async def travel(self, source: MemoryHost, destination: MemoryHost) -> None:
+    async def wait_for_transmission(self, source: MemoryHost, destination: MemoryHost) -> None:
         """Time until a byte on a connection has arrived; a cut holds it up."""
         await asyncio.sleep(self.latency(source, destination))
-        while self.is_cut(source, destination):
-            await asyncio.sleep(CUT_POLL_SECONDS)
+        while self.is_partitioned(source, destination):
+            await asyncio.sleep(PARTITION_POLL_SECONDS)
 
-    async def deliver_request(self, connection: MemoryConnection) -> bool:
+    async def wait_for_request_delivery(self, connection: MemoryConnection) -> bool:
         """Time until a request has arrived; False when its sender reset it before.
 
         Clients reset what they give up (`reset_on_close`), so that bytes which a cut holds up are
@@ -174,10 +174,10 @@
         """
         source, destination = connection.client, connection.server
         await asyncio.sleep(self.latency(source, destination))
-        while self.is_cut(source, destination):
+        while self.is_partitioned(source, destination):
             if connection.client_closed.is_set():
                 return False
-            await asyncio.sleep(CUT_POLL_SECONDS)
+            await asyncio.sleep(PARTITION_POLL_SECONDS)
         return True
 
     def send_datagram(self, source: MemoryHost, payload: bytes, address: str) -> None:
@@ -185,7 +185,7 @@
         self.datagrams_sent += 1
         self.datagram_bytes += len(payload)
         destination = self._hosts.get(address)
-        if destination is None or not source.alive or self.is_cut(source, destination):
+        if destination is None or not source.alive or self.is_partitioned(source, destination):
             return
         if self._random.random() < self.faults.datagram_loss:
             return
@@ -215,7 +215,7 @@
         client.connections[self] = None
         server.connections[self] = None
 
-    def break_from(self, dead: MemoryHost) -> None:
+    def on_host_killed(self, dead: MemoryHost) -> None:
         """One end died."""
         if dead is self.server:
             if self.task is not None:
@@ -223,9 +223,9 @@
             self.messages.put_nowait(None)
         else:
             self.client_closed.set()
-        self.forget()
+        self.detach()
 
-    def forget(self) -> None:
+    def detach(self) -> None:
         """The connection is closed."""
         self.client.connections.pop(self, None)
         self.server.connections.pop(self, None)
@@ -271,4 +271,4 @@
     async def sleep(self, seconds: float) -> None:
         """See `Clock.sleep`."""
         await asyncio.sleep(seconds)
-        await self._host.gate()
+        await self._host.wait_while_frozen()
--- a/src/milletcourse/runtime/responsive_clock.py
+++ b/src/milletcourse/runtime/responsive_clock.py
@@ -11,39 +11,39 @@
 
 from milletcourse.runtime.clock import elapsed_seconds
 
-ABSENCE_SECONDS = 0.05
+STALL_THRESHOLD_SECONDS = 0.05
 """A loop that is late by less is busy, and reads on in time."""
 
 
-class AttendedClock:
+class ResponsiveClock:
     """Monotonic seconds, less those in which the event loop did not run."""
 
     def __init__(self, now: Callable[[], float] = elapsed_seconds) -> None:
         self._now = now
-        self._absent_seconds = 0.0
-        self._due_at = float("inf")
-        self._looked_at = float("-inf")
+        self._stalled_seconds = 0.0
+        self._next_tick_by = float("inf")
+        self._last_read_at = float("-inf")
 
     def seconds(self) -> float:
         """Seconds attended; comparable within one process only."""
         now = self._now()
-        self._note_absence(now)
-        return now - self._absent_seconds
+        self._record_stall(now)
+        return now - self._stalled_seconds
 
     @property
-    def absent_seconds(self) -> float:
+    def stalled_seconds(self) -> float:
         """Seconds in which the loop did not run, as of the latest look at the clock."""
-        return self._absent_seconds
+        return self._stalled_seconds
 
-    def expect_turn(self, seconds: float) -> None:
+    def on_loop_tick(self, seconds: float) -> None:
         """The loop shows that it runs, and will show it again within this time."""
         now = self._now()
-        self._note_absence(now)
-        self._due_at = now + seconds
+        self._record_stall(now)
+        self._next_tick_by = now + seconds
 
-    def _note_absence(self, now: float) -> None:
-        if now - self._due_at > ABSENCE_SECONDS:
+    def _record_stall(self, now: float) -> None:
+        if now - self._next_tick_by > STALL_THRESHOLD_SECONDS:
             # What was told as attended already stays so: the clock never runs backwards.
-            self._absent_seconds += now - max(self._due_at, self._looked_at)
-            self._due_at = now
-        self._looked_at = now
+            self._stalled_seconds += now - max(self._next_tick_by, self._last_read_at)
+            self._next_tick_by = now
+        self._last_read_at = now
--- a/src/milletcourse/runtime/server.py
+++ b/src/milletcourse/runtime/server.py
@@ -10,7 +10,7 @@
 
 import uvicorn
 
-from milletcourse.runtime.listeners import close_when_empty
+from milletcourse.runtime.listeners import drain_and_close
 
 Scope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
@@ -68,7 +68,7 @@
         closes idle connections when it exits, so there is a pause in between.
         """
         for server in self._server.servers:
-            await close_when_empty(server)
+            await drain_and_close(server)
         await asyncio.sleep(ACCEPTED_GRACE_SECONDS)
         self._server.should_exit = True
         if self._task is not None:
--- a/src/milletcourse/simulation/checks.py
+++ b/src/milletcourse/simulation/checks.py
@@ -96,7 +96,8 @@
         if now - world.platform_disturbed_at < FAULT_MEMORY_SECONDS:
             return True
         return any(
-            world.network.is_cut(router.host, other) or world.network.is_cut(other, router.host)
+            world.network.is_partitioned(router.host, other)
+            or world.network.is_partitioned(other, router.host)
             for other in world.all_hosts()
         )
 
--- a/src/milletcourse/simulation/scenarios/partitions.py
+++ b/src/milletcourse/simulation/scenarios/partitions.py
@@ -75,8 +75,8 @@
         peers = [item.host for item in world.routers if item is not router]
         control = [world.platform_host, *peers]
         world.note(f"cut {router.name} from control")
-        world.network.cut(control, [router.host])
-        world.network.cut([router.host], control)
+        world.network.partition(control, [router.host])
+        world.network.partition([router.host], control)
 
     await _narrow_behind_cuts(world, cut)
 
--- a/src/milletcourse/simulation/world.py
+++ b/src/milletcourse/simulation/world.py
@@ -309,9 +309,9 @@
         self.note(f"cut {router.name} in={inbound} out={outbound}")
         others = [item for item in self.all_hosts() if item not in (router.host, self.client_host)]
         if inbound:
-            self.network.cut(others, [router.host])
+            self.network.partition(others, [router.host])
         if outbound:
-            self.network.cut([router.host], others)
+            self.network.partition([router.host], others)
 
     def heal(self) -> None:
         """All links work again."""
--- a/tests/gateway/servers/test_signal_machine.py
+++ b/tests/gateway/servers/test_signal_machine.py
@@ -39,9 +39,9 @@
 from milletcourse.gateway.servers.server_permits import ServerPermits
 from milletcourse.gateway.servers.signal_monitor import SignalMonitor
 from milletcourse.gateway.telemetry.event_log import EventLog
-from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 from milletcourse.gateway.telemetry.recorder import Recorder
-from milletcourse.runtime.responsive_clock import AttendedClock
+from milletcourse.runtime.responsive_clock import ResponsiveClock
 
 SERVICE = ServiceRecord("app")
 NAMES = ("s-1", "s-2")
@@ -82,7 +82,7 @@
         self.table = InstanceTable()
         self.signals = ServerSignals()
         pauses = PermitRetryDelays()
-        record = Recorder(EventLog(name, None), Figures(), dict, self.now)
+        record = Recorder(EventLog(name, None), MetricsSink(), dict, self.now)
         self.monitor = SignalMonitor(
             self.signals, pauses, self.table, record, lambda: None, lambda _: None
         )
@@ -95,10 +95,10 @@
             pauses,
             self.monitor.on_reports,
             random.Random(1),
-            AttendedClock(),
+            ResponsiveClock(),
             self.now,
             lambda: len(GATEWAYS),
-            Figures(),
+            MetricsSink(),
         )
 
     def now(self) -> float:
--- a/tests/gateway/store/test_store_eras.py
+++ b/tests/gateway/store/test_store_eras.py
@@ -25,7 +25,7 @@
     StoreProblem,
 )
 from milletcourse.gateway.telemetry.event_log import EventLog
-from milletcourse.gateway.telemetry.metrics_sink import Figures
+from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 from milletcourse.gateway.telemetry.store_recorder import StoreRecorder
 from milletcourse.platform.object_store import PlatformStoreDialect
 
@@ -203,7 +203,7 @@
         self.lines: list[str] = []
         log = EventLog("node", None)
         log.emit = lambda event, **fields: self.lines.append(event)  # type: ignore[assignment,misc]
-        super().__init__(log, Figures())
+        super().__init__(log, MetricsSink())
 
 
 def _client(*replies: tuple[int, bytes, bytes | None]) -> tuple[ObjectStoreClient, _Calls, _Lines]:
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -290,7 +290,7 @@
         await harness.until(lambda: bool(harness.servers["app-1"].received))
         await harness.node.stop()
         assert [(item.phase, item.cause) for item in told] == [
-            (RequestPhase.AT_SERVER, UnansweredCause.GRACE_OVER)
+            (RequestPhase.AT_SERVER, UnansweredCause.GRACE_EXPIRED)
         ]
 
     run_with_gateway(scenario)
@@ -312,7 +312,7 @@
         got = await client.read_answer()
         assert got is not None and not got.whole
         assert [(item.phase, item.cause) for item in told] == [
-            (RequestPhase.QUEUED, UnansweredCause.ANSWER_CUT)
+            (RequestPhase.QUEUED, UnansweredCause.ANSWER_TRUNCATED)
         ]
 
     run_with_gateway(scenario)
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -35,7 +35,7 @@
 from milletcourse.platform.documents import ConfigurationDecoder
 from milletcourse.platform.start import start
 from milletcourse.runtime import responsive_timer
-from milletcourse.runtime.responsive_clock import AttendedClock
+from milletcourse.runtime.responsive_clock import ResponsiveClock
 
 LOSES_EVERY = 50
 LATE_CONTENT_SECONDS = 3.0
@@ -99,8 +99,8 @@
 
 def take_a_pause_for_silence() -> None:
     """Time in which the process stood still counts, and nothing is read before the judgement."""
-    AttendedClock.seconds = lambda clock: clock._now()  # type: ignore[method-assign]
-    responsive_timer.SECOND_LOOK_SECONDS = 0.0
+    ResponsiveClock.seconds = lambda clock: clock._now()  # type: ignore[method-assign]
+    responsive_timer.RECHECK_DELAY_SECONDS = 0.0
 
 
 def read_no_limit() -> None:
--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -273,7 +273,7 @@
 
 def report_of(seed: int, world: SoakWorld, servers_are_silent: bool) -> Report:
     """Counts by verdict, and each lost request."""
-    may_blame = servers_are_silent or world.clock.absent_seconds > MAX_OWN_ABSENCE_SECONDS
+    may_blame = servers_are_silent or world.clock.stalled_seconds > MAX_OWN_ABSENCE_SECONDS
     verdicts = world.verdicts()
     lost = [item for item in world.asked if verdicts[item.request_id] in LOST]
     events: Counter[str] = Counter()
@@ -292,7 +292,7 @@
         "requests": len(world.asked),
         "pauses": world.ledger.pauses,
         "holds": world.holds,
-        "own_absence": round(world.clock.absent_seconds, 2),
+        "own_absence": round(world.clock.stalled_seconds, 2),
         "judged": {name: events[name] for name in JUDGEMENTS if events[name]},
         "limits": world.ledger.limits.figures(time.monotonic()),
         "resets": sum(server.resets for server in world.servers.values()),
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -22,7 +22,7 @@
 
 from child_processes import start_child
 from gateway_standin import StandinStore, configuration
-from milletcourse.runtime.responsive_clock import AttendedClock
+from milletcourse.runtime.responsive_clock import ResponsiveClock
 from soak.answers import Asked, Circumstances, Verdict, judge
 from soak.entry_ledger import EntryLedger
 from soak.ledger import Ledger, name_of
@@ -343,7 +343,7 @@
         """Gateways that knew what the store held, when they were asked after a return."""
         self.stops = 0
         self.holds = 0
-        self.clock = AttendedClock()
+        self.clock = ResponsiveClock()
         # A close that waits in this process, which carries it, is not the gateway's delay.
         self.ledger.now = self.clock.seconds
         self.asked: list[Asked] = []
@@ -537,7 +537,7 @@
     async def watch_own_pauses(self) -> None:
         """Servers and clients live in this process: while it stands still, they are silent."""
         while True:
-            self.clock.expect_turn(TURN_SECONDS)
+            self.clock.on_loop_tick(TURN_SECONDS)
             await asyncio.sleep(TURN_SECONDS)
 
     async def beat(self) -> None:
--- a/tests/test_responsive_clock.py
+++ b/tests/test_responsive_clock.py
@@ -10,8 +10,8 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from milletcourse.runtime.responsive_clock import ABSENCE_SECONDS, AttendedClock
-from milletcourse.runtime.responsive_timer import AttendedTimer, attended_timeout
+from milletcourse.runtime.responsive_clock import STALL_THRESHOLD_SECONDS, ResponsiveClock
+from milletcourse.runtime.responsive_timer import ResponsiveTimer, responsive_timeout
 
 TURN_SECONDS = 0.25
 steps = st.lists(st.tuples(st.floats(0.0, 5.0), st.booleans()), max_size=30)
@@ -24,15 +24,15 @@
 ) -> None:
     """It never runs backwards, never faster than time, and leaves out just the lateness."""
     now = 100.0
-    clock = AttendedClock(lambda: now)
-    clock.expect_turn(TURN_SECONDS)
+    clock = ResponsiveClock(lambda: now)
+    clock.on_loop_tick(TURN_SECONDS)
     due_at = now + TURN_SECONDS
     absent = 0.0
     before = clock.seconds()
     looked_at = now
     for seconds, is_turn in passing:
         now += seconds
-        if now - due_at > ABSENCE_SECONDS:
+        if now - due_at > STALL_THRESHOLD_SECONDS:
             absent += now - max(due_at, looked_at)
             due_at = now
         looked_at = now
@@ -41,15 +41,15 @@
         assert before <= attended <= before + seconds + 1e-6
         before = attended
         if is_turn:
-            clock.expect_turn(TURN_SECONDS)
+            clock.on_loop_tick(TURN_SECONDS)
             due_at = now + TURN_SECONDS
-    assert clock.absent_seconds == pytest.approx(absent)
+    assert clock.stalled_seconds == pytest.approx(absent)
 
 
 def test_without_turns_it_is_elapsed_time() -> None:
     """A process that doesn't show its turns isn't taken for absent."""
     now = 5.0
-    clock = AttendedClock(lambda: now)
+    clock = ResponsiveClock(lambda: now)
     now = 500.0
     assert clock.seconds() == 500.0
 
@@ -58,13 +58,13 @@
     """And rings when the rest of its time has been attended."""
 
     async def body() -> None:
-        clock = AttendedClock()
+        clock = ResponsiveClock()
         rung = asyncio.Event()
-        clock.expect_turn(0.01)
-        timer = AttendedTimer(clock, rung.set)
+        clock.on_loop_tick(0.01)
+        timer = ResponsiveTimer(clock, rung.set)
         timer.expect_within(0.3)
         time.sleep(0.5)
-        clock.expect_turn(10.0)
+        clock.on_loop_tick(10.0)
         await asyncio.sleep(0.15)
         assert not rung.is_set()
         await asyncio.wait_for(rung.wait(), 5.0)
@@ -76,11 +76,11 @@
     """As `asyncio.timeout` does."""
 
     async def body() -> None:
-        clock = AttendedClock()
+        clock = ResponsiveClock()
         with pytest.raises(TimeoutError):
-            async with attended_timeout(clock, 0.02):
+            async with responsive_timeout(clock, 0.02):
                 await asyncio.Event().wait()
-        async with attended_timeout(clock, 5.0):
+        async with responsive_timeout(clock, 5.0):
             await asyncio.sleep(0.0)
 
     uvloop.run(body())
