--- a/src/milletcourse/gateway/telemetry/__init__.py
+++ b/src/milletcourse/gateway/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""What a gateway says of itself: log lines, figures, and how each request ended.
+"""Telemetry of a gateway: structured log lines, metrics and the outcome of each request.
 
-Decisions come in from all other rooms; lines and figures go out. It imports none of them.
+All other packages of the gateway report their decisions here; this package imports none of them.
 """
--- a/src/milletcourse/gateway/telemetry/aborted_call.py
+++ b/src/milletcourse/gateway/telemetry/aborted_call.py
@@ -1,4 +1,4 @@
-"""A call to another machine whose answer began, and did not become whole."""
+"""Record of a call to another machine that was aborted after its answer had started."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class AbortedCall(msgspec.Struct, frozen=True):
-    """What is told of it.
+    """A call whose answer started and was not completed.
 
     Attributes:
         address: `host:port` of the callee.
         target: Path and query.
-        received_bytes: What had come of the answer's body.
-        seconds: How long the call had been under way.
+        received_bytes: Bytes of the answer's body received until then.
+        seconds: Time from the start of the call until it was aborted.
     """
 
     address: str
--- a/src/milletcourse/gateway/telemetry/event_log.py
+++ b/src/milletcourse/gateway/telemetry/event_log.py
@@ -1,7 +1,7 @@
-"""One JSON line for each decision, with a bounded rate by kind; never blocks.
+"""Writes one JSON line per decision, rate-limited per event name; never blocks.
 
-A full pipe drops lines and counts them; so does a kind that comes too often. What was left out of a
-kind is said in its next line.
+Lines are dropped and counted when the pipe is full or when an event exceeds its rate. The next line
+of a rate-limited event carries the number of its dropped lines in the field `left_out`.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from milletcourse.runtime.clock import elapsed_seconds
 
 LINES_PER_SECOND = 10.0
-"""Of each kind."""
+"""Sustained rate of each event name, except `SERVED_EVENT`."""
 BURST_LINES = 40.0
 SERVED_EVENT = "request-served"
 SERVED_LINES_PER_SECOND = 2.0
-"""Successes are kept after failures."""
+"""Lower than for other events, so that failures have priority over successes."""
 
 
 class NonBlockingWriter:
-    """Writes whole lines to a descriptor, or drops them."""
+    """Writes whole lines to a file descriptor without blocking; drops lines that do not fit."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -32,7 +32,7 @@
         os.set_blocking(descriptor, False)
 
     def msg(self, line: str) -> None:
-        """Write one line; the method that structlog calls."""
+        """Write one line; structlog calls this method."""
         try:
             os.write(self._descriptor, line.encode() + b"\n")
         except OSError:
@@ -40,7 +40,7 @@
 
 
 class EventLog:
-    """Emits events of a gateway."""
+    """Writes the events of a gateway with a rate limit per event name."""
 
     def __init__(
         self,
@@ -67,12 +67,12 @@
 
     @property
     def left_out(self) -> int:
-        """Lines that were left out or dropped since the start."""
+        """Lines suppressed by the rate limit or dropped by the writer since the start."""
         dropped = self._writer.dropped if self._writer is not None else 0
         return self._suppressed_total + dropped
 
     def emit(self, event: str, **fields: Any) -> None:
-        """Write an event, or count it as left out when its kind comes too often."""
+        """Write an event, or count it as suppressed when it exceeds its rate limit."""
         if self._logger is None:
             return
         now = self._clock()
--- a/src/milletcourse/gateway/telemetry/metrics.py
+++ b/src/milletcourse/gateway/telemetry/metrics.py
@@ -1,7 +1,7 @@
-"""Figures of a gateway for Prometheus.
+"""Prometheus metrics of a gateway.
 
-They are counted in plain numbers. The library that writes them out takes as long to import as all
-else that a gateway needs, so it is imported when they are first asked for, not at the start.
+Counters are kept as plain numbers. Importing the Prometheus client library takes as long as
+importing everything else that a gateway needs, so it is imported at the first scrape, not at start.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class GaugeValue:
-    """A figure that is set when the figures are asked for."""
+    """A gauge whose value is updated before each scrape."""
 
     def __init__(self, name: str, description: str) -> None:
         self.name = name
@@ -31,12 +31,12 @@
         self.value = 0.0
 
     def set(self, value: float) -> None:
-        """The figure as it is now."""
+        """Set the current value."""
         self.value = float(value)
 
 
 class GatewayMetrics(MetricsSink):
-    """Figures of one gateway; labels are bounded by types."""
+    """Metrics of one gateway; enums and configured names bound the label values."""
 
     def __init__(self) -> None:
         self._requests: Counter[str] = Counter()
@@ -56,23 +56,31 @@
         self._answer_seconds = 0.0
         self.configuration = GaugeValue("configuration_version", "Version in force")
         self.configuration_behind = GaugeValue(
-            "configuration_behind", "1 while a newer version is known, and on its way here"
+            "configuration_behind", "1 while a newer version is known and not in force here yet"
         )
         self.proof_age = GaugeValue(
-            "proof_age_seconds", "Age of the latest proof that the configuration is in force"
+            "proof_age_seconds", "Age of the latest proof that the configuration is current"
         )
         self.ready = GaugeValue("ready", "1 when ready")
         self.instances = GaugeValue("instances", "Known servers")
-        self.holds_lease = GaugeValue("holds_lease", "1 for the roll-out's holder")
+        self.holds_lease = GaugeValue(
+            "holds_lease", "1 on the gateway that holds the rollout lease"
+        )
         self.reads_store = GaugeValue(
             "reads_store",
             "1 when it reads the object store itself, 0 when it follows another gateway",
         )
         self.clients = GaugeValue("client_connections", "Open connections")
-        self.contained = GaugeValue("contained_requests", "Requests that aren't sent to servers")
-        self.limited_servers = GaugeValue("limited_servers", "Servers that name a limit")
-        self.signalling_servers = GaugeValue("signalling_servers", "Servers that leave or rest")
-        self.log_lines_left_out = GaugeValue("log_lines_left_out", "Since the start")
+        self.contained = GaugeValue(
+            "contained_requests", "Requests that are not sent to servers, since they crash them"
+        )
+        self.limited_servers = GaugeValue("limited_servers", "Servers that report a request limit")
+        self.signalling_servers = GaugeValue(
+            "signalling_servers", "Servers that are shutting down or backing off"
+        )
+        self.log_lines_left_out = GaugeValue(
+            "log_lines_left_out", "Log lines suppressed or dropped since the start"
+        )
 
     # -- counting -------------------------------------------------------------------------------
 
@@ -133,10 +141,10 @@
         """See `MetricsSink`."""
         self._store_restores += 1
 
-    # -- telling --------------------------------------------------------------------------------
+    # -- exposition -----------------------------------------------------------------------------
 
     def render(self) -> bytes:
-        """The exposition text."""
+        """The metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
@@ -144,7 +152,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Metric]:
-        """All figures as the library's families; the method that a registry calls."""
+        """All metrics as metric families; the registry calls this method."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -160,15 +168,15 @@
             ),
             (
                 "unanswered",
-                "Requests that were read and ended without a whole answer, by cause",
+                "Requests that were read and ended without a complete answer, by cause",
                 "cause",
                 self._unanswered,
             ),
-            ("attempts", "Attempts at servers by result", "result", self._attempts),
-            ("weight_orders", "Weight orders by the server's reply", "reply", self._orders),
+            ("attempts", "Attempts at servers, by result", "result", self._attempts),
+            ("weight_orders", "Weight orders, by the server's reply", "reply", self._orders),
             (
                 "limit_units",
-                "Sends to servers that limit their requests, by whether they were let through",
+                "Permit requests for servers with a request limit, by granted or denied",
                 "reply",
                 self._permit_requests,
             ),
@@ -179,7 +187,7 @@
             yield family
         exclusions = CounterMetricFamily(
             f"{PREFIX}kept_away",
-            "Requests that were kept from a server that leaves or rests",
+            "Requests for which a server was excluded, since it is shutting down or backing off",
             labels=["service", "signal"],
         )
         for labels, count in self._exclusions.items():
@@ -190,32 +198,32 @@
         )
         yield CounterMetricFamily(
             f"{PREFIX}peer_messages_refused",
-            "Datagrams that could not be understood, or held absurd figures",
+            "Datagrams rejected as malformed or with implausible values",
             self._peer_messages_refused,
         )
         yield CounterMetricFamily(
             f"{PREFIX}containments",
-            "Requests that aren't sent any more since servers ended under them",
+            "Requests that are no longer sent, since servers crashed while they served them",
             self._containments,
         )
         yield CounterMetricFamily(
             f"{PREFIX}limit_lenders_silent",
-            "Asks for a unit of a server's limit that the lending gateway didn't reply to",
+            "Permit requests that the gateway that owns the server's quota did not reply to",
             self._quota_owner_timeouts,
         )
         yield CounterMetricFamily(
             f"{PREFIX}descriptors_exhausted",
-            "Connections to servers that couldn't be opened for lack of a descriptor",
+            "Connections to servers that could not be opened for lack of a file descriptor",
             self._descriptors_exhausted,
         )
         yield CounterMetricFamily(
             f"{PREFIX}store_failures",
-            "Calls to the object store that gave nothing",
+            "Failed calls to the object store",
             self._store_failures,
         )
         yield CounterMetricFamily(
             f"{PREFIX}store_returns",
-            "Times that the object store came back from an older copy, by each kind that showed it",
+            "Restores of the object store from an older snapshot, per kind that showed them",
             self._store_restores,
         )
         yield HistogramMetricFamily(
@@ -243,7 +251,7 @@
         )
 
     def _cumulative_buckets(self) -> list[tuple[str, float]]:
-        """Upper bounds with the answers that took no longer."""
+        """Upper bounds of the buckets with the number of answers up to each bound."""
         bounds = [*(str(bound) for bound in ANSWER_BUCKETS_SECONDS), "+Inf"]
         total = 0
         buckets = []
--- a/src/milletcourse/gateway/telemetry/metrics_sink.py
+++ b/src/milletcourse/gateway/telemetry/metrics_sink.py
@@ -1,4 +1,7 @@
-"""What a gateway counts; without a metrics port nothing is kept, and less is imported."""
+"""Receives the metrics events of a gateway.
+
+Without a metrics port the no-op sink is used, and the metrics module is not imported.
+"""
 
 from __future__ import annotations
 
@@ -7,46 +10,46 @@
 
 
 class MetricsSink:
-    """Takes what is counted, and keeps none of it; `GatewayMetrics` does."""
+    """No-op sink that discards all events; `GatewayMetrics` counts them."""
 
     def on_request_finished(self, outcome: str) -> None:
-        """A request has its final outcome."""
+        """A request reached its final outcome."""
 
     def on_unanswered(self, cause: UnansweredCause) -> None:
-        """A request that was read ended without a whole answer."""
+        """A request that was read ended without a complete answer."""
 
     def on_attempt(self, result: AttemptResult) -> None:
         """An attempt ended."""
 
     def on_first_answer(self, seconds: float) -> None:
-        """The first byte of an answer went to a client."""
+        """The first byte of an answer was sent to a client, `seconds` after its request."""
 
     def on_ejection(self) -> None:
-        """A server was ejected."""
+        """A server was ejected as an outlier."""
 
     def on_containment(self) -> None:
-        """A request was found to end servers."""
+        """A request was contained, since it crashes servers."""
 
     def on_peer_message_refused(self) -> None:
-        """A datagram could not be understood."""
+        """A datagram was rejected as malformed."""
 
     def on_order(self, reply: str) -> None:
-        """A server replied to an order, or did not."""
+        """A weight order ended with a server's reply, or without one."""
 
     def on_permit_requested(self, granted: bool) -> None:
-        """A unit of a server's limit was asked for."""
+        """A permit of a server's quota was granted or denied."""
 
     def on_quota_owner_timeout(self) -> None:
-        """The gateway that lends a server's limit didn't reply."""
+        """The owner of a server's quota did not reply to a permit request."""
 
     def on_server_excluded(self, service: str, signal: str) -> None:
-        """A request was kept from a server by that server's own word."""
+        """A server was excluded for a request since it is shutting down or backing off."""
 
     def on_descriptors_exhausted(self) -> None:
-        """A connection couldn't be opened for lack of a descriptor."""
+        """A connection could not be opened: the process has no free file descriptor."""
 
     def on_store_failure(self) -> None:
-        """A call to the object store gave nothing."""
+        """A call to the object store failed."""
 
     def on_store_restored(self) -> None:
-        """The store has come back from an older copy, as one kind of objects shows."""
+        """One kind of objects shows that the store was restored from an older snapshot."""
--- a/src/milletcourse/gateway/telemetry/recorder.py
+++ b/src/milletcourse/gateway/telemetry/recorder.py
@@ -1,4 +1,4 @@
-"""Log lines and figures of requests, servers and the store, at one place for each decision."""
+"""Log lines and metrics of requests, servers and the store: one method per decision."""
 
 from __future__ import annotations
 
@@ -23,21 +23,22 @@
 from milletcourse.gateway.telemetry.unanswered import UnansweredRequest
 
 MAX_SHOWN_SERVERS = 8
-"""Of the servers that a request was kept from, its line names no more."""
+"""Limit of the excluded servers that the log line of a request names."""
 ReportedState = Callable[[], dict[str, Any]]
-"""What the gateway goes by now: fields that are added to the lines of decisions."""
+"""Returns the state that the gateway acts on now, as fields for the log lines of decisions."""
 
 
 class FailedAttempt(msgspec.Struct, frozen=True):
-    """An attempt at a server that gave no answer.
+    """An attempt at a server that returned no answer.
 
     Attributes:
         instance: Incarnation of the server.
-        address: Its `host:port`: shows whether incarnations after each other fail alike.
+        address: `host:port` of the server: shows whether successive incarnations fail alike.
         result: How the attempt ended.
-        loss: Why its connection gave no whole answer, None when it didn't.
-        left: Why this gateway gave it up, None when it didn't.
-        identity: Identity of the request's content: shows whether the same work fails anywhere.
+        loss: Why the connection was lost before a complete answer, None when it was not.
+        abort_cause: Why this gateway aborted the attempt, None when it did not.
+        identity: Identity of the request's content: shows whether the same request fails at any
+            server.
     """
 
     instance: str
@@ -49,15 +50,16 @@
 
 
 class VisitedServer(msgspec.Struct, frozen=True):
-    """What became of a stream at one of its servers.
+    """Outcome of a stream at one of its servers.
 
     Attributes:
         instance: Incarnation of the server.
         result: How the attempt ended.
-        left: Why this gateway gave it up, None when it didn't.
+        left: Why this gateway aborted the attempt, None when it did not.
         at: Seconds from the request to the attempt's end.
-        silent: Seconds for which this gateway heard nothing while it listened, when it gave up.
-        absent: Seconds beside, in which this gateway's own event loop stood still.
+        silent: Seconds of responsive time without data from the server, when this gateway aborted
+            the attempt for silence.
+        absent: Additional seconds in which this gateway's event loop was stalled.
     """
 
     instance: str
@@ -69,13 +71,13 @@
 
 
 class StreamTruncation(msgspec.Struct, frozen=True):
-    """Why a stream that its client had begun to read was not completed.
+    """Why a stream was truncated after a part of it had been sent to its client.
 
     Attributes:
-        servers: All that it was sent to, in the order of their ends.
-        ended_for: What ended the request, None when there was no server left for it.
+        servers: All servers that it was sent to, in the order in which their attempts ended.
+        ended_for: Cause that ended the request, None when no server was left for it.
         admitted_under: Version of the configuration under which it was admitted.
-        configuration: Version in force at the cut.
+        configuration: Version in force at the truncation.
     """
 
     servers: list[VisitedServer]
@@ -85,13 +87,13 @@
 
 
 class Recorder:
-    """Writes a line and counts, for everything that happens to a request or a server.
+    """Writes log lines and counts metrics for the events of requests, servers and the store.
 
     Attributes:
         now: Monotonic time.
-        signals: The same, for what servers say of themselves.
-        store: The same, for the history of the object store.
-        tally: Sums for the log.
+        signals: Recorder of the signals that servers report about themselves.
+        store: Recorder of events in the history of the object store.
+        tally: Counts for the periodic `service-tally` line.
     """
 
     def __init__(
@@ -125,7 +127,7 @@
         )
 
     def limited(self, state: LimitState) -> None:
-        """A tenant was refused over its limit, with what this gateway knows of its use."""
+        """A request was refused over its tenant's limit; logs the usage known to this gateway."""
         self._log.emit("tenant-limited", **msgspec.to_builtins(state))
 
     def failure(
@@ -135,13 +137,13 @@
         route: RouteRecord,
         excluded_servers: dict[str, str],
     ) -> None:
-        """A routed request ended with this gateway's own failure.
+        """A routed request ended with a failure that this gateway generated.
 
         Args:
             failure: The failure.
             request: The request.
             route: Its route.
-            kept_from: Servers that it didn't go to for their own word, with that word.
+            excluded_servers: Servers excluded for a signal of their own -> that signal.
         """
         has_not_run = failure.run_state is RunState.NOT_RUN
         self.tally.on_end(route.name, Outcome.REFUSED if has_not_run else Outcome.FAILED)
@@ -157,7 +159,7 @@
         )
 
     def attempt(self, route: RouteRecord, result: AttemptResult, step: NextStep) -> None:
-        """An attempt ended; those without an answer get a line by `attempt_failed`."""
+        """An attempt ended; `attempt_failed` logs the ones without an answer."""
         self._metrics.on_attempt(result)
         if step is NextStep.RETRY:
             self.tally.on_retry(route.name)
@@ -169,7 +171,7 @@
         failed: FailedAttempt,
         step: NextStep,
     ) -> None:
-        """A server gave no answer: where, why, and what the request's content was."""
+        """A server returned no answer; logs the server, the cause and the content's identity."""
         self._log.emit(
             "attempt-failed",
             route=route.name,
@@ -184,7 +186,7 @@
         )
 
     def first_answer(self, seconds: float) -> None:
-        """The first byte of an answer goes to a client, this long after its request."""
+        """The first byte of an answer was sent to a client, `seconds` after its request."""
         self._metrics.on_first_answer(seconds)
 
     def served(
@@ -197,16 +199,16 @@
         gap: float,
         excluded_servers: dict[str, str],
     ) -> None:
-        """A whole answer was passed on.
+        """A complete answer was relayed to the client.
 
         Args:
             request: The request.
             route: Its route.
             instance: Server that answered.
-            sends: Servers that it was sent to.
+            sends: Number of servers that it was sent to.
             first: Seconds to its first byte.
-            gap: Its longest pause in seconds.
-            kept_from: Servers that it didn't go to for their own word, with that word.
+            gap: Longest pause within the answer in seconds.
+            excluded_servers: Servers excluded for a signal of their own -> that signal.
         """
         self.tally.on_end(route.name, served_outcome(route, first, gap))
         self._metrics.on_request_finished("served")
@@ -222,14 +224,14 @@
         )
 
     def passed_failure(self, route: RouteRecord) -> None:
-        """A server's own failure was passed on; its attempt has a line."""
+        """A failure returned by a server was relayed; the line of its attempt describes it."""
         self.tally.on_end(route.name, Outcome.SERVER_FAILURE)
         self._metrics.on_request_finished("passed-failure")
 
     def stream_truncated(
         self, request: ExchangeRequest, route: RouteRecord, truncation: StreamTruncation
     ) -> None:
-        """A stream that a client had begun to read could not be completed."""
+        """A stream was truncated after a part of it had been sent to its client."""
         self.tally.on_end(route.name, Outcome.TRUNCATED)
         self._metrics.on_request_finished("cut")
         self._log.emit(
@@ -242,7 +244,7 @@
     def client_left(
         self, request: ExchangeRequest, route: RouteRecord, instance: str, stream_begun: bool
     ) -> None:
-        """A client closed its connection before the answer was whole."""
+        """A client closed its connection before the answer was complete."""
         self.tally.on_end(route.name, Outcome.CLIENT_DISCONNECTED)
         self._metrics.on_request_finished("client-left")
         self._log.emit(
@@ -254,7 +256,7 @@
         )
 
     def unanswered(self, request: UnansweredRequest, request_id: str, stopping: bool) -> None:
-        """A request that was read ends without a whole answer, and its server isn't why."""
+        """A request that was read ended without a complete answer, for a cause of this gateway."""
         self._metrics.on_unanswered(request.cause)
         self._log.emit(
             "request-unanswered",
@@ -267,15 +269,15 @@
         )
 
     def listener_closed(self, address: str, waiting: int) -> None:
-        """A listener closed; connections that waited to be accepted were reset."""
+        """A listener closed; `waiting` connections were reset before they could be accepted."""
         self._log.emit("listener-closed", address=address, waiting=waiting)
 
     def loop_late(self, seconds: float) -> None:
-        """The event loop ran a timer this much later than it was due."""
+        """The event loop ran a timer `seconds` later than it was due."""
         self._log.emit("loop-late", seconds=round(seconds, 3))
 
     def write_tally(self) -> None:
-        """Write what was counted since the last time, if it is anything."""
+        """Write the counts since the last call, unless nothing was counted."""
         report = self.tally.take()
         if report is not None:
             self._log.emit("service-tally", **msgspec.to_builtins(report))
@@ -283,33 +285,38 @@
     # -- servers and the store ------------------------------------------------------------------
 
     def ejection(self, instance: str, result: AttemptResult) -> None:
-        """A server gets no new work for a while."""
+        """A server was ejected as an outlier and gets no new requests for some time."""
         self._metrics.on_ejection()
         self._log.emit("instance-ejected", instance=instance, result=result.value)
 
     def ejection_ended(self, instance: str, result: AttemptResult) -> None:
-        """An ejected server gets work again."""
+        """An ejected server gets requests again."""
         self._log.emit("instance-back", instance=instance, result=result.value)
 
     def instance_replaced(self, instance: str, successor: str) -> None:
-        """Another incarnation answers at a server's address; its name, or `told` by a peer."""
+        """Another incarnation answers at a server's address.
+
+        Args:
+            instance: The terminated incarnation.
+            successor: Name of the new incarnation, or `told` when a peer reported the change.
+        """
         self._log.emit("instance-ended", instance=instance, successor=successor)
 
     def instance_restarted(self, instance: str) -> None:
-        """A server has started again under its name: nothing of what was known of it holds."""
+        """A server restarted under the same name; all cached state about it is invalid."""
         self._log.emit("instance-restarted", instance=instance)
 
     def descriptors_exhausted(self) -> None:
-        """A connection to a server couldn't be opened for lack of a descriptor of this process."""
+        """A connection to a server could not be opened: no free file descriptor."""
         self._metrics.on_descriptors_exhausted()
         self._log.emit("descriptors-exhausted")
 
     def clients_waiting(self, clients: int, waiting: int) -> None:
-        """Connections of clients wait in the kernel's queue, since there is no room for more."""
+        """Client connections wait in the listen backlog, since the connection limit is reached."""
         self._log.emit("clients-waiting", clients=clients, waiting=waiting)
 
     def peer_message_refused(self, sender: str) -> None:
-        """A datagram that no gateway of this release sends, or one with absurd figures."""
+        """A datagram was rejected as malformed or for implausible values."""
         self._metrics.on_peer_message_refused()
         self._log.emit("peer-message-refused", sender=sender)
 
@@ -318,11 +325,11 @@
         self._log.emit("request-released", content=identity_text(identity))
 
     def resumed_after_suspension(self, slept_seconds: float) -> None:
-        """The machine was suspended for a while, and goes on."""
+        """The machine resumed after a suspension of `slept_seconds`."""
         self._log.emit("woke", slept=round(slept_seconds, 3), **self._reported_state())
 
     def request_contained(self, containment: Containment) -> None:
-        """Servers ended under a request, one after the other: it isn't sent to another one."""
+        """A request was contained: servers crashed one after the other while they served it."""
         self._metrics.on_containment()
         self._log.emit(
             "request-contained",
@@ -333,11 +340,11 @@
         )
 
     def suspicion(self, instance: str, suspected: bool) -> None:
-        """Several gateways saw a server fail, so that it gets no new work; or no more."""
+        """Several gateways saw a server fail and it gets no new requests, or this has ended."""
         self._log.emit("instance-suspected" if suspected else "instance-cleared", instance=instance)
 
     def weight_order(self, order: WeightOrder, reply: OrderReply) -> None:
-        """A server replied to an order, or did not."""
+        """A weight order ended with a server's reply, or without one."""
         self._metrics.on_order(reply.value)
         self._log.emit(
             "weight-order",
@@ -348,11 +355,11 @@
         )
 
     def objects_unreadable(self, kind: str, count: int) -> None:
-        """Objects of the store without a name or a revision; the others hold."""
+        """Objects of the store were skipped since they have no name or no revision."""
         self._log.emit("objects-unreadable", kind=kind, count=count)
 
     def store_call(self, kind: str, succeeded: bool) -> None:
-        """A call about a kind of objects ended; a line says when that changes."""
+        """A call to the store about a kind of objects ended; logs changes of reachability only."""
         if not succeeded:
             self._metrics.on_store_failure()
         if self._reachable.get(kind) == succeeded:
@@ -368,7 +375,7 @@
 
 
 def _excluded_servers_field(servers: dict[str, str]) -> dict[str, Any]:
-    """Field of a request's line that names servers and their words; mostly none."""
+    """Log field that names the excluded servers with their signals; usually empty."""
     if not servers:
         return {}
     shown = sorted(servers.items())[:MAX_SHOWN_SERVERS]
--- a/src/milletcourse/gateway/telemetry/signal_recorder.py
+++ b/src/milletcourse/gateway/telemetry/signal_recorder.py
@@ -1,4 +1,4 @@
-"""Log lines and figures of what servers say of themselves, and of requests that it keeps away."""
+"""Log lines and metrics of the signals that servers report about themselves."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 
 MAX_REMEMBERED_UNREADABLE_SIGNALS = 100
-"""Unreadable fields of servers that are remembered, so that each is told once."""
+"""Unreadable signals that are remembered, so that each is logged once."""
 
 
 class SignalRecorder:
-    """Writes a line and counts, when a server says something new or a request meets it."""
+    """Logs and counts new signals of servers, and the requests that they affect."""
 
     def __init__(self, log: EventLog, metrics: MetricsSink) -> None:
         self._log = log
@@ -24,13 +24,14 @@
     def limit(
         self, instance: str, change: LimitChange, per_second: float | None, source: str
     ) -> None:
-        """A server names a limit of requests, another one than before, or none any more.
+        """A server reports a new request limit, a changed one, or the removal of its limit.
 
         Args:
             instance: The server.
-            change: What is new.
-            per_second: Requests a second that it takes, None for no limit.
-            told_by: `answer` when it said so here, `peer` when another gateway told it.
+            change: Whether the limit is new, changed or removed.
+            per_second: Requests per second that it accepts, None for no limit.
+            source: `answer` when it was reported to this gateway, `peer` when another gateway
+                forwarded it.
         """
         self._log.emit(
             f"server-limit-{change.value}",
@@ -40,36 +41,36 @@
         )
 
     def at_limit(self, state: ServerLimitState, request: ExchangeRequest) -> None:
-        """A request wasn't sent to a server, which has got what it takes."""
+        """A request was not sent to a server whose request limit is reached."""
         self._log.emit(
             "server-at-limit", **msgspec.structs.asdict(state), request_id=request.request_id
         )
 
     def server_excluded(self, service: str, signal: Signal) -> None:
-        """A request of a service was kept from a server that leaves or rests."""
+        """A server was excluded for a request, since it is shutting down or backing off."""
         self._metrics.on_server_excluded(service, signal.value)
 
     def leaving(self, instance: str, source: str) -> None:
-        """A server says that it leaves.
+        """A server reports that it is shutting down.
 
         Args:
             instance: The server.
-            told_by: `answer` when it said so here, `peer` when another gateway told it, `entry`
-                when it stands in the discovery.
+            source: `answer` when it was reported to this gateway, `peer` when another gateway
+                forwarded it, `entry` when it is a part of the server's discovery entry.
         """
         self._log.emit("server-leaving", instance=instance, told_by=source)
 
     def backing_off(self, instance: str, seconds: float) -> None:
-        """A server that turned a request away wants nothing from here for so long."""
+        """A server that rejected a request asks this gateway to back off for `seconds`."""
         self._log.emit("server-resting", instance=instance, rest=round(seconds, 3))
 
     def unreadable(self, instance: str, field: str, shown: str) -> None:
-        """A server says something of itself that can't be read; once until it says another thing.
+        """A signal of a server is unreadable; logged once until its text changes.
 
         Args:
             instance: The server.
-            field: What it speaks of: its limit, its leaving, its rest.
-            shown: What it says.
+            field: The signal: `limit`, `leaving` or `rest`.
+            shown: Text of the signal.
         """
         if self._logged_unreadable.get((instance, field)) == shown:
             return
--- a/src/milletcourse/gateway/telemetry/store_recorder.py
+++ b/src/milletcourse/gateway/telemetry/store_recorder.py
@@ -1,4 +1,4 @@
-"""Log lines and figures of the object store's history: its eras, and who is behind or ahead."""
+"""Log lines and metrics of the object store's history: eras, restores, stale or newer positions."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from milletcourse.gateway.telemetry.metrics_sink import MetricsSink
 
 MAX_NAMES = 8
-"""Of objects that differ after a return, its line names no more."""
+"""Limit of the objects that the log line of a restore names."""
 
 
 class StoreRestore(msgspec.Struct, frozen=True):
-    """The store has come back from an older copy, as seen in one kind of objects.
+    """A restore of the store from an older snapshot, as seen in one kind of objects.
 
     Attributes:
         kind: Kind of the objects.
-        before: State up to which they were known.
-        after: State that was found.
-        missing: Names of objects that were known and aren't there.
-        changed: Names of objects whose content is another one than was known.
+        before: Position up to which they were known.
+        after: Position after the restore.
+        missing: Names of known objects that the store has lost.
+        changed: Names of objects whose content differs from the known one.
     """
 
     kind: str
@@ -33,7 +33,7 @@
 
 
 class StoreRecorder:
-    """Writes a line when the store comes back from an older copy, and when histories differ."""
+    """Logs restores of the store from an older snapshot, and differences between histories."""
 
     def __init__(self, log: EventLog, metrics: MetricsSink) -> None:
         self._log = log
@@ -43,25 +43,25 @@
         self._kinds_ahead: set[str] = set()
 
     def era(self, before: int | None, era: int) -> None:
-        """An answer of the store named a later era.
+        """An answer of the store contained a later era.
 
         Args:
             before: The latest era until now, None before the first answer.
-            era: Its era.
+            era: The new era.
         """
         self._log.emit("store-era", before=before, era=era)
 
     def era_confirmed(self, era: int, evidence: EraEvidence) -> None:
-        """The configuration in the store may be believed again.
+        """The configuration in the store is confirmed after a restore.
 
         Args:
             era: The store's era.
-            evidence: Why.
+            evidence: Evidence that confirms it.
         """
         self._log.emit("store-era-confirmed", era=era, evidence=evidence.value)
 
     def store_restored(self, store_return: StoreRestore) -> None:
-        """The store has come back from an older copy, as one kind of objects shows."""
+        """One kind of objects shows that the store was restored from an older snapshot."""
         self._metrics.on_store_restored()
         self._log.emit(
             "store-returned",
@@ -74,11 +74,11 @@
         )
 
     def entry_rewritten(self, position: StorePosition) -> None:
-        """This gateway's own entry, which the store had lost, is there again."""
+        """This gateway's own entry, which the store had lost in a restore, is stored again."""
         self._log.emit("entry-written-again", place=_position_fields(position))
 
     def call_aborted(self, call: AbortedCall) -> None:
-        """The answer to a call began, and did not become whole."""
+        """A call was aborted after its answer had started."""
         self._log.emit(
             "call-given-up",
             address=call.address,
@@ -88,40 +88,40 @@
         )
 
     def configuration_lost(self, version: int, in_force: int) -> None:
-        """Another gateway has a configuration in force that the store has lost.
+        """Another gateway has a configuration in force that the store lost in a restore.
 
         Args:
-            version: Its version.
+            version: Version of that configuration.
             in_force: Version in force here.
         """
         self._log.emit("configuration-lost", version=version, in_force=in_force)
 
     def configuration_announced(self, knows_effect: bool) -> None:
-        """A newer configuration is out, and on its way here.
+        """A newer configuration was announced, and has not been received yet.
 
         Args:
-            knows_effect: It is known which requests it concerns.
+            knows_effect: Whether it is known which requests it affects.
         """
         self._log.emit("configuration-announced", knows_effect=knows_effect)
 
     def content_differs(self, kind: str, reader: str, problem: str) -> None:
-        """A content that a reader told gives something else than it announced.
+        """A content received from a reader differs from what the reader announced.
 
         Args:
             kind: Kind of the object.
             reader: Name of the reader.
-            problem: What is wrong with it.
+            problem: Problem that was found.
         """
         self._log.emit("content-differs", kind=kind, reader=reader, problem=problem)
 
     def era_unreadable(self) -> None:
-        """The era of an answer is missing, or can't be understood; told once."""
+        """The era of an answer is missing or malformed; logged once."""
         if not self._has_logged_unreadable_era:
             self._has_logged_unreadable_era = True
             self._log.emit("store-era-unreadable")
 
     def answer_outdated(self, kind: str, era: int, known: int) -> None:
-        """An answer is of a former era than one before it; told once a kind and era.
+        """An answer has an older era than a previous one; logged once per kind and latest era.
 
         Args:
             kind: Kind of the objects.
@@ -142,12 +142,12 @@
         self._log.emit("configuration-outdated", found=found, known=known)
 
     def list_outdated(self, kind: str, listed: StorePosition, known: StorePosition) -> None:
-        """A list of a kind was thrown away, since a later state is known.
+        """A list of a kind was discarded, since a later position is known.
 
         Args:
             kind: Kind of the objects.
-            listed: State that the list shows.
-            known: State up to which the kind is known.
+            listed: Position of the list.
+            known: Position up to which the kind is known.
         """
         self._log.emit(
             "store-list-outdated",
@@ -157,12 +157,12 @@
         )
 
     def follower_position(self, kind: str, asked: StorePosition, known: StorePosition) -> None:
-        """A follower asks with the state that it knows; a line when it is later than ours.
+        """A follower polls with its position; logged once per kind while it is ahead of ours.
 
         Args:
             kind: Kind of the objects.
-            asked: State up to which the follower knows them.
-            known: State up to which they are known here.
+            asked: Position up to which the follower knows them.
+            known: Position up to which they are known here.
         """
         if asked <= known:
             self._kinds_ahead.discard(kind)
--- a/src/milletcourse/gateway/telemetry/unanswered.py
+++ b/src/milletcourse/gateway/telemetry/unanswered.py
@@ -1,4 +1,4 @@
-"""What is said of a request that was read and ends without a whole answer."""
+"""Record of a request that was read and ended without a complete answer."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
 
 
 class RequestPhase(Enum):
-    """How far a request had come."""
+    """Phase that a request had reached."""
 
     QUEUED = "queued"
-    """Behind another one on its connection."""
+    """Waits behind another request of its connection (HTTP pipelining)."""
     DECIDING = "deciding"
     CONNECTING = "connecting"
     AT_SERVER = "at-server"
     ANSWERING = "answering"
-    """Its client has got a part of the answer."""
+    """A part of the answer has been sent to the client."""
 
 
 class UnansweredCause(Enum):
-    """Why a request got no whole answer."""
+    """Why a request got no complete answer."""
 
     HANDLER_FAILED = "handler-failed"
-    """A defect of the gateway."""
+    """The request handler raised an exception: a defect of the gateway."""
     GRACE_EXPIRED = "grace-over"
-    """The grace time of a planned stop was over."""
+    """The grace period of a planned shutdown expired."""
     CONNECTION_CLOSING = "connection-closing"
-    """The answer before it had said that the connection closes."""
+    """The previous answer on the connection announced that the connection closes."""
     ANSWER_TRUNCATED = "answer-cut"
-    """The answer before it broke off, and its connection with it."""
+    """The previous answer was truncated, which closed the connection."""
     SLOW_READER = "slow-reader"
-    """Its client was too far behind in reading."""
+    """The client read the answer too slowly."""
 
 
 class UnansweredRequest(msgspec.Struct, frozen=True):
-    """A request that ends without a whole answer.
+    """A request that ended without a complete answer.
 
     Attributes:
         fields: Its header fields.
-        phase: How far it had come.
+        phase: Phase that it had reached.
         cause: Why it ended.
         received_at: Monotonic time of its first byte.
-        error: The defect, empty without one.
+        error: The exception of a failed handler, otherwise empty.
     """
 
     fields: list[HeaderField]
--- a/src/milletcourse/reports/__init__.py
+++ b/src/milletcourse/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways' own logs tell of the service that they gave; used by the command line only."""
+"""Reports on service quality from the logs of gateways; used by the command line only."""
--- a/src/milletcourse/reports/log_lines.py
+++ b/src/milletcourse/reports/log_lines.py
@@ -1,4 +1,4 @@
-"""Reads gateways' log lines, which may stand behind other text on their lines."""
+"""Reads the log lines of gateways, which may have a prefix such as a time or host name."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     """Lines that could not be used.
 
     Attributes:
-        foreign: Without a JSON object: another program's, or cut before it begins.
-        broken: With a JSON object that is cut or no object.
-        unknown: Of ours, but without the fields that this version writes.
+        foreign: Lines without a JSON object: from another program, or truncated before it.
+        broken: Lines whose JSON is truncated, or not an object with an event name.
+        unknown: Lines of a gateway without the fields that this version writes.
     """
 
     foreign: int = 0
@@ -26,7 +26,7 @@
 def read_documents(
     lines: Iterable[str], skipped: SkippedLines | None = None
 ) -> Iterator[dict[str, Any]]:
-    """The JSON objects on the lines; others are counted and passed over."""
+    """Yield the JSON objects of the lines; other lines are counted and skipped."""
     skipped = skipped if skipped is not None else SkippedLines()
     for line in lines:
         start = line.find("{")
--- a/src/milletcourse/reports/loss_report.py
+++ b/src/milletcourse/reports/loss_report.py
@@ -1,4 +1,4 @@
-"""Where service was lost: sums over all gateways' logs, by route, moment, server and decision."""
+"""Aggregates the logs of all gateways: lost service by route, time interval and decision."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
     "reader-lost": ("reader", "outcome"),
     "store-lost": ("kind",),
 }
-"""Lines of decisions, and the fields by which they are counted."""
+"""Event names of decisions -> fields by which their lines are grouped and counted."""
 MAX_SHOWN_DECISIONS = 12
-"""Most frequent decisions of a kind that a report names."""
+"""Limit per event name in the table; the most frequent decisions are shown."""
 
 
 class RouteLosses(msgspec.Struct):
-    """How the requests of one route ended, and what was done for them.
+    """Outcomes, superseded weights and retries of the requests of one route.
 
     Attributes:
         ends: Outcome -> requests.
-        superseded: Sent to servers with superseded weights.
+        superseded: Requests sent to servers with superseded weights.
         sent_again: Attempts after the first.
     """
 
@@ -50,7 +50,7 @@
 
 
 class IntervalLosses(msgspec.Struct):
-    """One stretch of time over all gateways.
+    """Outcomes of one time interval, over all gateways.
 
     Attributes:
         start: Seconds since the first line.
@@ -66,13 +66,13 @@
 
 
 class DecisionCount(msgspec.Struct):
-    """Decisions of one kind about one thing.
+    """Number of decisions with the same event name and the same field values.
 
     Attributes:
         event: Name of the log line.
-        about: Values of the fields that it is counted by.
-        count: How often, lines that were left out of the log not counted.
-        left_out: Lines of this kind that the log says it left out, all things together.
+        about: Values of the fields in `DECISION_FIELDS`.
+        count: Number of such lines, without the ones that the rate limit of the log suppressed.
+        left_out: Suppressed lines of this event name, for all field values together.
     """
 
     event: str
@@ -82,16 +82,16 @@
 
 
 class LossReport(msgspec.Struct):
-    """All of it.
+    """The aggregated report.
 
     Attributes:
         gateways: Names of the machines whose lines were read.
-        routes: By name.
-        moments: In order.
-        decisions: Most frequent first.
+        routes: Losses by route name.
+        moments: Time intervals in order.
+        decisions: Decisions, most frequent first.
         connections: New connections to servers.
         store_calls: Kind of objects -> calls.
-        store_failures: Kind of objects -> calls that gave nothing.
+        store_failures: Kind of objects -> failed calls.
         skipped: Lines that could not be used.
     """
 
@@ -106,7 +106,7 @@
 
 
 class _Totals:
-    """What is added up while lines are read."""
+    """Totals that accumulate while lines are read."""
 
     def __init__(self) -> None:
         self.gateways: set[str] = set()
@@ -121,7 +121,7 @@
         self.failures: Counter[str] = Counter()
 
     def add_tally(self, tally: TallyReport, interval: int) -> None:
-        """Add one gateway's sums of a stretch of time."""
+        """Add the counts of one gateway for one time interval."""
         ends, extras = self.moments.setdefault(interval, (Counter(), Counter()))
         for route, outcomes in tally.ends.items():
             self.ends.setdefault(route, Counter()).update(outcomes)
@@ -136,7 +136,7 @@
 
 
 def loss_report(lines: Iterable[str]) -> LossReport:
-    """Add up the logs of any number of gateways, in any order."""
+    """Aggregate the logs of any number of gateways, in any order."""
     skipped = SkippedLines()
     totals = _Totals()
     documents = list(read_documents(lines, skipped))
@@ -164,7 +164,7 @@
     if at is None or tally is None:
         skipped.unknown += 1
         return
-    # A tally tells of the time before it.
+    # A tally covers the interval that ends at its timestamp.
     totals.add_tally(tally, max(int((at - first) / TALLY_INTERVAL_SECONDS) - 1, 0))
 
 
@@ -198,7 +198,7 @@
 
 
 def _timestamp(document: dict[str, Any]) -> float | None:
-    """Seconds since the epoch at which a line was written, None when it isn't told."""
+    """Seconds since the epoch at which a line was written, None without a valid timestamp."""
     try:
         return datetime.fromisoformat(str(document.get("timestamp"))).timestamp()
     except ValueError:
@@ -210,14 +210,17 @@
 
 
 def table_lines(report: LossReport) -> list[str]:
-    """The report as text for people."""
+    """The report as a table for display."""
     columns = [outcome.value for outcome in Outcome]
     head = f"{'':28}" + "".join(f"{name:>15}" for name in [*columns, "superseded"])
     lines = [f"{len(report.gateways)} gateways", "", "by route", head]
     lines += [_row(name, route.ends, route.superseded) for name, route in report.routes.items()]
-    lines += ["", f"by moment (start of {TALLY_INTERVAL_SECONDS:g} s)", head]
+    lines += ["", f"by interval (start of {TALLY_INTERVAL_SECONDS:g} s)", head]
     lines += [_row(f"{at.start:.0f}", at.ends, at.superseded) for at in report.moments]
-    lines += ["", "decisions, most frequent of each kind (left out of the log in brackets)"]
+    lines += [
+        "",
+        "decisions, most frequent first per event (lines suppressed by the rate limit in brackets)",
+    ]
     shown: Counter[str] = Counter()
     for decision in report.decisions:
         shown[decision.event] += 1
@@ -227,14 +230,14 @@
     calls = sum(report.store_calls.values())
     failed = sum(report.store_failures.values())
     lines += ["", f"new connections to servers: {report.connections}"]
-    lines += [f"calls to the object store: {calls}, {failed} of them without a result"]
+    lines += [f"calls to the object store: {calls}, {failed} of them failed"]
     lines += [
-        f"  {kind}: {count}, {report.store_failures.get(kind, 0)} without a result"
+        f"  {kind}: {count}, {report.store_failures.get(kind, 0)} failed"
         for kind, count in sorted(report.store_calls.items())
     ]
     skipped = report.skipped
     lines += [
-        f"lines passed over: {skipped.foreign} foreign, {skipped.broken} broken, "
+        f"skipped lines: {skipped.foreign} foreign, {skipped.broken} broken, "
         f"{skipped.unknown} of another version"
     ]
     return lines
--- a/src/milletcourse/reports/pyplot.py
+++ b/src/milletcourse/reports/pyplot.py
@@ -1,4 +1,4 @@
-"""Loads the plotting library, which only plots need."""
+"""Loads matplotlib, an optional dependency for plots."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def load_pyplot(option: str, path: Path) -> Any:
-    """The library's `pyplot`, drawing into files.
+    """Import `pyplot` with a backend that writes files.
 
     Args:
-        option: Option of the command that asks for a plot.
-        path: What the option names.
+        option: Command-line option that requests a plot.
+        path: Value of the option.
 
     Raises:
         FailureError: `InvalidObject` when the extra `plots` is not installed.
--- a/src/milletcourse/runtime/__init__.py
+++ b/src/milletcourse/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Clock, random source and network: everything that touches the outside world."""
+"""Clocks, random sources, sockets and HTTP: all interfaces to the operating system."""
--- a/src/milletcourse/runtime/acceptor.py
+++ b/src/milletcourse/runtime/acceptor.py
@@ -1,4 +1,4 @@
-"""A listener that accepts no more than its owner can serve; the rest waits in the kernel."""
+"""A listener that accepts connections up to a limit; others wait in the kernel's backlog."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 
 MAX_ACCEPTS_PER_ITERATION = 16
-"""Connections accepted in one turn of the event loop, so that others get their turns."""
+"""Per iteration of the event loop, so that a burst does not delay other callbacks."""
 RETRY_INTERVAL_SECONDS = 0.02
-"""Without room, it is looked for again after this time."""
+"""Pause before the capacity is checked again after it was exhausted."""
 
 
 class Acceptor:
-    """Accepts connections while there is room for them.
+    """Accepts connections while the owner has capacity for them.
 
-    `asyncio.Server` accepts whatever comes and fails when the process has no descriptor left, which
-    ends connections that could have waited.
+    `asyncio.Server` accepts without a limit and fails when the process has no file descriptor left,
+    which closes connections that could have waited in the backlog.
     """
 
     def __init__(
@@ -25,13 +25,13 @@
         factory: Callable[[], asyncio.Protocol],
         capacity: Callable[[], int],
     ) -> None:
-        """Accept from now on.
+        """Start accepting connections.
 
         Args:
             listening: A listening socket, which this acceptor closes.
-            factory: Makes the protocol of an accepted connection.
-            room: How many more connections may be accepted; those that are coming up aren't counted
-                in it yet.
+            factory: Creates the protocol of an accepted connection.
+            capacity: Returns how many more connections may be accepted; accepted connections
+                whose protocol is not connected yet need not be counted by it.
         """
         self._listening = listening
         self._factory = factory
@@ -45,11 +45,11 @@
 
     @property
     def sockets(self) -> list[socket.socket]:
-        """The listening socket, as servers of `asyncio` tell it."""
+        """The listening socket, with the interface of `asyncio.Server`."""
         return [self._listening]
 
     def close(self) -> None:
-        """Accept nothing more."""
+        """Stop accepting connections."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -66,7 +66,7 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError:
-                # No descriptor or no memory: what waits goes on waiting.
+                # No file descriptor or no memory: the connections stay in the backlog.
                 self._pause()
                 return
             self._start_connection(accepted)
@@ -83,11 +83,11 @@
         try:
             await self._loop.connect_accepted_socket(self._factory, accepted)
         except OSError:
-            # It was reset before it could be served.
+            # The peer reset the connection before it could be served.
             accepted.close()
 
     def _pause(self) -> None:
-        """Look again a little later: a readable socket would call at once."""
+        """Check again later: the loop would call `_on_ready` in every iteration meanwhile."""
         self._loop.remove_reader(self._listening)
         self._retry = self._loop.call_later(RETRY_INTERVAL_SECONDS, self._resume)
 
@@ -99,10 +99,10 @@
 
 
 def listening_socket(host: str, port: int, backlog: int) -> socket.socket:
-    """A socket that listens at an address; port 0 takes a free one.
+    """Create a socket that listens at an address; port 0 selects a free port.
 
     Raises:
-        OSError: The address is taken, or none of this machine.
+        OSError: The address is in use, or not an address of this machine.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     listening = socket.socket(family, socket.SOCK_STREAM)
--- a/src/milletcourse/runtime/addresses.py
+++ b/src/milletcourse/runtime/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as text: `host:port`, where the host is an IP address."""
+"""Addresses as text, `host:port`, where the host is an IP address."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of an address.
+    """Split an address into host and port.
 
-    A name is none: looking it up would ask a third party, and block.
+    Host names are not accepted: resolving them would depend on a DNS server, and block.
 
     Raises:
-        ValueError: It isn't of this form.
+        ValueError: The address is malformed.
     """
     host, colon, port = address.rpartition(":")
     if not colon or not port.isascii() or not port.isdigit() or len(port) > len(str(MAX_PORT)):
--- a/src/milletcourse/runtime/aiohttp_client.py
+++ b/src/milletcourse/runtime/aiohttp_client.py
@@ -39,7 +39,7 @@
         try:
             return await self._response.read()
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise FailureError(BackendLost(f"answer cut: {type(error).__name__}")) from error
+            raise FailureError(BackendLost(f"answer truncated: {type(error).__name__}")) from error
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """See `HttpResponse.chunks`."""
@@ -47,7 +47,7 @@
             async for chunk in self._response.content.iter_any():
                 yield chunk
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            raise FailureError(BackendLost(f"stream cut: {type(error).__name__}")) from error
+            raise FailureError(BackendLost(f"stream truncated: {type(error).__name__}")) from error
 
     def abort(self) -> None:
         """See `HttpResponse.abort`."""
--- a/src/milletcourse/runtime/clock.py
+++ b/src/milletcourse/runtime/clock.py
@@ -1,8 +1,9 @@
-"""Time as the code sees it: monotonic and wall seconds, and sleeping.
+"""Clocks: monotonic seconds, wall-clock seconds and sleeping.
 
-Code never reads `time` directly, so that the simulator can put a virtual clock with skew and
-freezes in its place. Nor does it read the event loop's time: that is the steady clock, which stands
-still while the machine is suspended, so that what ran out in a sleep would look fresh after it.
+Other code never reads `time` directly, so that the simulator can substitute a virtual clock with
+skew and freezes. Nor does it read the event loop's time: that clock (CLOCK_MONOTONIC) stands still
+while the machine is suspended, so that leases or proofs that expired during a suspension would look
+valid after it.
 """
 
 from __future__ import annotations
@@ -13,27 +14,27 @@
 
 _COUNTS_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 MIN_SUSPENSION_SECONDS = 0.1
-"""Clocks that drift apart by less haven't slept; no bound is as short."""
+"""A smaller difference between the clocks is drift; no timeout or lease is as short."""
 
 
 def elapsed_seconds() -> float:
-    """Seconds that never run backwards, and count the time in which the machine was suspended."""
+    """Monotonic seconds that include the time in which the machine was suspended."""
     return time.clock_gettime(_COUNTS_SUSPENSION)
 
 
 def wall_seconds() -> float:
-    """Seconds since the Unix epoch by the machine's time of day, which may jump."""
+    """Seconds since the Unix epoch by the machine's wall clock, which may jump."""
     return time.time()
 
 
 class SuspensionDetector:
-    """Notices that the machine was suspended, by the steady clock beside the one that counts it."""
+    """Detects suspensions of the machine: CLOCK_BOOTTIME counts them, CLOCK_MONOTONIC does not."""
 
     def __init__(self) -> None:
         self._ahead = self._seconds_ahead()
 
     def take_suspension_seconds(self) -> float:
-        """Seconds that the machine slept since the last call; 0 when it didn't."""
+        """Seconds of suspension of the machine since the last call; 0 without one."""
         ahead = self._seconds_ahead()
         slept = ahead - self._ahead
         if slept < MIN_SUSPENSION_SECONDS:
@@ -50,7 +51,7 @@
     """Source of time for one process."""
 
     def monotonic(self) -> float:
-        """Seconds that never run backwards; comparable within one process only."""
+        """Monotonic seconds; comparable within one process only."""
 
     def wall(self) -> float:
         """Seconds since the Unix epoch; may differ between machines within the skew bound."""
@@ -60,10 +61,10 @@
 
 
 class LoopClock:
-    """The machine's clocks; sleeping is the event loop's."""
+    """Clock of a real process: the machine's clocks, and sleeping on the event loop."""
 
     def monotonic(self) -> float:
-        """See `Clock.monotonic`; counts suspension."""
+        """See `Clock.monotonic`; includes suspensions."""
         return elapsed_seconds()
 
     def wall(self) -> float:
--- a/src/milletcourse/runtime/datagrams.py
+++ b/src/milletcourse/runtime/datagrams.py
@@ -19,7 +19,7 @@
     address: str
 
     def send(self, payload: bytes, destination: str) -> None:
-        """Send without waiting; loss is normal."""
+        """Send without waiting; delivery is not guaranteed."""
 
     def close(self) -> None:
         """Stop receiving."""
@@ -33,7 +33,7 @@
         self._handler(data, f"{addr[0]}:{addr[1]}")
 
     def error_received(self, exc: Exception) -> None:
-        """A refused datagram is the same as a lost one."""
+        """Ignore ICMP errors: a refused datagram counts as a lost one."""
 
 
 class UdpEndpoint:
--- a/src/milletcourse/runtime/http.py
+++ b/src/milletcourse/runtime/http.py
@@ -1,7 +1,7 @@
 """The HTTP client interface that all outgoing traffic uses.
 
 Two implementations exist: `aiohttp_client` over TCP and `memory_network` in the simulator. The
-errors keep one distinction that at-most-once writes rest on: `BackendUnreachable` means that no
+errors make a distinction that at-most-once writes depend on: `BackendUnreachable` means that no
 byte was sent, `BackendLost` means that bytes may have been sent.
 """
 
@@ -57,7 +57,7 @@
         """Make a pending read fail with `BackendLost`."""
 
     async def close(self) -> None:
-        """Give up the response; the server sees a disconnect when it is still sending."""
+        """Discard the response; the server sees a disconnect when it is still sending."""
 
 
 class HttpClient(Protocol):
--- a/src/milletcourse/runtime/listeners.py
+++ b/src/milletcourse/runtime/listeners.py
@@ -1,4 +1,4 @@
-"""Closing listeners without losing what has come up to them."""
+"""Closes listeners without resetting connections that wait in the backlog."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from milletcourse.runtime.sockets import waiting_connections
 
 MAX_DRAIN_SECONDS = 0.5
-"""A listener whose connections come faster than they can be accepted is closed all the same."""
+"""Bound on draining, for a listener whose connections arrive faster than they are accepted."""
 
 
 async def drain_and_close(listener: asyncio.Server | Acceptor) -> int:
-    """Close a listener once all that waited there has been accepted: the rest would be reset.
+    """Close a listener after its backlog has been accepted: closing resets waiting connections.
 
-    The event loop accepts one connection of a listener each time round.
+    The event loop accepts one connection of a listener per iteration.
 
     Returns:
-        Connections that were reset all the same.
+        Number of connections that still waited and were reset.
     """
     sock = listener.sockets[0]
     until = elapsed_seconds() + MAX_DRAIN_SECONDS
--- a/src/milletcourse/runtime/memory_http.py
+++ b/src/milletcourse/runtime/memory_http.py
@@ -92,7 +92,7 @@
     async def _connect(self, request: HttpRequest) -> MemoryHost:
         network = self._host.network
         if not self._host.alive:
-            raise FailureError(BackendUnreachable("this host is dead"))
+            raise FailureError(BackendUnreachable("the sending host was killed"))
         server = network.host_at(request.address)
         if server is None:
             raise FailureError(BackendUnreachable(f"{request.address}: no such host"))
--- a/src/milletcourse/runtime/memory_network.py
+++ b/src/milletcourse/runtime/memory_network.py
@@ -1,8 +1,8 @@
-"""In-memory network for simulations: HTTP and datagrams with latency, cuts, kills and freezes.
+"""In-memory network for simulations: HTTP and datagrams with latency, partitions, kills, freezes.
 
-It carries the same requests to the same ASGI applications as TCP does, on whatever event loop runs,
-so a virtual clock makes whole clusters deterministic. A frozen host runs nothing that needs time
-or the network; a killed host drops its connections.
+It delivers the same requests to the same ASGI applications as TCP does, on any event loop, so a
+virtual clock makes whole clusters deterministic. A frozen host runs nothing that needs time or the
+network; a killed host drops its connections.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from milletcourse.runtime.server import ACCEPTED_GRACE_SECONDS, AsgiApplication
 
 FROZEN_DATAGRAM_BUFFER = 64
-"""Datagrams that a frozen host's socket keeps."""
+"""Datagrams that the socket buffer of a frozen host holds; further ones are dropped."""
 PARTITION_POLL_SECONDS = 0.05
 
 
@@ -76,7 +76,7 @@
             self.deliver(payload, source)
 
     def deliver(self, payload: bytes, source: str) -> None:
-        """A datagram arrives."""
+        """Pass a received datagram to the handler; buffer it while the host is frozen."""
         if not self.alive or self.datagram_handler is None:
             return
         if self._frozen:
@@ -86,7 +86,7 @@
         self.datagram_handler(payload, source)
 
     def kill(self) -> None:
-        """The machine is gone: connections break, nothing is served."""
+        """Simulate a crash of the machine: connections break, nothing is served."""
         self.alive = False
         self.application = None
         self.datagram_handler = None
@@ -123,7 +123,7 @@
         self._partitioned_links: dict[tuple[str, str], None] = {}
 
     def add_host(self, name: str, place: str) -> MemoryHost:
-        """A new machine with an address of its own."""
+        """Add a machine with a new address."""
         number = len(self._hosts) + 1
         address = f"10.{number // 65536}.{number // 256 % 256}.{number % 256}:80"
         host = MemoryHost(name, address, place, self)
@@ -131,7 +131,7 @@
         return host
 
     def replace_host(self, old: MemoryHost) -> MemoryHost:
-        """A machine comes back under the same address."""
+        """Replace a machine by a restarted one with the same address."""
         host = MemoryHost(old.name, old.address, old.place, self)
         self._hosts[old.address] = host
         return host
@@ -141,17 +141,17 @@
         return self._hosts.get(address)
 
     def partition(self, sources: list[MemoryHost], destinations: list[MemoryHost]) -> None:
-        """Nothing passes from sources to destinations."""
+        """Block all traffic from sources to destinations; the other direction still works."""
         for source in sources:
             for destination in destinations:
                 self._partitioned_links[source.address, destination.address] = None
 
     def heal(self) -> None:
-        """All links work again."""
+        """Remove all partitions."""
         self._partitioned_links.clear()
 
     def is_partitioned(self, source: MemoryHost, destination: MemoryHost) -> bool:
-        """Whether messages from source to destination are held up."""
+        """Whether traffic from source to destination is blocked."""
         return (source.address, destination.address) in self._partitioned_links
 
     def latency(self, source: MemoryHost, destination: MemoryHost) -> float:
@@ -161,16 +161,16 @@
         return base * (1.0 + 0.2 * self._random.random())
 
     async def wait_for_transmission(self, source: MemoryHost, destination: MemoryHost) -> None:
-        """Time until a byte on a connection has arrived; a cut holds it up."""
+        """Wait until a byte on a connection has arrived; a partition delays it until it heals."""
         await asyncio.sleep(self.latency(source, destination))
         while self.is_partitioned(source, destination):
             await asyncio.sleep(PARTITION_POLL_SECONDS)
 
     async def wait_for_request_delivery(self, connection: MemoryConnection) -> bool:
-        """Time until a request has arrived; False when its sender reset it before.
+        """Wait until a request has arrived; returns False when its sender reset it before.
 
-        Clients reset what they give up (`reset_on_close`), so that bytes which a cut holds up are
-        dropped by their sender and don't arrive when the cut has healed.
+        Clients reset aborted connections (`reset_on_close`), so that their sender drops bytes that
+        a partition delays, and they do not arrive after the partition has healed.
         """
         source, destination = connection.client, connection.server
         await asyncio.sleep(self.latency(source, destination))
@@ -181,7 +181,7 @@
         return True
 
     def send_datagram(self, source: MemoryHost, payload: bytes, address: str) -> None:
-        """Send a datagram with this network's faults."""
+        """Send a datagram, subject to the faults of this network."""
         self.datagrams_sent += 1
         self.datagram_bytes += len(payload)
         destination = self._hosts.get(address)
@@ -216,7 +216,7 @@
         server.connections[self] = None
 
     def on_host_killed(self, dead: MemoryHost) -> None:
-        """One end died."""
+        """One of the two hosts was killed."""
         if dead is self.server:
             if self.task is not None:
                 self.task.cancel()
@@ -226,7 +226,7 @@
         self.detach()
 
     def detach(self) -> None:
-        """The connection is closed."""
+        """Remove the closed connection from both hosts."""
         self.client.connections.pop(self, None)
         self.server.connections.pop(self, None)
 
--- a/src/milletcourse/runtime/process.py
+++ b/src/milletcourse/runtime/process.py
@@ -1,4 +1,4 @@
-"""Life of a real process: readiness line, signals and planned stop."""
+"""Lifecycle of a real process: readiness line, signals and planned shutdown."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReadyLine(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The one JSON line that a process prints when it serves.
+    """The single JSON line that a process prints when it is ready to serve.
 
     Attributes:
         program: E.g. `router` or `standin-engine`.
@@ -30,7 +30,7 @@
 
 
 def print_ready(line: ReadyLine) -> None:
-    """Tell whoever started the process that it serves."""
+    """Print the readiness line for the parent process."""
     sys.stdout.write(msgspec.json.encode(line).decode() + "\n")
     sys.stdout.flush()
 
--- a/src/milletcourse/runtime/random_source.py
+++ b/src/milletcourse/runtime/random_source.py
@@ -1,4 +1,4 @@
-"""Seeded random sources, handed to the code instead of the module-level generator."""
+"""Seeded random sources, passed as arguments instead of using the module-level generator."""
 
 from __future__ import annotations
 
--- a/src/milletcourse/runtime/responsive_timer.py
+++ b/src/milletcourse/runtime/responsive_timer.py
@@ -1,4 +1,4 @@
-"""Bounds on the silence of others, in the time that this process could listen."""
+"""Timeouts for the silence of other parties, measured in responsive time."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from milletcourse.runtime.responsive_clock import ResponsiveClock
 
 RECHECK_DELAY_SECONDS = 0.01
-"""The loop runs timers before it reads its sockets, so that what has arrived is read between the
-first ring and the second: some turns of a busy loop."""
+"""Delay between the first expiry of a timer and the one that counts. The loop runs timers before it
+reads its sockets, so data that has already arrived is read in between; long enough for several
+iterations of a busy loop."""
 _SLACK_SECONDS = 0.001
 _ELAPSED = 0.0
-"""A moment of the loop's clock that is over: what is due then happens at once."""
+"""A past time of the loop's clock: a timeout rescheduled to it expires at once."""
 
 
 class ResponsiveTimer:
-    """One timer for all waits of its owner: moving the deadline costs no new timer.
+    """One reusable timer for all waits of its owner: moving the deadline needs no new loop timer.
 
-    It rings when nothing came for a time in which the event loop ran; a process that was held, or a
-    machine that slept, waits on for as long as it was away.
+    It expires when nothing arrived for some responsive time. After a stall of the process or a
+    suspension of the machine, it waits longer by the length of that stall.
     """
 
     def __init__(self, clock: ResponsiveClock, on_timeout: Callable[[], None]) -> None:
@@ -33,7 +34,7 @@
         self._handle: asyncio.TimerHandle | None = None
 
     def expect_within(self, seconds: float) -> None:
-        """Something must come within this time; infinite to wait without a bound."""
+        """Restart the timer: it expires after `seconds`, never if infinite."""
         now = self._clock.seconds()
         self._deadline = now + seconds
         self._has_rechecked = False
@@ -44,7 +45,7 @@
             self._arm(now)
 
     def stop(self) -> None:
-        """Nothing is awaited any more."""
+        """Stop the timer."""
         self._deadline = float("inf")
         if self._handle is not None:
             self._handle.cancel()
@@ -72,10 +73,10 @@
 
 @asynccontextmanager
 async def responsive_timeout(clock: ResponsiveClock, seconds: float) -> AsyncIterator[None]:
-    """`asyncio.timeout` in the time that this process could listen.
+    """`asyncio.timeout` measured in responsive time.
 
     Raises:
-        TimeoutError: The time is over.
+        TimeoutError: The body did not finish within `seconds`.
     """
     async with asyncio.timeout(None) as scope:
         timer = ResponsiveTimer(clock, lambda: scope.reschedule(_ELAPSED))
--- a/src/milletcourse/runtime/server.py
+++ b/src/milletcourse/runtime/server.py
@@ -16,12 +16,12 @@
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 AsgiApplication = Callable[..., Awaitable[None]]
-"""An ASGI callable; loosely typed since each framework types its scope in its own way."""
+"""An ASGI callable; loosely typed since each framework has its own type for the scope."""
 
 LISTEN_BACKLOG = 2048
 READY_POLL_SECONDS = 0.005
 ACCEPTED_GRACE_SECONDS = 0.25
-"""A request follows its connection within a round trip."""
+"""Time for the request of a new connection to arrive, which takes one round trip."""
 
 
 class _QuietServer(uvicorn.Server):
@@ -56,16 +56,16 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         self._task = asyncio.create_task(self._server.serve(sockets=[self._socket]))
         while not self._server.started:
             await asyncio.sleep(READY_POLL_SECONDS)
 
     async def stop(self) -> None:
-        """Stop accepting, serve what was accepted, let running requests finish, then return.
+        """Stop accepting, finish the requests of accepted connections, then return.
 
-        A connection that was accepted just before may not have sent its request yet, and uvicorn
-        closes idle connections when it exits, so there is a pause in between.
+        A connection accepted just before the stop may not have sent its request yet, and uvicorn
+        closes idle connections when it exits, so `ACCEPTED_GRACE_SECONDS` pass in between.
         """
         for server in self._server.servers:
             await drain_and_close(server)
--- a/src/milletcourse/runtime/sockets.py
+++ b/src/milletcourse/runtime/sockets.py
@@ -1,4 +1,4 @@
-"""Options of sockets that both HTTP clients need."""
+"""Socket options and queries that HTTP clients and listeners need."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 _LINGER_OFF = struct.pack("ii", 1, 0)
 _TCP_INFO_BYTES = 104
 _TCP_INFO_UNACKED_OFFSET = 24
-"""`tcpi_unacked` of Linux's `struct tcp_info`: on a listening socket, what waits to be accepted."""
+"""`tcpi_unacked` of Linux's `struct tcp_info`: on a listening socket, the connections in the
+accept queue."""
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Make a close reset the connection and drop what was not delivered.
+    """Make closing the socket reset the connection and discard undelivered data.
 
-    Without it, the kernel goes on delivering a request that was given up: one that a partition
-    held up would arrive, and run, when the partition has healed, long after the permission to run
-    it was withdrawn. An answer that has been read is not harmed by a reset.
+    Without it, the kernel continues to deliver an aborted request: one that a partition delayed
+    would arrive and run after the partition has healed, long after the permission to run it was
+    withdrawn. A reset does not affect an answer that has already been read.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_OFF)
 
 
 def waiting_connections(listener: socket.socket) -> int:
-    """Connections that have come up and aren't accepted yet; 0 where the kernel doesn't tell."""
+    """Number of connections in the accept queue; 0 where the kernel does not report it."""
     try:
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
         return int(struct.unpack_from("I", info, _TCP_INFO_UNACKED_OFFSET)[0])
@@ -33,7 +34,7 @@
 
 
 def unread_bytes(sock: socket.socket) -> int:
-    """Bytes that have arrived and aren't read yet; 0 where the kernel doesn't tell."""
+    """Number of received bytes not read yet; 0 where the kernel does not report it."""
     count = bytearray(4)
     try:
         fcntl.ioctl(sock.fileno(), termios.FIONREAD, count)
--- a/src/milletcourse/runtime/tasks.py
+++ b/src/milletcourse/runtime/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of one process, so that all of them can be ended together."""
+"""Background tasks of one process, which are cancelled together."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 async def _nothing() -> Any:
-    """Stands for work that is not started any more."""
+    """Replaces the coroutine of a task that is spawned after `cancel_all`."""
     return None
 
 
 class TaskSet:
-    """Keeps strong references to tasks and logs the ones that fail."""
+    """Holds strong references to tasks and logs those that fail."""
 
     def __init__(self, owner: str) -> None:
         self._owner = owner
@@ -27,7 +27,7 @@
         self.on_failure: Callable[[BaseException], None] | None = None
 
     def spawn(self, coroutine: Coroutine[Any, Any, T], name: str) -> asyncio.Task[T]:
-        """Start a task that ends with the process at the latest."""
+        """Start a task, which is cancelled at the latest when the process stops."""
         if self._ended:
             coroutine.close()
             coroutine = _nothing()
@@ -47,7 +47,7 @@
             self.on_failure(error)
 
     def cancel_all(self) -> list[asyncio.Task[Any]]:
-        """Cancel every task, in the order of their start; later ones are not started."""
+        """Cancel all tasks in the order of their start; tasks spawned later do not run."""
         self._ended = True
         tasks = list(self._tasks)
         for task in tasks:
@@ -55,6 +55,6 @@
         return tasks
 
     async def close(self) -> None:
-        """Cancel every task and wait for their ends."""
+        """Cancel all tasks and wait until they have finished."""
         tasks = self.cancel_all()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/tests/gateway/test_sleep_machines.py
+++ b/tests/gateway/test_sleep_machines.py
@@ -1,7 +1,8 @@
-"""Two machines that may sleep between any two steps: what ran out in a sleep is not acted on.
+"""State machine test: nothing that expired during a suspension of the machine is acted on.
 
-The cores take the time from outside, so the machines here read it as processes do: from a clock
-that counts suspension. The broken variant reads the steady clock, and is found.
+Two machines may be suspended between any two steps. The classes under test receive the time as an
+argument, so the machines read it as processes do: from a clock that counts suspensions. A broken
+variant reads a clock that does not (as CLOCK_MONOTONIC) and must fail the test.
 """
 
 from __future__ import annotations
@@ -23,33 +24,33 @@
 BURST = 20.0
 
 machines = st.sampled_from([0, 1])
-passing_times = st.one_of(st.floats(0.05, 1.0), st.floats(1.0, 8.0))
-sleep_times = st.floats(0.5, 20.0)
+elapsed_times = st.one_of(st.floats(0.05, 1.0), st.floats(1.0, 8.0))
+suspension_times = st.floats(0.5, 20.0)
 
 
 class Machine:
-    """A machine's clocks and what it holds by time."""
+    """A machine's clock and its time-limited state: a lease, a proof and a bucket."""
 
     def __init__(self, name: str, counts_sleep: bool) -> None:
         self._counts_sleep = counts_sleep
-        self._slept = 0.0
+        self._suspended_seconds = 0.0
         self.lease = LeaseTracker(name, LEASE_SECONDS, MARGIN_SECONDS)
         self.proof = ProofOfFreshness(KEY_BOUND_SECONDS, True, 1.0)
         self.bucket = SharedBucket(RATE, 0.0, BURST, 0.0)
         self.awake_at = 0.0
 
     def now(self, true_time: float) -> float:
-        """What its clock shows."""
-        return true_time if self._counts_sleep else true_time - self._slept
+        """The reading of the machine's clock."""
+        return true_time if self._counts_sleep else true_time - self._suspended_seconds
 
     def sleep(self, true_time: float, seconds: float) -> None:
-        """It stands still; true time goes on without it."""
-        self._slept += seconds
+        """Suspend the machine; true time continues."""
+        self._suspended_seconds += seconds
         self.awake_at = true_time + seconds
 
 
 class SleepingFleet(RuleBasedStateMachine):
-    """A lease in the store, a key that is revoked, and a limit, seen by two machines."""
+    """Two machines with a lease in the store, an API key that is revoked, and a shared limit."""
 
     counts_sleep = True
 
@@ -65,21 +66,21 @@
         machine = self.machines[index]
         return machine if machine.awake_at <= self.time else None
 
-    @rule(seconds=passing_times)
+    @rule(seconds=elapsed_times)
     def time_passes(self, seconds: float) -> None:
-        """For all of them."""
+        """True time advances for both machines."""
         self.time += seconds
 
-    @rule(index=machines, seconds=sleep_times)
+    @rule(index=machines, seconds=suspension_times)
     def falls_asleep(self, index: int, seconds: float) -> None:
-        """Between any two steps."""
+        """Suspend a machine; the other one continues meanwhile."""
         machine = self._awake(index)
         if machine is not None:
             machine.sleep(self.time, seconds)
 
-    @rule(index=machines, seconds=sleep_times, later=st.floats(0.0, 0.5))
+    @rule(index=machines, seconds=suspension_times, later=st.floats(0.0, 0.5))
     def sleeps_and_wakes(self, index: int, seconds: float, later: float) -> None:
-        """The next step may be the first after the wake."""
+        """Suspend a machine and advance time until after it resumes."""
         machine = self._awake(index)
         if machine is not None:
             machine.sleep(self.time, seconds)
@@ -87,21 +88,21 @@
 
     @rule(index=machines)
     def looks_at_the_lease(self, index: int) -> None:
-        """And tries to hold it, as far as that is its turn."""
+        """Read the lease in the store, and claim or renew it when that is due."""
         machine = self._awake(index)
         if machine is None:
             return
         now = machine.now(self.time)
-        place = StorePosition(UNKNOWN_ERA, self.version)
-        machine.lease.on_observed(self.stored, place, now)
+        position = StorePosition(UNKNOWN_ERA, self.version)
+        machine.lease.on_observed(self.stored, position, now)
         claim = machine.lease.next_claim(now)
-        if claim is not None and claim.expected == place:
+        if claim is not None and claim.expected == position:
             self.stored, self.version = claim.spec, self.version + 1
             machine.lease.on_written(claim, StorePosition(UNKNOWN_ERA, self.version), now)
 
     @rule(index=machines)
     def orders(self, index: int) -> None:
-        """Only the holder by the store's record may."""
+        """Only the holder recorded in the store may send orders."""
         machine = self._awake(index)
         if machine is None or not machine.lease.is_held(machine.now(self.time)):
             return
@@ -110,20 +111,20 @@
 
     @rule(index=machines)
     def proves_its_configuration(self, index: int) -> None:
-        """A call to the store, unless the key was revoked: then it would learn of it."""
+        """Prove the configuration current by a call to the store, unless the key is revoked."""
         machine = self._awake(index)
         if machine is not None and self.revoked_at is None:
             machine.proof.on_proof(machine.now(self.time))
 
     @rule()
     def operator_revokes(self) -> None:
-        """The store doesn't answer any more, so nobody hears of it."""
+        """The store stops answering after it, so no machine receives the revocation."""
         if self.revoked_at is None:
             self.revoked_at = self.time
 
     @rule(index=machines)
     def serves_a_key(self, index: int) -> None:
-        """Not later than the bound after its revocation."""
+        """The key is not served later than `KEY_BOUND_SECONDS` after its revocation."""
         machine = self._awake(index)
         if machine is None or not machine.proof.allows_keys(machine.now(self.time)):
             return
@@ -131,7 +132,7 @@
 
     @rule(index=machines)
     def spends(self, index: int) -> None:
-        """A sleep fills no bucket: what the others spent in it isn't known."""
+        """A suspension refills no bucket: what others spent meanwhile is unknown."""
         machine = self._awake(index)
         if machine is None:
             return
@@ -143,7 +144,7 @@
 
     @invariant()
     def at_most_one_holds_the_lease(self) -> None:
-        """By their own clocks, of those that are awake."""
+        """Judged by the machines' own clocks, among those that are running."""
         holding = [
             machine
             for machine in self.machines
@@ -153,23 +154,23 @@
 
 
 class SteadyClockFleet(SleepingFleet):
-    """The broken variant."""
+    """The broken variant: its clocks do not count suspensions."""
 
     counts_sleep = False
 
 
 RUNS = settings(max_examples=300, stateful_step_count=40, derandomize=True, deadline=None)
 FIRST_FAULT = settings(RUNS, max_examples=2000, report_multiple_bugs=False)
-"""Two faults come as a group of exceptions, and whether a second one is met hangs on the time that
-shrinking the first one takes."""
+"""Reports a single fault: two would be raised as an exception group, and whether a second one is
+found depends on the time that shrinking the first one takes."""
 
 
-def test_nothing_that_ran_out_in_a_sleep_is_acted_on() -> None:
-    """Leases, keys and limits."""
+def test_nothing_that_expired_in_a_suspension_is_acted_on() -> None:
+    """This covers leases, keys and limits."""
     run_state_machine_as_test(SleepingFleet, settings=RUNS)
 
 
-def test_the_steady_clock_is_found() -> None:
-    """The same machine sees the fault that it is for."""
+def test_a_clock_without_suspensions_fails() -> None:
+    """The state machine detects the fault that it is designed for."""
     with pytest.raises(AssertionError):
         run_state_machine_as_test(SteadyClockFleet, settings=FIRST_FAULT)
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -1,9 +1,9 @@
-"""Machines that sleep: the steady clock stands still meanwhile, and what ends by time ends anyway.
+"""Suspension of the machine: leases, proofs, deadlines and idle times expire during it.
 
-A suspended machine goes on with the next instruction after it wakes. By its steady clock no time
-has passed, so whatever is kept by that clock (the proof that keys still hold, a lease, a deadline,
-the idle time of a connection) looks as fresh as before the sleep. The clock that counts suspension
-shows the truth with its first reading.
+A suspended machine continues with the next instruction when it resumes. CLOCK_MONOTONIC stands
+still meanwhile, so what is timed by it (the proof that API keys are still valid, a lease, a
+deadline, the idle time of a connection) looks as fresh as before. CLOCK_BOOTTIME counts the
+suspension and shows the elapsed time at its first reading.
 """
 
 from __future__ import annotations
@@ -29,36 +29,36 @@
 from milletcourse.gateway.servers.call_client import Call, CallClient
 
 SOURCES = Path(__file__).parents[2] / "src" / "milletcourse"
-LONG_SECONDS = 60.0
+LONG_TIMEOUT_SECONDS = 60.0
 
 
-class SleepingMachine:
-    """A machine whose suspensions only the clock that counts them shows."""
+class SuspendableMachine:
+    """Simulates suspensions: only the clocks that count them advance."""
 
     def __init__(self) -> None:
-        self.slept = 0.0
+        self.suspended_seconds = 0.0
         self._read = time.clock_gettime
 
     def suspend(self, seconds: float) -> None:
-        """Sleep; nothing but clocks shows it."""
-        self.slept += seconds
+        """Simulate a suspension by advancing these clocks."""
+        self.suspended_seconds += seconds
 
     def read(self, clock: int) -> float:
-        """In the place of `time.clock_gettime`."""
+        """Replacement of `time.clock_gettime`."""
         counts = clock in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
-        return self._read(clock) + (self.slept if counts else 0.0)
+        return self._read(clock) + (self.suspended_seconds if counts else 0.0)
 
 
 @pytest.fixture
-def machine(monkeypatch: pytest.MonkeyPatch) -> Iterator[SleepingMachine]:
-    """The machine that the gateway of a test runs on."""
-    sleeping = SleepingMachine()
-    monkeypatch.setattr(time, "clock_gettime", sleeping.read)
-    yield sleeping
+def machine(monkeypatch: pytest.MonkeyPatch) -> Iterator[SuspendableMachine]:
+    """The simulated machine on which the gateway under test runs."""
+    simulated = SuspendableMachine()
+    monkeypatch.setattr(time, "clock_gettime", simulated.read)
+    yield simulated
 
 
-def test_keys_are_not_trusted_after_a_sleep(machine: SleepingMachine) -> None:
-    """They may have been revoked meanwhile, and the store says nothing."""
+def test_keys_are_not_trusted_after_a_suspension(machine: SuspendableMachine) -> None:
+    """They may have been revoked meanwhile, and the store does not answer."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -77,58 +77,60 @@
     run_with_gateway(scenario)
 
 
-def _patient_configuration() -> dict[str, object]:
-    """Routes that wait for a minute."""
+def _long_timeout_configuration() -> dict[str, object]:
+    """Routes with a timeout of one minute."""
     document = configuration()
     for route in document["Routes"]:
-        route["TimeoutMs"] = LONG_SECONDS * 1000
+        route["TimeoutMs"] = LONG_TIMEOUT_SECONDS * 1000
     return document
 
 
-def test_a_request_whose_time_ran_out_in_a_sleep_ends_at_the_wake(machine: SleepingMachine) -> None:
-    """Its timer stood still with the steady clock."""
+def test_a_request_whose_deadline_passed_in_a_suspension_ends_at_resume(
+    machine: SuspendableMachine,
+) -> None:
+    """The loop's timer for its deadline stood still with CLOCK_MONOTONIC."""
 
     async def scenario(harness: Harness) -> None:
-        begun = asyncio.Event()
+        started = asyncio.Event()
 
         async def never(_: StandinServer, __: ReceivedRequest, ___: asyncio.StreamWriter) -> None:
-            begun.set()
+            started.set()
             await asyncio.Event().wait()
 
         await harness.add_server("app-1", "app", never)
         await harness.start()
-        harness.store.put("config", "main", {**_patient_configuration(), "Version": 2})
+        harness.store.put("config", "main", {**_long_timeout_configuration(), "Version": 2})
         context = harness.node.context if harness.node is not None else None
         assert context is not None
         await harness.until(
             lambda: context.route_table is not None and context.route_table.version == 2
         )
         client = await harness.client()
-        client.send("/unsafe/", "slow", Deadline_Ms=str(int(LONG_SECONDS * 1000)))
-        await begun.wait()
-        machine.suspend(LONG_SECONDS + 1.0)
-        async with asyncio.timeout(LONG_SECONDS / 6):
+        client.send("/unsafe/", "slow", Deadline_Ms=str(int(LONG_TIMEOUT_SECONDS * 1000)))
+        await started.wait()
+        machine.suspend(LONG_TIMEOUT_SECONDS + 1.0)
+        async with asyncio.timeout(LONG_TIMEOUT_SECONDS / 6):
             got = await client.read_answer()
         assert got is not None and got.status == 504
 
     run_with_gateway(scenario)
 
 
-def test_a_repeat_after_a_sleep_gets_what_is_left_of_the_time(machine: SleepingMachine) -> None:
-    """A server must not work on for a client that has left."""
+def test_a_retry_after_a_suspension_gets_the_remaining_time(machine: SuspendableMachine) -> None:
+    """Otherwise the server would work on for a client that has already disconnected."""
 
     async def scenario(harness: Harness) -> None:
-        async def sleep_then_reset(
+        async def suspend_then_reset(
             server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
-            if machine.slept == 0.0:
+            if machine.suspended_seconds == 0.0:
                 machine.suspend(1.5)
                 await reset(server, request, writer)
                 return
             await serve_whole(server, request, writer)
 
         for number in (1, 2):
-            await harness.add_server(f"app-{number}", "app", sleep_then_reset)
+            await harness.add_server(f"app-{number}", "app", suspend_then_reset)
         await harness.start()
         got = await (await harness.client()).ask("/safe/", "repeated", Deadline_Ms="2500")
         assert got.status == 200
@@ -143,8 +145,10 @@
     run_with_gateway(scenario)
 
 
-def test_a_connection_that_was_idle_in_a_sleep_is_not_used_again(machine: SleepingMachine) -> None:
-    """Its server has closed it, or is about to."""
+def test_a_connection_that_was_idle_in_a_suspension_is_not_reused(
+    machine: SuspendableMachine,
+) -> None:
+    """Its server has probably closed it for its idle time."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -161,8 +165,8 @@
     run_with_gateway(scenario)
 
 
-def test_an_order_is_not_sent_once_its_lease_has_ended(machine: SleepingMachine) -> None:
-    """Not even when it only waited for a connection."""
+def test_an_order_is_not_sent_after_its_lease_has_expired(machine: SuspendableMachine) -> None:
+    """Also when the lease expired while the order waited for a connection."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -188,10 +192,10 @@
     run_with_gateway(scenario)
 
 
-def test_a_sleep_is_said_in_one_line(
-    machine: SleepingMachine, monkeypatch: pytest.MonkeyPatch
+def test_a_suspension_is_logged_once(
+    machine: SuspendableMachine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With its length, and how old the proof of the configuration is now."""
+    """The line contains its duration and the current age of the configuration's proof."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -209,18 +213,18 @@
     run_with_gateway(scenario)
 
 
-STEADY_CLOCK = re.compile(r"\.time\(\)|time\.monotonic|\bcall_at\(|perf_counter")
-PLACES_WITH_OTHER_TIME = ("simulation", "experiments", "benchmarks", "memory_network.py")
-"""Virtual time, and measurements of the code itself."""
+MONOTONIC_CLOCK = re.compile(r"\.time\(\)|time\.monotonic|\bcall_at\(|perf_counter")
+EXEMPT_PATHS = ("simulation", "experiments", "benchmarks", "memory_network.py")
+"""They use virtual time, or measure the run time of the code itself."""
 
 
-def test_no_source_reads_the_steady_clock() -> None:
-    """Nothing that ends by time may stand still with it; only `runtime/clock.py` reads clocks."""
+def test_no_source_reads_the_monotonic_clock() -> None:
+    """Timeouts on it would stand still in a suspension; only `runtime/clock.py` reads clocks."""
     found = [
         f"{path.relative_to(SOURCES)}:{number}"
         for path in sorted(SOURCES.rglob("*.py"))
-        if not any(place in path.parts for place in PLACES_WITH_OTHER_TIME)
+        if not any(exempt in path.parts for exempt in EXEMPT_PATHS)
         for number, line in enumerate(path.read_text().splitlines(), 1)
-        if STEADY_CLOCK.search(line) and path.name != "clock.py"
+        if MONOTONIC_CLOCK.search(line) and path.name != "clock.py"
     ]
     assert found == []
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""A planned stop of the router's own HTTP server."""
+"""Planned shutdown of the router's HTTP server."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 
 
 async def application(_: Scope, __: Receive, send: Send) -> None:
-    """Answers everything."""
+    """Answer every request with 204."""
     await send({"type": "http.response.start", "status": 204, "headers": []})
     await send({"type": "http.response.body", "body": b""})
 
 
-def test_requests_that_wait_at_the_listener_are_answered() -> None:
-    """They come up, and are written, while the loop does something else; then the stop begins."""
+def test_requests_in_the_listen_backlog_are_answered() -> None:
+    """Connections and requests arrive while the loop is busy, just before the shutdown starts.
+
+    Closing the listener would reset connections that still wait in its backlog.
+    """
 
     async def scenario() -> None:
         server = HttpServer(application, "127.0.0.1", 0)
--- a/tests/test_loss_report.py
+++ b/tests/test_loss_report.py
@@ -1,4 +1,4 @@
-"""Where service was lost, from log lines as gateways write them."""
+"""The loss report, aggregated from log lines as gateways write them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from milletcourse.exchange.messages.records import RouteKind, RouteRecord, WeightedService
 from milletcourse.reports.loss_report import loss_report, table_lines
 
-RECORDED = [
+RECORDED_LINES = [
     '  4.1103 g-1 {"node": "g-1", "instance": "i-1", "result": "not-sent", "event": '
     '"instance-ejected", "timestamp": "2026-09-17T23:51:14.110320Z"}',
     '{"node": "g-1", "route": "notes", "instance": "i-1", "result": "lost", "left": "silent", '
@@ -31,8 +31,8 @@
 
 
 def test_recorded_lines_add_up_over_gateways() -> None:
-    """By route, by moment, and by decision, with what the log left out."""
-    report = loss_report(RECORDED)
+    """By route, time interval and decision, with the number of suppressed lines."""
+    report = loss_report(RECORDED_LINES)
     assert report.gateways == ["g-1", "g-2"]
     notes = report.routes["notes"]
     assert notes.ends == {"in-time": 50, "late": 2, "cut": 1}
@@ -52,7 +52,7 @@
 
 
 def test_requests_without_an_answer_are_counted_by_cause_and_phase() -> None:
-    """Each is one decision of the gateway, beside the sums of how requests ended."""
+    """Each line is one decision of the gateway, in addition to the counts of outcomes."""
     line = (
         '{"node": "g-1", "request_id": "9", "phase": "queued", "cause": "connection-closing", '
         '"error": "", "stopping": true, "seconds": 0.2, "event": "request-unanswered", '
@@ -70,46 +70,46 @@
     ("line", "field"),
     [
         ("another program's line", "foreign"),
-        (RECORDED[2][:80], "broken"),
+        (RECORDED_LINES[2][:80], "broken"),
         ('{"event": "service-tally", "ends": 5, "timestamp": "2026-09-17T23:51:24Z"}', "unknown"),
         ('{"event": "service-tally", "timestamp": "2026-09-17T23:51:24Z"}', "unknown"),
-        (RECORDED[3].replace("2026-09-17T23:51:24.110320Z", "yesterday"), "unknown"),
+        (RECORDED_LINES[3].replace("2026-09-17T23:51:24.110320Z", "yesterday"), "unknown"),
         ('{"level": "info"}', "broken"),
     ],
 )
-def test_lines_that_are_not_ours_are_counted_and_passed_over(line: str, field: str) -> None:
-    """Logs that are cut, mixed from versions, or another program's."""
-    report = loss_report([*RECORDED, line])
+def test_unusable_lines_are_counted_and_skipped(line: str, field: str) -> None:
+    """Logs may be truncated, mixed from several versions, or from another program."""
+    report = loss_report([*RECORDED_LINES, line])
     assert report.routes["notes"].ends["in-time"] == 50
     assert getattr(report.skipped, field) == 1
 
 
-@given(st.permutations(RECORDED))
+@given(st.permutations(RECORDED_LINES))
 def test_the_order_of_lines_does_not_matter(lines: list[str]) -> None:
-    """Logs of several machines come in any order."""
-    assert loss_report(lines).routes == loss_report(RECORDED).routes
-    assert loss_report(lines).moments == loss_report(RECORDED).moments
+    """Logs of several machines are merged in any order."""
+    assert loss_report(lines).routes == loss_report(RECORDED_LINES).routes
+    assert loss_report(lines).moments == loss_report(RECORDED_LINES).moments
 
 
 @given(st.lists(st.text(max_size=60), max_size=20))
 def test_any_text_is_read_without_an_error(lines: list[str]) -> None:
-    """Nothing is found in it."""
+    """Arbitrary text yields an empty report."""
     assert loss_report(lines).routes == {}
 
 
-def test_the_command_prints_a_table_or_json_and_fails_without_sums() -> None:
-    """Its exit code tells a script whether there was anything to add up."""
+def test_the_command_prints_a_table_or_json_and_fails_without_data() -> None:
+    """The exit code tells a script whether the input contained any usable line."""
     runner = CliRunner()
-    text = "\n".join(RECORDED)
+    text = "\n".join(RECORDED_LINES)
     shown = runner.invoke(app, ["explain-losses"], input=text)
-    assert shown.exit_code == 0 and "by moment" in shown.stdout
+    assert shown.exit_code == 0 and "by interval" in shown.stdout
     as_json = runner.invoke(app, ["explain-losses", "--json"], input=text)
     assert json.loads(as_json.stdout)["routes"]["notes"]["superseded"] == 7
     assert runner.invoke(app, ["explain-losses"], input="nothing").exit_code == 1
 
 
 def test_a_tally_is_taken_once() -> None:
-    """And nothing is written when nothing was counted."""
+    """A second read returns None, since nothing was counted in between."""
     tally = ServiceTally()
     assert tally.take() is None
     tally.on_end("notes", Outcome.LATE)
@@ -121,8 +121,8 @@
     assert tally.take() is None
 
 
-def test_an_answer_is_late_by_its_first_byte_or_by_a_pause() -> None:
-    """Pauses count for streams only."""
+def test_an_answer_is_late_by_its_first_byte_or_by_a_gap() -> None:
+    """A streaming answer is late when its first byte or a later gap exceeds the target."""
     route = RouteRecord(
         "notes", "host", "/", RouteKind.STREAMING, 4.0, 0.5, 0, (WeightedService("s"),),
         gap_seconds=0.3,
