--- a/src/milletcourse/gateway/telemetry/recorder.py
+++ b/src/milletcourse/gateway/telemetry/recorder.py
@@ -324,9 +324,9 @@
         """An operator released a contained request."""
         self._log.emit("request-released", content=identity_text(identity))
 
-    def resumed_after_suspension(self, slept_seconds: float) -> None:
-        """The machine resumed after a suspension of `slept_seconds`."""
-        self._log.emit("woke", slept=round(slept_seconds, 3), **self._reported_state())
+    def resumed_after_suspension(self, suspended_seconds: float) -> None:
+        """The machine resumed after a suspension of `suspended_seconds`."""
+        self._log.emit("woke", slept=round(suspended_seconds, 3), **self._reported_state())
 
     def request_contained(self, containment: Containment) -> None:
         """A request was contained: servers crashed one after the other while they served it."""
--- a/src/milletcourse/reports/loss_report.py
+++ b/src/milletcourse/reports/loss_report.py
@@ -140,13 +140,13 @@
     skipped = SkippedLines()
     totals = _Totals()
     documents = list(read_documents(lines, skipped))
-    first = min((at for at in map(_timestamp, documents) if at is not None), default=0.0)
+    first_at = min((at for at in map(_timestamp, documents) if at is not None), default=0.0)
     for document in documents:
         event = str(document["event"])
         totals.gateways.add(str(document.get("node", "")))
         totals.left_out[event] += _int_or_zero(document.get("left_out"))
         if event == TALLY_EVENT:
-            _add_tally(totals, document, first, skipped)
+            _add_tally(totals, document, first_at, skipped)
         elif event in DECISION_FIELDS:
             about = (str(document.get(name, "")) for name in DECISION_FIELDS[event])
             totals.decisions[(event, *about)] += 1
@@ -154,7 +154,7 @@
 
 
 def _add_tally(
-    totals: _Totals, document: dict[str, Any], first: float, skipped: SkippedLines
+    totals: _Totals, document: dict[str, Any], first_at: float, skipped: SkippedLines
 ) -> None:
     at = _timestamp(document)
     try:
@@ -165,7 +165,7 @@
         skipped.unknown += 1
         return
     # A tally covers the interval that ends at its timestamp.
-    totals.add_tally(tally, max(int((at - first) / TALLY_INTERVAL_SECONDS) - 1, 0))
+    totals.add_tally(tally, max(int((at - first_at) / TALLY_INTERVAL_SECONDS) - 1, 0))
 
 
 def _report(totals: _Totals, skipped: SkippedLines) -> LossReport:
@@ -212,11 +212,13 @@
 def table_lines(report: LossReport) -> list[str]:
     """The report as a table for display."""
     columns = [outcome.value for outcome in Outcome]
-    head = f"{'':28}" + "".join(f"{name:>15}" for name in [*columns, "superseded"])
-    lines = [f"{len(report.gateways)} gateways", "", "by route", head]
-    lines += [_row(name, route.ends, route.superseded) for name, route in report.routes.items()]
-    lines += ["", f"by interval (start of {TALLY_INTERVAL_SECONDS:g} s)", head]
-    lines += [_row(f"{at.start:.0f}", at.ends, at.superseded) for at in report.moments]
+    header = f"{'':28}" + "".join(f"{name:>15}" for name in [*columns, "superseded"])
+    lines = [f"{len(report.gateways)} gateways", "", "by route", header]
+    lines += [
+        _table_row(name, route.ends, route.superseded) for name, route in report.routes.items()
+    ]
+    lines += ["", f"by interval (start of {TALLY_INTERVAL_SECONDS:g} s)", header]
+    lines += [_table_row(f"{at.start:.0f}", at.ends, at.superseded) for at in report.moments]
     lines += [
         "",
         "decisions, most frequent first per event (lines suppressed by the rate limit in brackets)",
@@ -243,6 +245,6 @@
     return lines
 
 
-def _row(label: str, ends: dict[str, int], superseded: int) -> str:
+def _table_row(label: str, ends: dict[str, int], superseded: int) -> str:
     counts = [ends.get(outcome.value, 0) for outcome in Outcome]
     return f"{label:28}" + "".join(f"{count:15}" for count in [*counts, superseded])
--- a/src/milletcourse/runtime/clock.py
+++ b/src/milletcourse/runtime/clock.py
@@ -12,14 +12,14 @@
 import time
 from typing import Protocol
 
-_COUNTS_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_BOOTTIME_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 MIN_SUSPENSION_SECONDS = 0.1
 """A smaller difference between the clocks is drift; no timeout or lease is as short."""
 
 
 def elapsed_seconds() -> float:
     """Monotonic seconds that include the time in which the machine was suspended."""
-    return time.clock_gettime(_COUNTS_SUSPENSION)
+    return time.clock_gettime(_BOOTTIME_CLOCK)
 
 
 def wall_seconds() -> float:
@@ -31,19 +31,19 @@
     """Detects suspensions of the machine: CLOCK_BOOTTIME counts them, CLOCK_MONOTONIC does not."""
 
     def __init__(self) -> None:
-        self._ahead = self._seconds_ahead()
+        self._known_suspension_seconds = self._total_suspension_seconds()
 
     def take_suspension_seconds(self) -> float:
         """Seconds of suspension of the machine since the last call; 0 without one."""
-        ahead = self._seconds_ahead()
-        slept = ahead - self._ahead
-        if slept < MIN_SUSPENSION_SECONDS:
+        total_seconds = self._total_suspension_seconds()
+        suspended_seconds = total_seconds - self._known_suspension_seconds
+        if suspended_seconds < MIN_SUSPENSION_SECONDS:
             return 0.0
-        self._ahead = ahead
-        return slept
+        self._known_suspension_seconds = total_seconds
+        return suspended_seconds
 
     @staticmethod
-    def _seconds_ahead() -> float:
+    def _total_suspension_seconds() -> float:
         return elapsed_seconds() - time.clock_gettime(time.CLOCK_MONOTONIC)
 
 
--- a/src/milletcourse/runtime/responsive_timer.py
+++ b/src/milletcourse/runtime/responsive_timer.py
@@ -45,7 +45,7 @@
             self._arm(now)
 
     def stop(self) -> None:
-        """Stop the timer."""
+        """Cancel the pending expiry; `expect_within` starts the timer again."""
         self._deadline = float("inf")
         if self._handle is not None:
             self._handle.cancel()
--- a/src/milletcourse/runtime/sockets.py
+++ b/src/milletcourse/runtime/sockets.py
@@ -7,7 +7,7 @@
 import struct
 import termios
 
-_LINGER_OFF = struct.pack("ii", 1, 0)
+_LINGER_ZERO = struct.pack("ii", 1, 0)
 _TCP_INFO_BYTES = 104
 _TCP_INFO_UNACKED_OFFSET = 24
 """`tcpi_unacked` of Linux's `struct tcp_info`: on a listening socket, the connections in the
@@ -21,7 +21,7 @@
     would arrive and run after the partition has healed, long after the permission to run it was
     withdrawn. A reset does not affect an answer that has already been read.
     """
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_OFF)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
 
 
 def waiting_connections(listener: socket.socket) -> int:
