--- a/src/milletcourse/gateway/adapter.py
+++ b/src/milletcourse/gateway/adapter.py
@@ -12,7 +12,7 @@
     ModelTarget,
 )
 from milletcourse.gateway.fleet.cache_store_probe import CacheStoreDialect
-from milletcourse.gateway.fleet.roll_out_service import OrderDialect
+from milletcourse.gateway.fleet.rollout_service import OrderDialect
 from milletcourse.gateway.state.settings import GatewaySettings
 from milletcourse.gateway.store.object_store import StoreDialect
 
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -17,7 +17,7 @@
 from milletcourse.gateway.clients.refusals import refuse
 from milletcourse.gateway.clients.request_reader import ClientRequest
 from milletcourse.gateway.fleet.cache_store_probe import CacheStoreProbe
-from milletcourse.gateway.fleet.roll_out_service import RollOutService
+from milletcourse.gateway.fleet.rollout_service import RollOutService
 from milletcourse.gateway.fleet_member import FleetMember
 from milletcourse.gateway.operator_api import OperatorApi, set_gauges
 from milletcourse.gateway.requests.exchange_runner import ExchangeRunner
