--- a/src/milletcourse/cli/contained.py
+++ b/src/milletcourse/cli/contained.py
@@ -10,7 +10,7 @@
 import typer
 
 from milletcourse.cli.operator_port import GatewayOption, call_gateway
-from milletcourse.gateway.operator_api import CONTAINED_PATH, ShownContainment
+from milletcourse.gateway.operator_api import CONTAINED_PATH, ContainmentView
 
 app = typer.Typer(
     help="Requests that gateways don't send, since servers ended under them.",
@@ -23,7 +23,7 @@
 def list_contained(gateway: GatewayOption) -> None:
     """One JSON line each: content, servers that ended, age of the latest end, time left."""
     body = asyncio.run(call_gateway("GET", gateway, CONTAINED_PATH, 200))
-    for item in msgspec.json.decode(body, type=list[ShownContainment]):
+    for item in msgspec.json.decode(body, type=list[ContainmentView]):
         sys.stdout.write(msgspec.json.encode(item).decode() + "\n")
 
 
--- a/src/milletcourse/cli/limits.py
+++ b/src/milletcourse/cli/limits.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from milletcourse.cli.operator_port import GatewayOption, call_gateway
-from milletcourse.gateway.operator_api import LIMITS_PATH, ShownLimits
+from milletcourse.gateway.operator_api import LIMITS_PATH, LimitsView
 
 
 def list_limits(gateway: GatewayOption) -> None:
@@ -18,6 +18,6 @@
     second, what all gateways spend, this one's part, the part of all gateways that it hears.
     """
     body = asyncio.run(call_gateway("GET", gateway, LIMITS_PATH, 200))
-    shown = msgspec.json.decode(body, type=ShownLimits)
+    shown = msgspec.json.decode(body, type=LimitsView)
     for item in [*shown.servers, *shown.tenants]:
         sys.stdout.write(msgspec.json.encode(item).decode() + "\n")
--- a/src/milletcourse/gateway/adapter.py
+++ b/src/milletcourse/gateway/adapter.py
@@ -37,7 +37,7 @@
     targets: str
     gateways: str
     leases: str
-    roll_out_lease: str
+    rollout_lease: str
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/milletcourse/gateway/clients/client_connection.py
+++ b/src/milletcourse/gateway/clients/client_connection.py
@@ -36,7 +36,7 @@
     def limits(self) -> EdgeLimits:
         """Limits in force."""
 
-    def asks_clients_to_leave(self) -> bool:
+    def asks_clients_to_disconnect(self) -> bool:
         """Whether answers ask clients to close their connections."""
 
     def on_unanswered(self, request: UnansweredRequest) -> None:
@@ -221,7 +221,7 @@
         """
         if self._current is None or not self._current.keep_alive:
             return True
-        if not self._edge.asks_clients_to_leave():
+        if not self._edge.asks_clients_to_disconnect():
             return False
         has_read_more = bool(self._queue) or self._reader.incoming is not None
         return not has_read_more and not self._count_unread_bytes()
--- a/src/milletcourse/gateway/fleet/cache_store_probe.py
+++ b/src/milletcourse/gateway/fleet/cache_store_probe.py
@@ -14,17 +14,17 @@
 from milletcourse.gateway.servers.call_client import Call, Reply
 from milletcourse.gateway.state.context import GatewayContext
 
-WAIT_SECONDS = 0.25
+LONG_POLL_SECONDS = 0.25
 """A call is held this long at most; shorter ones are priced as probes."""
-TIMEOUT_SECONDS = 0.8
-PAUSE_SECONDS = 0.8
+PROBE_TIMEOUT_SECONDS = 0.8
+MIN_INTERVAL_SECONDS = 0.8
 """Between calls of a gateway that is alone, so that it notices within two seconds."""
-CALLS_AT_ONCE = 1.0
+MEAN_CONCURRENT_CALLS = 1.0
 """Calls that all gateways together have at a store, on average. Stores hold about a dozen and turn
 the rest away, and each answer lists what the store has done since the gateway's last call."""
 
 
-class SignOfLife(msgspec.Struct, frozen=True):
+class ProbeReply(msgspec.Struct, frozen=True):
     """What a store of kept prompt state says when it is asked for a sign of life.
 
     Attributes:
@@ -46,10 +46,10 @@
 class CacheStoreDialect(Protocol):
     """How a store of kept prompt state is asked for a sign of life."""
 
-    def sign_of_life_call(self, position: int, wait_seconds: float) -> Call:
+    def probe_call(self, position: int, wait_seconds: float) -> Call:
         """A call that takes no slot and is held for a while; tells what came since a position."""
 
-    def read_sign(self, reply: Reply) -> SignOfLife | None:
+    def read_probe_reply(self, reply: Reply) -> ProbeReply | None:
         """What the store says; None when the reply tells nothing."""
 
 
@@ -66,35 +66,37 @@
     async def run(self) -> None:
         """Follow until cancelled."""
         # Gateways that start together don't ask together.
-        await asyncio.sleep(self._context.random.random() * self.pause_seconds())
+        await asyncio.sleep(self._context.random.random() * self.interval_seconds())
         while True:
-            await asyncio.sleep(self.pause_seconds())
+            await asyncio.sleep(self.interval_seconds())
             table = self._context.route_table
             addresses = [store.store_address for store in table.cache_stores] if table else []
             self._context.cache_store_availability.unreachable.intersection_update(addresses)
-            await asyncio.gather(*map(self.look, addresses))
+            await asyncio.gather(*map(self.probe_store, addresses))
 
-    def pause_seconds(self) -> float:
+    def interval_seconds(self) -> float:
         """Time between two looks of this gateway."""
-        return max(PAUSE_SECONDS, self._context.members * WAIT_SECONDS / CALLS_AT_ONCE)
+        return max(
+            MIN_INTERVAL_SECONDS, self._context.members * LONG_POLL_SECONDS / MEAN_CONCURRENT_CALLS
+        )
 
-    async def look(self, address: str) -> None:
+    async def probe_store(self, address: str) -> None:
         """Ask one store, and note whether it answers."""
         position = self._positions.get(address, 0)
-        call = self._dialect.sign_of_life_call(position, WAIT_SECONDS)
-        reply = await self._calls.call(address, call, TIMEOUT_SECONDS)
+        call = self._dialect.probe_call(position, LONG_POLL_SECONDS)
+        reply = await self._calls.call(address, call, PROBE_TIMEOUT_SECONDS)
         if reply is not None:
-            self._note(address, self._dialect.read_sign(reply))
+            self._on_reply(address, self._dialect.read_probe_reply(reply))
         self._context.cache_store_availability.record_probe(address, reply is not None)
 
-    def _note(self, address: str, sign: SignOfLife | None) -> None:
+    def _on_reply(self, address: str, reply_content: ProbeReply | None) -> None:
         """Go on from what a store says; one that is busy refuses without saying anything."""
-        if sign is None:
+        if reply_content is None:
             return
         known = self._starts.get(address, 0)
-        if sign.started_ms > known:
-            self._starts[address] = sign.started_ms
+        if reply_content.started_ms > known:
+            self._starts[address] = reply_content.started_ms
             if known:
                 # It has started again, and keeps nothing of what servers sent it before.
                 self._context.cache_stores.on_lost(address)
-        self._positions[address] = sign.position
+        self._positions[address] = reply_content.position
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -34,17 +34,17 @@
         self._addresses: set[tuple[str, int]] = set()
         self._transport: asyncio.DatagramTransport | None = None
         self.holds_lease = False
-        context.on_instance_ended = self._tell_ended
-        context.cache_store_availability.on_observed = self._tell_cache_store
+        context.on_instance_ended = self._notify_terminated
+        context.cache_store_availability.on_observed = self._notify_cache_store
         context.update_listeners.append(self._tick)
-        context.permits.send = self._send_unit_message
+        context.permits.send = self._send_permit_message
 
     def set_gateways(self, gateways: list[GatewayRecord], readers: list[str]) -> None:
         """Take the list of the other gateways, and of the zones' readers among them."""
         self._peers = {gateway.name: _socket_address(gateway.address) for gateway in gateways}
         self._addresses = set(self._peers.values())
         self._context.loads.set_gateways(list(self._peers), readers)
-        self._context.permits.homes.set_peers(list(self._peers))
+        self._context.permits.owner_selector.set_peers(list(self._peers))
         self._context.set_gateways(len(self._peers) + 1)
 
     # -- datagrams ------------------------------------------------------------------------------
@@ -56,7 +56,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """See `asyncio.DatagramProtocol`."""
         if is_permit_message(data):
-            self._take_unit_message(data, addr)
+            self._on_permit_message(data, addr)
             return
         message = decode_message(data)
         if message is None:
@@ -64,31 +64,33 @@
             return
         if addr not in self._addresses:
             return
-        self._context.signal_watch.on_reports(message.signals, message.scope is not LoadScope.FLEET)
+        self._context.signal_monitor.on_reports(
+            message.signals, message.scope is not LoadScope.FLEET
+        )
         now = self._context.now()
         is_newest = self._context.loads.on_message(message, now)
         if message.crashes:
-            self._context.crash_watch.report_contained()
+            self._context.crash_detector.report_contained()
         if not is_newest:
             return
         for notice in message.notices:
-            self._take_notice(notice, now)
+            self._on_notice(notice, now)
 
-    def _take_unit_message(self, data: bytes, addr: tuple[str, int]) -> None:
+    def _on_permit_message(self, data: bytes, addr: tuple[str, int]) -> None:
         message = decode_permit_message(data)
         if message is None:
             self._context.record.peer_message_refused(addr[0])
         elif addr == self._peers.get(message.sender):
             self._context.permits.on_message(message)
 
-    def _send_unit_message(self, name: str, message: PermitMessage) -> None:
+    def _send_permit_message(self, name: str, message: PermitMessage) -> None:
         address = self._peers.get(name)
         if address is not None and self._transport is not None:
             self._transport.sendto(encode_permit_message(message), address)
 
-    def _take_notice(self, notice: ServerNotice, now: float) -> None:
+    def _on_notice(self, notice: ServerNotice, now: float) -> None:
         if notice.state in (ServerState.STORE_UNREACHABLE, ServerState.STORE_REACHABLE):
-            self._take_cache_store(notice)
+            self._on_cache_store_notice(notice)
             return
         if notice.state is ServerState.TERMINATED:
             self._context.retire_instance(notice.subject, "told", notice.started_ms)
@@ -104,18 +106,18 @@
         if (instance.version(notice.model) or 0) < notice.version:
             instance.health.on_order(now + INITIAL_LOAD_SECONDS)
 
-    def _take_cache_store(self, notice: ServerNotice) -> None:
+    def _on_cache_store_notice(self, notice: ServerNotice) -> None:
         table = self._context.route_table
         stores = table.cache_stores if table is not None else []
         if any(store.store_address == notice.subject for store in stores):
             reachable = notice.state is ServerState.STORE_REACHABLE
             self._context.cache_store_availability.set_reachable(notice.subject, reachable)
 
-    def _tell_cache_store(self, address: str, reachable: bool) -> None:
+    def _notify_cache_store(self, address: str, reachable: bool) -> None:
         state = ServerState.STORE_REACHABLE if reachable else ServerState.STORE_UNREACHABLE
         self.notify(ServerNotice(address, "", 0, state))
 
-    def _tell_ended(self, instance: Instance) -> None:
+    def _notify_terminated(self, instance: Instance) -> None:
         started_ms = instance.record.started_ms
         self.notify(ServerNotice(instance.name, "", 0, ServerState.TERMINATED, started_ms))
 
--- a/src/milletcourse/gateway/fleet/rollout_service.py
+++ b/src/milletcourse/gateway/fleet/rollout_service.py
@@ -31,10 +31,10 @@
 TICK_SECONDS = 0.1
 MAX_RENEW_SECONDS = 0.9
 """The holder renews at least this often while there is work."""
-MAX_MARGIN_SECONDS = 1.0
+MAX_LEASE_MARGIN_SECONDS = 1.0
 """It stops this long before others may take over, or a third of a short lease."""
-LOOK_SECONDS = 1.0
-LOOK_SPREAD_SECONDS = 1.0
+LEASE_POLL_SECONDS = 1.0
+LEASE_POLL_SPREAD_SECONDS = 1.0
 """Others look this often whether the holder still renews."""
 ORDER_TIMEOUT_SECONDS = 0.6
 LEASE_EXTRA_SECONDS = 0.3
@@ -57,7 +57,7 @@
         """The server's state, None when it can't be read."""
 
 
-class RollOutService:
+class RolloutService:
     """Holds the lease while there is work, and gives the orders."""
 
     def __init__(
@@ -78,15 +78,15 @@
         self._orders = orders
         self._peers = peers
         duration = context.settings.bounds.lease + LEASE_EXTRA_SECONDS
-        margin = min(MAX_MARGIN_SECONDS, duration / 3)
+        margin = min(MAX_LEASE_MARGIN_SECONDS, duration / 3)
         self._lease = LeaseTracker(context.settings.name, duration, margin)
         self._renew_seconds = min(MAX_RENEW_SECONDS, (duration - margin) / 2)
-        watch = context.signal_watch
+        signal_monitor = context.signal_monitor
         self._plan = WeightRollout(
             context.gate,
             context.server_answer_rates.request_rate,
-            watch.is_leaving,
-            watch.is_backing_off,
+            signal_monitor.is_leaving,
+            signal_monitor.is_backing_off,
         )
         context.restart_listeners.append(self._plan.on_restarted)
         self._next_lease_call = 0.0
@@ -98,14 +98,14 @@
         while True:
             await asyncio.sleep(TICK_SECONDS)
             self._context.handle_suspension()
-            if not self._takes_part() or not self._plan.has_work(self._context.instances):
+            if not self._may_hold_lease() or not self._plan.has_work(self._context.instances):
                 continue
-            await self._keep_lease()
-            self._note_holder()
+            await self._maintain_lease()
+            self._update_holder()
             if self._lease.is_held(self._context.now()):
-                self._give_orders()
+                self._send_orders()
 
-    def _takes_part(self) -> bool:
+    def _may_hold_lease(self) -> bool:
         """Whether this gateway may hold the lease: only those that read the store ask for it."""
         if self._context.stopping:
             return False
@@ -113,7 +113,7 @@
 
     # -- lease ----------------------------------------------------------------------------------
 
-    async def _keep_lease(self) -> None:
+    async def _maintain_lease(self) -> None:
         now = self._context.now()
         era = self._store.era
         if era is not None and self._lease.on_era(era, now):
@@ -122,42 +122,42 @@
         if now < self._next_lease_call:
             return
         held = self._lease.is_held(now)
-        spread = self._context.random.random() * LOOK_SPREAD_SECONDS
-        self._next_lease_call = now + (self._renew_seconds if held else LOOK_SECONDS + spread)
+        spread = self._context.random.random() * LEASE_POLL_SPREAD_SECONDS
+        self._next_lease_call = now + (self._renew_seconds if held else LEASE_POLL_SECONDS + spread)
         try:
             claim = self._lease.next_claim(now)
             if claim is None:
-                await self._look_at_lease()
+                await self._read_lease()
                 claim = self._lease.next_claim(self._context.now())
             if claim is not None:
-                await self._write(claim)
+                await self._write_claim(claim)
         except StoreError as error:
-            self._on_refused(error)
+            self._on_store_error(error)
 
-    async def _look_at_lease(self) -> None:
+    async def _read_lease(self) -> None:
         try:
             stored, _ = await self._store.get(self._lease_kind, self._lease_name)
         except StoreError as error:
             if error.problem is not StoreProblem.NOT_FOUND:
                 raise
-            self._on_missing()
+            self._on_lease_missing()
             return
-        self._observe(stored)
+        self._on_lease_read(stored)
 
-    def _on_refused(self, error: StoreError) -> None:
+    def _on_store_error(self, error: StoreError) -> None:
         """The lease is another one than was known; of other failures the next look tells."""
         if error.current is not None:
-            self._observe(error.current)
+            self._on_lease_read(error.current)
         elif error.problem is StoreProblem.NOT_FOUND:
-            self._on_missing()
+            self._on_lease_missing()
         elif error.problem is StoreProblem.CONFLICT:
             self._lease.on_conflict()
 
-    def _on_missing(self) -> None:
+    def _on_lease_missing(self) -> None:
         era = self._store.era if self._store.era is not None else UNKNOWN_ERA
         self._lease.on_observed(None, StorePosition(era, NOT_THERE), self._context.now())
 
-    async def _write(self, claim: LeaseClaim) -> None:
+    async def _write_claim(self, claim: LeaseClaim) -> None:
         spec = msgspec.json.encode(claim.spec)
         if claim.creates:
             stored, sent_at = await self._store.create(self._lease_kind, self._lease_name, spec)
@@ -168,7 +168,7 @@
         self._lease.on_written(claim, stored.position, sent_at)
         self._next_lease_call = sent_at + self._renew_seconds
 
-    def _observe(self, stored: StoredObject) -> None:
+    def _on_lease_read(self, stored: StoredObject) -> None:
         try:
             spec = msgspec.json.decode(stored.spec, type=LeaseSpec)
         except msgspec.MsgspecError:
@@ -176,7 +176,7 @@
             return
         self._lease.on_observed(spec, stored.position, self._context.now())
 
-    def _note_holder(self) -> None:
+    def _update_holder(self) -> None:
         holder = self._lease.is_held(self._context.now())
         self._peers.holds_lease = holder
         if holder == self._was_holder:
@@ -189,18 +189,18 @@
 
     # -- orders ---------------------------------------------------------------------------------
 
-    def _give_orders(self) -> None:
+    def _send_orders(self) -> None:
         now = self._context.now()
         instances = list(self._context.instances)
         orders = self._plan.next_orders(
             instances, now, self._context.settings.name, self._lease.fencing_token
         )
         for order in orders:
-            self._spawn(self._give(order))
+            self._spawn(self._send_order(order))
         for instance in self._plan.due_polls(instances, now):
-            self._spawn(self._look(instance))
+            self._spawn(self._poll_server(instance))
 
-    async def _give(self, order: WeightOrder) -> None:
+    async def _send_order(self, order: WeightOrder) -> None:
         instance = self._context.instances.get(order.instance)
         if instance is None or not self._lease.is_held(self._context.now()):
             return
@@ -216,7 +216,7 @@
         if reply is not None:
             result = self._orders.read_order_reply(reply)
             if result is not OrderReply.WRONG_INSTANCE:
-                self._hear(instance, reply)
+                self._apply_signals(instance, reply)
             elif reply.instance not in ("", order.instance):
                 self._context.note_successor(instance, reply.instance)
         self._plan.on_reply(instance, result, self._context.now())
@@ -224,7 +224,7 @@
             self._notify(instance, order.model, order.version, ServerState.LOADING)
         self._context.record.weight_order(order, result)
 
-    async def _look(self, instance: Instance) -> None:
+    async def _poll_server(self, instance: Instance) -> None:
         reply = await self._calls.call(
             instance.record.address, self._orders.report_call(), ORDER_TIMEOUT_SECONDS
         )
@@ -236,20 +236,20 @@
             # Another incarnation may have told it than was asked.
             instance = self._context.instances.get(instance.name) or instance
             if report.started_ms and report.started_ms == instance.record.started_ms:
-                self._hear(instance, reply)
+                self._apply_signals(instance, reply)
         self._plan.on_report(instance, report, self._context.now())
         if self._lease.is_held(self._context.now()):
             # The next order need not wait for the next tick.
-            self._give_orders()
+            self._send_orders()
         if report is None or report.busy:
             return
         for model, version in report.weight_versions.items():
             self._notify(instance, model, version, ServerState.READY)
 
-    def _hear(self, instance: Instance, reply: Reply) -> None:
+    def _apply_signals(self, instance: Instance, reply: Reply) -> None:
         """Take what a server says of itself in a reply that is its own."""
         if reply.head is not None:
-            self._context.signal_watch.on_reply(instance, reply.head, reply.sent_at)
+            self._context.signal_monitor.on_reply(instance, reply.head, reply.sent_at)
 
     def _notify(self, instance: Instance, model: str, version: int, state: ServerState) -> None:
         started_ms = instance.record.started_ms
--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -65,10 +65,12 @@
         self._spawn = spawn
         self._gateways_kind = adapter.kinds.gateways
         self._directory = GatewayDirectory(settings.name, context.log, self._on_entry, context.now)
-        self._plan = ReaderSelection(settings.name, settings.zone, settings.link_megabits)
+        self._reader_selection = ReaderSelection(
+            settings.name, settings.zone, settings.link_megabits
+        )
         self._watched = _watched_kinds(context, adapter, self._directory)
-        self._reader = StoreSync(
-            context, store, calls, self._plan, self._watched, self._gateways_kind, spawn
+        self._store_sync = StoreSync(
+            context, store, calls, self._reader_selection, self._watched, self._gateways_kind, spawn
         )
 
     async def start(self) -> None:
@@ -83,7 +85,7 @@
             self._context.log.emit("peers-unavailable", ports=settings.internal_ports)
         else:
             await self._join(f"{settings.host}:{port}")
-        self._spawn(self._reader.run())
+        self._spawn(self._store_sync.run())
 
     async def _join(self, address: str) -> None:
         settings = self._context.settings
@@ -91,23 +93,23 @@
         feed_address = await self._listen_for_followers()
         self._directory.add_listener(self._on_gateways)
         self._spawn(self.peers.run())
-        location = GatewayEntry(address, settings.zone, feed_address, settings.link_megabits)
+        base_entry = GatewayEntry(address, settings.zone, feed_address, settings.link_megabits)
         registration = Registration(
             self._store,
             self._gateways_kind,
             settings.name,
             self._directory,
-            lambda: self._entry_of(location),
+            lambda: self._current_entry(base_entry),
             lambda found: self._on_entry(found, True),
-            self._gateways_listed_at,
+            self._gateways_position,
             self._context.random,
             self._context.record.store.entry_written_again,
         )
         self._spawn(registration.run())
-        self._context.crash_watch.listeners.append(registration.on_change)
+        self._context.crash_detector.listeners.append(registration.on_change)
         self._context.on_restore_update = registration.on_change
 
-    def _gateways_listed_at(self) -> StorePosition | None:
+    def _gateways_position(self) -> StorePosition | None:
         mirrors = [kind.mirror for kind in self._watched]
         return next(mirror.position for mirror in mirrors if mirror.kind == self._gateways_kind)
 
@@ -125,7 +127,7 @@
         """Bounds on time."""
         self._directory.expire_missing(now)
 
-    def _entry_of(self, location: GatewayEntry) -> GatewayEntry:
+    def _current_entry(self, base_entry: GatewayEntry) -> GatewayEntry:
         """This gateway's entry as it should be now."""
         context = self._context
         reports = context.crash_evidence.locally_persisted(context.now())
@@ -133,7 +135,7 @@
         if context.reads_store and self._directory.confirmed_era < context.confirmed_era.latest:
             confirmed_era = context.confirmed_era.latest
         return msgspec.structs.replace(
-            location,
+            base_entry,
             contained=[ContainedRequest.from_report(report) for report in reports],
             confirmed_era=confirmed_era,
             lost_configuration=context.lost_configuration.version if context.reads_store else 0,
@@ -145,9 +147,9 @@
         if entry.lost_configuration:
             self._context.on_lost_configuration(entry.lost_configuration)
         if entry.contained:
-            self._on_contained(entry, is_own)
+            self._on_contained_requests(entry, is_own)
 
-    def _on_contained(self, entry: GatewayEntry, is_own: bool) -> None:
+    def _on_contained_requests(self, entry: GatewayEntry, is_own: bool) -> None:
         """A gateway found requests that end servers."""
         context = self._context
         try:
@@ -157,12 +159,12 @@
             return
         age_seconds = max(wall_seconds() - entry.contained_at, 0.0)
         context.crash_evidence.restore(reports, age_seconds, context.now(), is_own)
-        context.crash_watch.report_contained()
+        context.crash_detector.report_contained()
 
     def _on_gateways(self, others: list[GatewayRecord]) -> None:
         own_name = self._context.settings.name
-        self._plan.set_gateways(others)
-        readers = [name for name in self._plan.primary_readers if name != own_name]
+        self._reader_selection.set_gateways(others)
+        readers = [name for name in self._reader_selection.primary_readers if name != own_name]
         self.peers.set_gateways(others, readers)
         self._context.crash_evidence.on_peers_known()
 
@@ -195,7 +197,7 @@
 
     def close(self) -> None:
         """Stop following and telling."""
-        self._reader.close()
+        self._store_sync.close()
         self.peers.close()
 
 
@@ -210,8 +212,8 @@
     instances = InstanceEventHandler(context, adapter.decode_instance)
     targets = TargetEventHandler(context, adapter.decode_target)
 
-    def mirror(kind: str, sink: KindEventHandler) -> KindMirror:
-        return KindMirror(kind, sink, context.record.store)
+    def mirror(kind: str, handler: KindEventHandler) -> KindMirror:
+        return KindMirror(kind, handler, context.record.store)
 
     # The configuration comes first: it is asked for most often.
     return (
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -17,7 +17,7 @@
 from milletcourse.gateway.clients.refusals import refuse
 from milletcourse.gateway.clients.request_reader import ClientRequest
 from milletcourse.gateway.fleet.cache_store_probe import CacheStoreProbe
-from milletcourse.gateway.fleet.rollout_service import RollOutService
+from milletcourse.gateway.fleet.rollout_service import RolloutService
 from milletcourse.gateway.fleet_member import FleetMember
 from milletcourse.gateway.operator_api import OperatorApi, set_gauges
 from milletcourse.gateway.requests.exchange_runner import ExchangeRunner
@@ -35,9 +35,9 @@
 
 LISTEN_BACKLOG = 1024
 SWEEP_SECONDS = 0.25
-LATE_SECONDS = 0.25
+LOOP_STALL_SECONDS = 0.25
 """A loop that is later than this shows in answers; shorter pauses are collections and bursts."""
-LOOK_SECONDS = 0.05
+STOP_POLL_SECONDS = 0.05
 """Between two looks of a planned stop at its connections."""
 
 
@@ -62,8 +62,8 @@
         self._clients: set[ClientConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._listeners: list[asyncio.Server | Acceptor] = []
-        self._seen_running_at = self.context.now()
-        self.duty_failed = asyncio.Event()
+        self._last_responsive_at = self.context.now()
+        self.task_failed = asyncio.Event()
         self.readiness_address = settings.readiness
         self.frontend_address = settings.frontend
         self._calls = CallClient(self.context.pool, self.context.record.store.call_given_up)
@@ -89,20 +89,20 @@
         self.context.log.emit("started", frontend=self.frontend_address)
         await self._fleet.start()
         kinds = self._adapter.kinds
-        roll_out = RollOutService(
+        rollout = RolloutService(
             self.context,
             self._store,
             kinds.leases,
-            kinds.roll_out_lease,
+            kinds.rollout_lease,
             self._calls,
             self._adapter.orders,
             self._fleet.peers,
         )
-        self._spawn(roll_out.run())
+        self._spawn(rollout.run())
         probe = CacheStoreProbe(self.context, self._calls, self._adapter.cache_store)
         self._spawn(probe.run())
         self._spawn(self._sweep())
-        self._spawn(self._tally())
+        self._spawn(self._log_tallies())
 
     async def _listen(self, address: str, handler: Handler) -> str:
         """Listen at an address; port 0 takes a free one. Returns the address taken."""
@@ -121,14 +121,14 @@
     def _listen_for_clients(self, address: str, handler: Handler) -> str:
         """Listen where clients come, and accept no more than can be served; the address taken."""
         host, _, port = address.rpartition(":")
-        gate = ConnectionLimiter(self.context)
+        limiter = ConnectionLimiter(self.context)
         listening = listening_socket(host, int(port), LISTEN_BACKLOG)
 
         def new_connection() -> ClientConnection:
-            return ClientConnection(self.context, handler, refuse, self._clients, gate.clients)
+            return ClientConnection(self.context, handler, refuse, self._clients, limiter.clients)
 
         self._listeners.append(
-            Acceptor(listening, new_connection, lambda: gate.capacity(listening))
+            Acceptor(listening, new_connection, lambda: limiter.capacity(listening))
         )
         bound_host, bound_port = listening.getsockname()[:2]
         return f"{bound_host}:{bound_port}"
@@ -164,8 +164,8 @@
             self.context.responsive_clock.expect_turn(SWEEP_SECONDS)
             await asyncio.sleep(SWEEP_SECONDS)
             self.context.handle_suspension()
-            now = self._seen_running_at = self.context.now()
-            if now - due_at > LATE_SECONDS:
+            now = self._last_responsive_at = self.context.now()
+            if now - due_at > LOOP_STALL_SECONDS:
                 self.context.record.loop_late(now - due_at)
             for client in list(self._clients):
                 client.check_timeouts(now)
@@ -175,13 +175,13 @@
             self.context.gate.forget_before(now)
             self.context.report_suspicions()
             self.context.report_limits()
-            self.context.crash_watch.sweep()
+            self.context.crash_detector.sweep()
             self.context.permits.sweep(self._server_keys)
 
     def _server_keys(self) -> set[int]:
         return {instance.key for instance in self.context.instances}
 
-    async def _tally(self) -> None:
+    async def _log_tallies(self) -> None:
         """Sums for the log, at a bounded rate."""
         while True:
             await asyncio.sleep(TALLY_INTERVAL_SECONDS)
@@ -193,13 +193,13 @@
         """Leave the entry, serve what comes meanwhile, end within the grace time."""
         context = self.context
         stop = context.planned_stop = PlannedStop(
-            context.now(), self._seen_running_at, context.settings.bounds.grace
+            context.now(), self._last_responsive_at, context.settings.bounds.grace
         )
         context.log.emit("stopping", connections=len(self._clients))
         await asyncio.sleep(max(stop.refuses_at - context.now(), 0.0))
         for listener in self._listeners:
             await self._close_listener(listener)
-        await self._end_connections(stop)
+        await self._close_connections(stop)
         context.record.tallied()
         context.log.emit("stopped", unfinished=len(self._clients))
         self.close()
@@ -209,11 +209,11 @@
         waiting = await close_when_empty(listener)
         self.context.record.listener_closed(f"{host}:{port}", waiting)
 
-    async def _end_connections(self, stop: PlannedStop) -> None:
+    async def _close_connections(self, stop: PlannedStop) -> None:
         """Close each connection when nothing is left on it, until all are or the time is over."""
         while True:
             # First, since connections that were just accepted aren't registered yet.
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(STOP_POLL_SECONDS)
             now = self.context.now()
             if not self._clients or stop.phase(now) is StopPhase.EXPIRED:
                 return
@@ -231,7 +231,7 @@
         for client in list(self._clients):
             client.abort_at_shutdown()
         self._fleet.close()
-        self.context.crash_watch.close()
+        self.context.crash_detector.close()
         self.context.pool.close()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -247,4 +247,4 @@
         # A gateway without one of its duties must not go on looking healthy; what it serves is
         # not the cause, and ends as in any planned stop.
         self.context.log.emit("task-failed", error=repr(task.exception()))
-        self.duty_failed.set()
+        self.task_failed.set()
--- a/src/milletcourse/gateway/operator_api.py
+++ b/src/milletcourse/gateway/operator_api.py
@@ -32,7 +32,7 @@
 STORE_STATE_PATH = "/store-state"
 
 
-class ShownContainment(msgspec.Struct, frozen=True):
+class ContainmentView(msgspec.Struct, frozen=True):
     """A request that isn't sent to servers, as operators see it.
 
     Attributes:
@@ -48,7 +48,7 @@
     seconds_left: float
 
 
-class ShownLimits(msgspec.Struct, frozen=True):
+class LimitsView(msgspec.Struct, frozen=True):
     """All bounds that gateways keep together, as one of them knows them.
 
     Attributes:
@@ -101,17 +101,17 @@
         elif request.method == b"GET" and path == STORE_STATE_PATH:
             _answer(client, JSON_CONTENT_TYPE, msgspec.json.encode(await self._store_state()))
         elif request.method == b"DELETE" and path.startswith(CONTAINED_PATH + "/"):
-            self._release(path.removeprefix(CONTAINED_PATH + "/"), client)
+            self._release_contained(path.removeprefix(CONTAINED_PATH + "/"), client)
         else:
             refuse(
                 client,
                 NotFound("figures, limits, signals, the store's state and contained requests only"),
             )
 
-    def _contained(self) -> list[ShownContainment]:
+    def _contained(self) -> list[ContainmentView]:
         now = self._context.now()
         return [
-            ShownContainment(
+            ContainmentView(
                 identity_text(item.identity),
                 item.crashes,
                 round(now - item.last_crash_at, 3),
@@ -120,10 +120,10 @@
             for item in self._context.crash_evidence.containments(now)
         ]
 
-    def _limits(self) -> ShownLimits:
+    def _limits(self) -> LimitsView:
         context = self._context
         servers = (context.permits.state(instance) for instance in context.instances)
-        return ShownLimits(
+        return LimitsView(
             sorted((item for item in servers if item is not None), key=lambda item: item.instance),
             context.tenant_limits.states(context.now()),
         )
@@ -139,12 +139,12 @@
             (state for state in states if state is not None), key=lambda item: item.instance
         )
 
-    def _release(self, content: str, client: ClientConnection) -> None:
+    def _release_contained(self, content: str, client: ClientConnection) -> None:
         """Send a request again, at all gateways: they are told as of an answer to it."""
         if content not in {item.content for item in self._contained()}:
             refuse(client, NotFound("no contained request has this content"))
             return
-        self._context.crash_watch.release(int(content, 16))
+        self._context.crash_detector.release(int(content, 16))
         client.send_whole(204, b"", [], b"")
 
 
--- a/src/milletcourse/gateway/process.py
+++ b/src/milletcourse/gateway/process.py
@@ -20,11 +20,11 @@
 if TYPE_CHECKING:
     from milletcourse.gateway.telling.metrics import GatewayMetrics
 
-STANDARD_OUTPUT = 1
-DUTY_FAILED_EXIT = 70
+STDOUT_FD = 1
+TASK_FAILED_EXIT_CODE = 70
 """Exit code of a gateway that stopped since one of its duties had failed: an internal error."""
 SETTINGS_POLL_SECONDS = 1.0
-COLLECTION_THRESHOLD = 20_000
+GC_THRESHOLD_ALLOCATIONS = 20_000
 """Allocations between garbage collections: fewer pauses, since requests leave no cycles."""
 
 
@@ -45,7 +45,7 @@
         mechanisms: Those that are switched on.
     """
     gc.freeze()
-    gc.set_threshold(COLLECTION_THRESHOLD, 20, 20)
+    gc.set_threshold(GC_THRESHOLD_ALLOCATIONS, 20, 20)
     uvloop.run(_serve(settings_path, adapter, metrics_port, metrics_path, mechanisms))
 
 
@@ -58,7 +58,7 @@
 ) -> None:
     content = settings_path.read_bytes()
     settings = adapter.read_settings(content)
-    log = EventLog(settings.name, NonBlockingWriter(STANDARD_OUTPUT))
+    log = EventLog(settings.name, NonBlockingWriter(STDOUT_FD))
     metrics = _new_metrics() if metrics_port else None
     node = GatewayNode(settings, adapter, random.Random(), log, metrics, mechanisms)
     loop = asyncio.get_running_loop()
@@ -70,20 +70,20 @@
     await node.start()
     if metrics is not None:
         await node.listen_for_operators(metrics_port, metrics_path)
-    following = asyncio.create_task(reloader.follow())
-    await _first_of(stopped, node.duty_failed)
-    following.cancel()
+    watcher = asyncio.create_task(reloader.watch_file())
+    await _wait_for_any(stopped, node.task_failed)
+    watcher.cancel()
     await node.stop()
-    if node.duty_failed.is_set():
-        raise SystemExit(DUTY_FAILED_EXIT)
+    if node.task_failed.is_set():
+        raise SystemExit(TASK_FAILED_EXIT_CODE)
 
 
-async def _first_of(*events: asyncio.Event) -> None:
+async def _wait_for_any(*events: asyncio.Event) -> None:
     """Wait until one of the events is set."""
-    waits = [asyncio.create_task(event.wait()) for event in events]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+    tasks = [asyncio.create_task(event.wait()) for event in events]
+    await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+    for task in tasks:
+        task.cancel()
 
 
 def _new_metrics() -> GatewayMetrics:
@@ -124,17 +124,17 @@
         self._node.context.apply_settings(settings)
         self._log.emit("settings-reloaded")
 
-    async def follow(self) -> None:
+    async def watch_file(self) -> None:
         """Notice changes of the file that no signal tells of, also those during the start."""
-        seen = 0
+        last_modified_at = 0
         while True:
             await asyncio.sleep(SETTINGS_POLL_SECONDS)
-            changed_at = self._changed_at()
-            if changed_at != seen:
-                seen = changed_at
+            modified_at = self._modified_at()
+            if modified_at != last_modified_at:
+                last_modified_at = modified_at
                 self.reload()
 
-    def _changed_at(self) -> int:
+    def _modified_at(self) -> int:
         try:
             return os.stat(self._path).st_mtime_ns
         except OSError:
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -191,7 +191,7 @@
         self._connection = connection
         self.sent_at = self._context.now()
         self._note_received()
-        self._context.signal_watch.on_send(self._instance)
+        self._context.signal_monitor.on_send(self._instance)
         self._send(connection)
         self._listener.on_sent(self)
         try:
@@ -220,7 +220,7 @@
         self.abort_cause = self._context.permits.blocking_cause(self._permit, self._instance)
         if self.abort_cause is not None:
             return False
-        return self._context.crash_watch.containment(lambda: self._job.identity) is None
+        return self._context.crash_detector.containment(lambda: self._job.identity) is None
 
     def _send(self, connection: ServerConnection) -> None:
         request = self._job.request
@@ -246,7 +246,7 @@
             return self._lost(connection, event.lost)
         head = event.head
         self._answer_started = True
-        self._context.signal_watch.on_answer(self._instance, head, self.sent_at)
+        self._context.signal_monitor.on_answer(self._instance, head, self.sent_at)
         if head.weight_version is not None and self._job.request.model:
             self._instance.note_version(self._job.request.model, head.weight_version)
         if head.successful and head.event_stream and self._job.route.streaming:
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -186,7 +186,7 @@
         """Another server did not continue the stream; the first one still serves it."""
         self._note_attempt_end(server_attempt, result)
         if server_attempt.attempt.loss in CLOSED_BY_SERVER:
-            detector = self._context.crash_watch
+            detector = self._context.crash_detector
             detector.on_loss(
                 self._job.identity, server_attempt.instance, server_attempt.attempt.sent_at
             )
@@ -220,7 +220,7 @@
 
         An answer is evidence against it, and a crashed server is evidence for it.
         """
-        detector = self._context.crash_watch
+        detector = self._context.crash_detector
         if result in (AttemptResult.ANSWERED, AttemptResult.FAILED):
             detector.on_answer(self._job.identity)
             return
@@ -246,7 +246,7 @@
         return self._job.identity
 
     def _containment(self) -> Containment | None:
-        return self._context.crash_watch.containment(self._identity)
+        return self._context.crash_detector.containment(self._identity)
 
     def _seconds_left(self) -> float:
         return self._job.deadline_at - self._context.now()
--- a/src/milletcourse/gateway/requests/stream_handover.py
+++ b/src/milletcourse/gateway/requests/stream_handover.py
@@ -77,8 +77,8 @@
         if self._successor is None:
             return
         is_successor = self._successor.attempt is attempt
-        runner = HandoverSide.SUCCESSOR if is_successor else HandoverSide.FIRST
-        self._apply_step(self._core.on_chunk(runner), AbortCause.FIRST_CONTINUED)
+        side = HandoverSide.SUCCESSOR if is_successor else HandoverSide.FIRST
+        self._apply_action(self._core.on_chunk(side), AbortCause.FIRST_CONTINUED)
 
     # -- calls of the exchange ------------------------------------------------------------------
 
@@ -107,13 +107,13 @@
     # -- internals ------------------------------------------------------------------------------
 
     def _on_overlap_over(self) -> None:
-        self._apply_step(self._core.on_overlap_timeout(), AbortCause.OVERLAP_TIMEOUT)
+        self._apply_action(self._core.on_overlap_timeout(), AbortCause.OVERLAP_TIMEOUT)
 
-    def _apply_step(self, step: HandoverAction, cause: AbortCause) -> None:
-        if step is HandoverAction.WAIT or self.current is None or self._successor is None:
+    def _apply_action(self, action: HandoverAction, cause: AbortCause) -> None:
+        if action is HandoverAction.WAIT or self.current is None or self._successor is None:
             return
         self._stop_timer()
-        if step is HandoverAction.CANCEL_FIRST:
+        if action is HandoverAction.CANCEL_FIRST:
             self.current.attempt.end(AbortCause.HANDED_OVER)
             return
         self._successor.attempt.end(cause)
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -72,7 +72,7 @@
         self,
         own_name: str,
         signals: ServerSignals,
-        pauses: PermitRetryDelays,
+        retry_delays: PermitRetryDelays,
         on_reports: ReportHandler,
         random_source: random.Random,
         clock: AttendedClock,
@@ -93,8 +93,8 @@
             members: Number of known gateways.
             figures: Counts permit requests.
         """
-        self.homes = QuotaOwnerSelector(own_name)
-        self.pauses = pauses
+        self.owner_selector = QuotaOwnerSelector(own_name)
+        self.retry_delays = retry_delays
         self.send: SendMessage = lambda name, message: None
         self._own_name = own_name
         self._signals = signals
@@ -125,7 +125,7 @@
         self._figures.on_unit_asked(reply.granted)
         if reply.granted:
             return Permit(key, self._now() + PERMIT_VALIDITY_SECONDS)
-        self.pauses.on_denied(key, reply, per_second, self._now())
+        self.retry_delays.on_denied(key, reply, per_second, self._now())
         return None
 
     def without_limit(self, instance: Instance) -> Permit:
@@ -156,7 +156,7 @@
         if per_second is None:
             return None
         now = self._now()
-        owner = self.homes.select(instance.key, now)
+        owner = self.owner_selector.select(instance.key, now)
         age_seconds = round(self._signals.limit_age(instance.key, now), 3)
         return ServerLimitState(
             instance.name, per_second, age_seconds, owner.name, owner.role.value
@@ -171,17 +171,17 @@
             instances: The servers.
             now: Monotonic time at which they were left out.
         """
-        return self.pauses.retry_after_seconds([instance.key for instance in instances], now)
+        return self.retry_delays.retry_after_seconds([instance.key for instance in instances], now)
 
     async def _request_permit(self, key: int, per_second: float, rank: int) -> PermitReply:
-        chosen = self.homes.select(key, self._now())
+        chosen = self.owner_selector.select(key, self._now())
         if chosen.name == self._own_name:
             return self._grant(key, per_second, chosen.role, self._own_name, rank)
         reply = await self._request_from_owner(chosen, key, rank)
         if reply is not None:
-            self.homes.on_reply(chosen.name)
+            self.owner_selector.on_reply(chosen.name)
             return reply
-        self.homes.on_no_reply(chosen.name, self._now())
+        self.owner_selector.on_no_reply(chosen.name, self._now())
         self._figures.on_lender_silent()
         # Another quota owner is asked by the next request only: this one has waited long enough.
         return PermitReply(False)
@@ -239,8 +239,8 @@
         per_second = self._signals.send_rate(request.key)
         reply = GRANTED
         if per_second is not None:
-            standing = self.homes.own_role(request.key)
-            reply = self._grant(request.key, per_second, standing, request.sender, request.priority)
+            role = self.owner_selector.own_role(request.key)
+            reply = self._grant(request.key, per_second, role, request.sender, request.priority)
         self.send(
             request.sender,
             PermitMessage(
@@ -255,10 +255,10 @@
         )
 
     def _grant(
-        self, key: int, per_second: float, standing: OwnerRole, requester: str, rank: int
+        self, key: int, per_second: float, role: OwnerRole, requester: str, rank: int
     ) -> PermitReply:
         return self._quota_owner.request_permit(
-            key, per_second, standing, self._members(), requester, rank, self._now()
+            key, per_second, role, self._members(), requester, rank, self._now()
         )
 
     def sweep(self, servers: Callable[[], Collection[int]]) -> None:
@@ -270,4 +270,4 @@
         now = self._now()
         self._quota_owner.drop_idle(now)
         self._signals.expire(now, servers)
-        self.pauses.expire(now)
+        self.retry_delays.expire(now)
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -132,10 +132,10 @@
         self.responsive_clock = AttendedClock()
         self.update_listeners: list[Callable[[], None]] = []
         self.server_signals = ServerSignals()
-        pauses = PermitRetryDelays()
-        self.signal_watch = SignalMonitor(
+        retry_delays = PermitRetryDelays()
+        self.signal_monitor = SignalMonitor(
             self.server_signals,
-            pauses,
+            retry_delays,
             self.instances,
             self.record,
             self._announce_update,
@@ -144,8 +144,8 @@
         self.permits = ServerPermits(
             settings.name,
             self.server_signals,
-            pauses,
-            self.signal_watch.on_reports,
+            retry_delays,
+            self.signal_monitor.on_reports,
             random_source,
             self.responsive_clock,
             self.now,
@@ -168,7 +168,7 @@
             settings.zone,
             random_source,
             mechanisms,
-            pauses,
+            retry_delays,
         )
         self.weights = WeightedChoice(random_source)
         self.short_of_descriptors_until = float("-inf")
@@ -180,7 +180,7 @@
             self.descriptors.idle_servers,
             self._connection_quota,
         )
-        self.crash_watch = CrashDetector(
+        self.crash_detector = CrashDetector(
             self.crash_evidence, self.pool, self.record, self._announce_update
         )
         self.gateways = 0
@@ -268,7 +268,7 @@
         stop = self.planned_stop
         return stop is not None and stop.phase(self.now()) is not StopPhase.DRAINING
 
-    def asks_clients_to_leave(self) -> bool:
+    def asks_clients_to_disconnect(self) -> bool:
         """Whether answers ask clients to close their connections.
 
         They do during a planned stop, and while other clients wait for descriptors.
@@ -365,7 +365,7 @@
     def _on_restarted(self, before: Instance) -> None:
         """Handle a restart of a server under its name, which aborted all its running requests."""
         self.record.instance_restarted(before.name)
-        self.crash_watch.on_instance_terminated(before.name)
+        self.crash_detector.on_instance_terminated(before.name)
         for listener in self.restart_listeners:
             listener(before)
 
@@ -384,7 +384,7 @@
         if Mechanism.INCARNATION_CHECK not in self.mechanisms or not self.instances.terminate(name):
             return False
         self.record.instance_ended(name, successor)
-        self.crash_watch.on_instance_terminated(name)
+        self.crash_detector.on_instance_terminated(name)
         return True
 
     def _announce_update(self) -> None:
--- a/src/milletcourse/gateway/store/event_handlers.py
+++ b/src/milletcourse/gateway/store/event_handlers.py
@@ -77,8 +77,12 @@
         self._record_proof(sent_at)
 
     def _log_in_force(self, configuration: ExchangeConfiguration, size: int) -> None:
-        not_out_at = self._context.lag.not_committed_at
-        late = {} if not_out_at is None else {"out_for_at_most": self._context.now() - not_out_at}
+        not_committed_at = self._context.lag.not_committed_at
+        late = (
+            {}
+            if not_committed_at is None
+            else {"out_for_at_most": self._context.now() - not_committed_at}
+        )
         self._context.log.emit(
             "configuration-in-force",
             version=configuration.version,
@@ -89,14 +93,14 @@
         )
 
     def on_change_announced(
-        self, effect: ConfigurationEffect | None, not_out_at: float | None
+        self, effect: ConfigurationEffect | None, not_committed_at: float | None
     ) -> None:
         """See `KindEventHandler`."""
         context = self._context
         if not context.lag.is_behind:
             context.record.store.configuration_announced(effect is not None)
         proved_at = context.freshness.proved_at
-        context.lag.on_announced(max(proved_at, not_out_at or proved_at), effect)
+        context.lag.on_announced(max(proved_at, not_committed_at or proved_at), effect)
 
     def on_pending_proof(self, sent_at: float) -> None:
         """See `KindEventHandler`: proves what the announced change doesn't affect."""
@@ -190,7 +194,7 @@
                 instances.remove(change.stored.name, self._context.now())
                 self._context.log.emit("instance-gone", instance=change.stored.name)
                 if instances.get(change.stored.name) is None:
-                    self._context.crash_watch.on_instance_terminated(change.stored.name)
+                    self._context.crash_detector.on_instance_terminated(change.stored.name)
                 continue
             record = self._read(change.stored)
             if record is None:
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -165,7 +165,9 @@
     ) -> None:
         self._context.confirmed_era.on_peer_confirmed(answer.confirmed_era)
         offset = answer.unpublished_offset
-        not_out_at = self._proved_at - answer.proof_offset + offset if offset is not None else None
+        not_committed_at = (
+            self._proved_at - answer.proof_offset + offset if offset is not None else None
+        )
         for fed in answer.kinds:
             if fed.kind not in self._mirrors:
                 continue
@@ -173,7 +175,7 @@
             if fed.kind in self._pending:
                 is_proven = fed.kind == self._proof_mirror.kind
                 effect = answer.effect if is_proven else None
-                self._mirrors[fed.kind].on_announced(effect, not_out_at)
+                self._mirrors[fed.kind].on_announced(effect, not_committed_at)
                 self._start_fetch(reader, fed.kind)
         reported_kinds = {fed.kind for fed in answer.kinds}
         for kind, mirror in self._mirrors.items():
@@ -186,10 +188,10 @@
             self._context.on_lost_configuration(answer.configuration)
         if (
             answer.is_receiving
-            and not_out_at is not None
+            and not_committed_at is not None
             and self._proof_mirror.kind not in reported_kinds
         ):
-            self._proof_mirror.on_announced(None, not_out_at)
+            self._proof_mirror.on_announced(None, not_committed_at)
 
     def _apply_updates(self, updates: list[FedUpdate]) -> None:
         for update in updates:
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -53,7 +53,7 @@
         """
 
     def on_change_announced(
-        self, effect: ConfigurationEffect | None, not_out_at: float | None
+        self, effect: ConfigurationEffect | None, not_committed_at: float | None
     ) -> None:
         """Handle the announcement of a published change that hasn't arrived here yet.
 
@@ -85,7 +85,7 @@
         """See `KindEventHandler`."""
 
     def on_change_announced(
-        self, effect: ConfigurationEffect | None, not_out_at: float | None
+        self, effect: ConfigurationEffect | None, not_committed_at: float | None
     ) -> None:
         """See `KindEventHandler`."""
 
@@ -186,7 +186,7 @@
         """Note that a list is being received from the store; it may contain nothing new."""
         self.is_receiving = True
 
-    def on_change_coming(self, not_out_at: float | None) -> None:
+    def on_change_coming(self, not_committed_at: float | None) -> None:
         """Note that a change is being received from the store.
 
         Args:
@@ -194,11 +194,13 @@
                 of freshness bound that time.
         """
         self.is_receiving = True
-        self._handler.on_change_announced(None, not_out_at)
+        self._handler.on_change_announced(None, not_committed_at)
 
-    def on_announced(self, effect: ConfigurationEffect | None, not_out_at: float | None) -> None:
+    def on_announced(
+        self, effect: ConfigurationEffect | None, not_committed_at: float | None
+    ) -> None:
         """Report a change that a reader announced, and whose content hasn't arrived yet."""
-        self._handler.on_change_announced(effect, not_out_at)
+        self._handler.on_change_announced(effect, not_committed_at)
 
     def on_pending_proof(self, sent_at: float) -> None:
         """Report a reader's proof that nothing but the announced changes is missing."""
--- a/src/milletcourse/gateway/store/kind_watch.py
+++ b/src/milletcourse/gateway/store/kind_watch.py
@@ -107,9 +107,12 @@
         wait_seconds = 0.0 if self._is_late else self._wait_seconds
         # The previous answer didn't contain the changes of this one, so they weren't published when
         # the store sent it: at most its overrun beyond the wait ago.
-        not_out_at = None if self._is_late else elapsed_seconds() - self._overrun_seconds
+        not_committed_at = None if self._is_late else elapsed_seconds() - self._overrun_seconds
         changes, sent_at = await self._store.watch(
-            kind, self._position, wait_seconds, lambda: self._mirror.on_change_coming(not_out_at)
+            kind,
+            self._position,
+            wait_seconds,
+            lambda: self._mirror.on_change_coming(not_committed_at),
         )
         self._mirror.on_changes(changes, sent_at)
         self._position = max(changes.position, self._position)
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -106,17 +106,19 @@
     ) -> FeedResponse:
         """Add to an answer what is known of a newer configuration that it doesn't contain."""
         context = self._context
-        effect = not_out_at = None
+        effect = not_committed_at = None
         if any(kind.kind == self._proof_mirror.kind and kind.is_announced for kind in answer.kinds):
             effect = context.effects.since(query.configuration)
-            not_out_at = context.effects.not_committed_at(query.configuration)
+            not_committed_at = context.effects.not_committed_at(query.configuration)
         else:
-            not_out_at = context.lag.not_committed_at
+            not_committed_at = context.lag.not_committed_at
         return msgspec.structs.replace(
             answer,
             is_receiving=self._proof_mirror.is_receiving,
             effect=effect,
-            unpublished_offset=not_out_at - received_at if not_out_at is not None else None,
+            unpublished_offset=not_committed_at - received_at
+            if not_committed_at is not None
+            else None,
             configuration=context.configuration_version,
             confirmed_era=context.confirmed_era.latest,
         )
--- a/src/milletcourse/platform/cache_events.py
+++ b/src/milletcourse/platform/cache_events.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from milletcourse.exchange.messages.messages import HeaderField
-from milletcourse.gateway.fleet.cache_store_probe import SignOfLife
+from milletcourse.gateway.fleet.cache_store_probe import ProbeReply
 from milletcourse.gateway.servers.call_client import Call, Reply
 from milletcourse.gateway.store.object_store import DECODE_ERRORS
 
@@ -20,15 +20,15 @@
 class PlatformCacheEvents:
     """Implements `CacheStoreDialect`."""
 
-    def sign_of_life_call(self, position: int, wait_seconds: float) -> Call:
+    def probe_call(self, position: int, wait_seconds: float) -> Call:
         """See `CacheStoreDialect`."""
         wait = HeaderField(b"Wait-Ms", b"%d" % int(wait_seconds * 1000))
         return Call("GET", f"{_EVENTS_PATH}?Since={position}", fields=(wait,))
 
-    def read_sign(self, reply: Reply) -> SignOfLife | None:
+    def read_probe_reply(self, reply: Reply) -> ProbeReply | None:
         """See `CacheStoreDialect`."""
         try:
             page = msgspec.json.decode(reply.body, type=_Page)
         except DECODE_ERRORS:
             return None
-        return SignOfLife(page.next_token, max(page.born, 0))
+        return ProbeReply(page.next_token, max(page.born, 0))
--- a/src/milletcourse/platform/documents.py
+++ b/src/milletcourse/platform/documents.py
@@ -22,7 +22,7 @@
 from milletcourse.gateway.state.settings import GatewayBounds, GatewaySettings
 from milletcourse.runtime.addresses import split_address
 
-MILLISECOND = 0.001
+SECONDS_PER_MILLISECOND = 0.001
 
 
 class _Document(msgspec.Struct, frozen=True, rename="pascal"):
@@ -93,12 +93,14 @@
     )
 
 
-def _bounds(given: dict[str, Any]) -> GatewayBounds:
+def _bounds(values_by_name: dict[str, Any]) -> GatewayBounds:
     """Bounds in seconds; those that the platform doesn't give keep their defaults."""
     values = {
-        own: given[name] * MILLISECOND if name.endswith("Ms") else given[name]
-        for name, own in _BOUND_NAMES.items()
-        if given.get(name) is not None
+        field: values_by_name[name] * SECONDS_PER_MILLISECOND
+        if name.endswith("Ms")
+        else values_by_name[name]
+        for name, field in _BOUND_NAMES.items()
+        if values_by_name.get(name) is not None
     }
     return msgspec.convert(values, GatewayBounds)
 
@@ -199,13 +201,13 @@
     def decode(self, spec: bytes) -> ExchangeConfiguration:
         """The configuration; raises `msgspec.MsgspecError` for what is none."""
         document = msgspec.json.decode(spec, type=_Configuration)
-        written = [bytes(route) for route in document.routes]
+        raw_routes = [bytes(route) for route in document.routes]
         routes = {
             route: self._routes.get(route) or _route(_ROUTE_DECODER.decode(route))
-            for route in written
+            for route in raw_routes
         }
         self._routes = routes
-        return _configuration(document, tuple(routes[route] for route in written))
+        return _configuration(document, tuple(routes[route] for route in raw_routes))
 
 
 def decode_configuration(spec: bytes) -> ExchangeConfiguration:
@@ -224,8 +226,8 @@
         limits=EdgeLimits(
             max_header_bytes=limits.max_header_bytes,
             max_body_bytes=limits.max_body_bytes,
-            header_timeout_seconds=limits.header_timeout_ms * MILLISECOND,
-            idle_timeout_seconds=limits.idle_timeout_ms * MILLISECOND,
+            header_timeout_seconds=limits.header_timeout_ms * SECONDS_PER_MILLISECOND,
+            idle_timeout_seconds=limits.idle_timeout_ms * SECONDS_PER_MILLISECOND,
         ),
         tenants=tuple(_tenant(tenant) for tenant in document.tenants),
     )
@@ -277,14 +279,14 @@
         host=route.host,
         path_prefix=route.path_prefix,
         kind=_ROUTE_KINDS.get(route.route_type, RouteKind.UNSAFE),
-        timeout_seconds=route.timeout_ms * MILLISECOND,
-        target_latency_seconds=route.target_latency_ms * MILLISECOND,
+        timeout_seconds=route.timeout_ms * SECONDS_PER_MILLISECOND,
+        target_latency_seconds=route.target_latency_ms * SECONDS_PER_MILLISECOND,
         priority=route.priority,
         backends=backends or (WeightedService(route.service),),
         max_attempts=route.max_attempts,
         public=route.public,
         resumable=route.resumable,
-        gap_seconds=route.gap_aim_ms * MILLISECOND,
+        gap_seconds=route.gap_aim_ms * SECONDS_PER_MILLISECOND,
     )
 
 
@@ -309,13 +311,13 @@
     version: int
 
 
-MAX_NUMBER = 2**53
+MAX_SAFE_INTEGER = 2**53
 """Larger numbers lose digits in JSON."""
 
 
 def _whole_number(value: int, what: str) -> int:
     """A count or a moment; raises `ValueError` for what is none."""
-    if not 0 <= value <= MAX_NUMBER:
+    if not 0 <= value <= MAX_SAFE_INTEGER:
         raise ValueError(f"{what} is out of range")
     return value
 
--- a/src/milletcourse/platform/names.py
+++ b/src/milletcourse/platform/names.py
@@ -35,9 +35,9 @@
     targets="versions",
     gateways="milletcourse-gateways",
     leases="milletcourse-leases",
-    roll_out_lease="roll-out",
+    rollout_lease="roll-out",
 )
-STORE_ERA = b"store-era"
+STORE_ERA_HEADER = b"store-era"
 """Field of the store's answers, in lower case."""
 READY_PATH = "/milletcourse/ready"
 OBJECTS_PATH = "/milletcourse/objects"
--- a/src/milletcourse/platform/object_store.py
+++ b/src/milletcourse/platform/object_store.py
@@ -19,7 +19,7 @@
     StoreError,
     StoreProblem,
 )
-from milletcourse.platform.names import OBJECTS_PATH, STORE_ERA
+from milletcourse.platform.names import OBJECTS_PATH, STORE_ERA_HEADER
 
 _PROBLEMS = {
     404: StoreProblem.NOT_FOUND,
@@ -66,19 +66,19 @@
 
     def list_call(self, kind: str, after: str, stale: bool) -> Call:
         """See `StoreDialect`."""
-        terms = []
+        parameters = []
         if after:
-            terms.append(f"after={quote(after, safe='')}")
+            parameters.append(f"after={quote(after, safe='')}")
         if stale:
-            terms.append("Stale=1")
-        query = "?" + "&".join(terms) if terms else ""
+            parameters.append("Stale=1")
+        query = "?" + "&".join(parameters) if parameters else ""
         return Call("GET", f"{OBJECTS_PATH}/{kind}{query}")
 
     def read_page(self, reply: Reply) -> ObjectPage:
         """See `StoreDialect`."""
         page = _decode(reply, _Page)
         era = _read_era(reply)
-        found = [_readable(item, era) for item in page.items]
+        found = [_decode_listed_object(item, era) for item in page.items]
         objects = tuple(stored for stored in found if stored is not None)
         position = StorePosition(era, page.at)
         return ObjectPage(objects, position, page.more, len(found) - len(objects))
@@ -92,7 +92,7 @@
         """See `StoreDialect`."""
         changes = _decode(reply, _Changes)
         era = _read_era(reply)
-        found = [_readable_change(event, era) for event in changes.events]
+        found = [_decode_change(event, era) for event in changes.events]
         readable = tuple(change for change in found if change is not None)
         position = StorePosition(era, changes.at)
         return ObjectChanges(readable, position, len(found) - len(readable))
@@ -125,7 +125,7 @@
     return StoredObject(document.metadata.name, position, bytes(document.spec))
 
 
-def _readable(item: msgspec.Raw, era: int) -> StoredObject | None:
+def _decode_listed_object(item: msgspec.Raw, era: int) -> StoredObject | None:
     """An object of a list; None when it can't be told apart, whoever wrote it."""
     try:
         return _stored(msgspec.json.decode(item, type=_Object), era)
@@ -133,23 +133,23 @@
         return None
 
 
-def _readable_change(item: msgspec.Raw, era: int) -> ObjectChange | None:
+def _decode_change(item: msgspec.Raw, era: int) -> ObjectChange | None:
     try:
         event = msgspec.json.decode(item, type=_Event)
     except DECODE_ERRORS:
         return None
-    stored = _readable(event.object, era)
+    stored = _decode_listed_object(event.object, era)
     return ObjectChange(stored, event.gone) if stored is not None else None
 
 
 def _read_era(reply: Reply) -> int:
     fields = reply.head.fields if reply.head is not None else []
-    told = [field.value for field in fields if field.name.lower() == STORE_ERA]
-    if not told:
+    values = [field.value for field in fields if field.name.lower() == STORE_ERA_HEADER]
+    if not values:
         return UNKNOWN_ERA
-    if len(told) > 1 or not _ERA.fullmatch(told[0]):
+    if len(values) > 1 or not _ERA.fullmatch(values[0]):
         raise ValueError("no era")
-    return int(told[0])
+    return int(values[0])
 
 
 def _decode(reply: Reply, document_type: Any) -> Any:
@@ -157,7 +157,7 @@
         problem = _PROBLEMS.get(reply.status, StoreProblem.UNAVAILABLE)
         current = None
         if problem is StoreProblem.CONFLICT:
-            current = _current(reply.body, _read_era(reply))
+            current = _conflicting_object(reply.body, _read_era(reply))
         raise StoreError(problem, current)
     try:
         return msgspec.json.decode(reply.body, type=document_type)
@@ -165,7 +165,7 @@
         raise StoreError(StoreProblem.UNAVAILABLE) from error
 
 
-def _current(body: bytes, era: int) -> StoredObject | None:
+def _conflicting_object(body: bytes, era: int) -> StoredObject | None:
     try:
         return _stored(msgspec.json.decode(body, type=_Object), era)
     except DECODE_ERRORS:
--- a/src/milletcourse/platform/orders.py
+++ b/src/milletcourse/platform/orders.py
@@ -14,7 +14,7 @@
 from milletcourse.gateway.servers.call_client import Call, Reply
 from milletcourse.platform.names import HEADER_NAMES, ORDER_PATH, REPORT_PATH
 
-_MANNERS = {
+_RUNNING_WORK_MODES = {
     RunningWork.WAIT: "wait",
     RunningWork.ABORT: "truncate",
     RunningWork.KEEP: "retain",
@@ -59,7 +59,7 @@
             operation="Version",
             model=order.model,
             version=order.version,
-            manner=_MANNERS[order.running_work],
+            manner=_RUNNING_WORK_MODES[order.running_work],
             holder=order.holder,
             fencing_token=order.fencing_token,
             expected_rev=order.expected_sequence,
--- a/tests/gateway/fleet/test_cache_store_probe.py
+++ b/tests/gateway/fleet/test_cache_store_probe.py
@@ -7,9 +7,9 @@
 from gateway_harness import Harness, run_with_gateway
 from gateway_standin import configuration
 from milletcourse.gateway.fleet.cache_store_probe import (
-    CALLS_AT_ONCE,
-    PAUSE_SECONDS,
-    WAIT_SECONDS,
+    LONG_POLL_SECONDS,
+    MEAN_CONCURRENT_CALLS,
+    MIN_INTERVAL_SECONDS,
     CacheStoreProbe,
 )
 from milletcourse.gateway.node import GatewayNode
@@ -38,34 +38,34 @@
     return nodes[0], nodes[1]
 
 
-def test_what_one_gateway_finds_all_know() -> None:
+def test_all_gateways_learn_the_result_of_a_probe() -> None:
     """That a store is down, and that it is back; a store that nobody configured is passed over."""
 
     async def scenario(harness: Harness) -> None:
-        finder, other = await _two_gateways(harness)
-        finder.context.cache_store_availability.record_probe(STORE, False)
-        finder.context.cache_store_availability.record_probe("127.0.0.1:2", False)
+        prober, other = await _two_gateways(harness)
+        prober.context.cache_store_availability.record_probe(STORE, False)
+        prober.context.cache_store_availability.record_probe("127.0.0.1:2", False)
         await harness.until(lambda: other.context.cache_store_availability.unreachable == {STORE})
-        finder.context.cache_store_availability.record_probe(STORE, True)
+        prober.context.cache_store_availability.record_probe(STORE, True)
         await harness.until(lambda: not other.context.cache_store_availability.unreachable)
 
     run_with_gateway(scenario)
 
 
-def test_a_store_that_stays_down_is_told_again() -> None:
+def test_a_store_that_stays_down_is_reported_again() -> None:
     """A gateway that started meanwhile learns it with the next look of any other."""
 
     async def scenario(harness: Harness) -> None:
-        finder, other = await _two_gateways(harness)
-        finder.context.cache_store_availability.record_probe(STORE, False)
+        prober, other = await _two_gateways(harness)
+        prober.context.cache_store_availability.record_probe(STORE, False)
         await harness.until(lambda: other.context.cache_store_availability.unreachable == {STORE})
         other.context.cache_store_availability.unreachable.clear()
 
-        def looks_again() -> bool:
-            finder.context.cache_store_availability.record_probe(STORE, False)
+        def probes_again() -> bool:
+            prober.context.cache_store_availability.record_probe(STORE, False)
             return other.context.cache_store_availability.unreachable == {STORE}
 
-        await harness.until(looks_again)
+        await harness.until(probes_again)
 
     run_with_gateway(scenario)
 
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("refusal", [Reply(429, b"", 0.0), Reply(503, b"busy", 0.0)])
-def test_a_busy_store_is_asked_on_from_the_former_position(refusal: Reply) -> None:
+def test_a_busy_store_is_probed_again_from_the_same_position(refusal: Reply) -> None:
     """From the beginning it would tell all that it has done."""
 
     async def scenario(harness: Harness) -> None:
@@ -94,14 +94,14 @@
         calls = _Calls([page, refusal, page])
         probe = CacheStoreProbe(harness.node.context, calls, PlatformCacheEvents())
         for _ in range(3):
-            await probe.look(STORE)
+            await probe.probe_store(STORE)
         assert [target.partition("Since=")[2] for target in calls.targets] == ["0", "120", "120"]
         assert not harness.node.context.cache_store_availability.unreachable
 
     run_with_gateway(scenario)
 
 
-def test_more_gateways_ask_less_often_each() -> None:
+def test_more_gateways_probe_less_often_each() -> None:
     """All together have about as many calls at a store, however many they are."""
 
     async def scenario(harness: Harness) -> None:
@@ -110,10 +110,10 @@
         context = harness.node.context
         probe = CacheStoreProbe(context, _Calls([]), PlatformCacheEvents())
         context.set_gateways(1)
-        assert probe.pause_seconds() == PAUSE_SECONDS
+        assert probe.interval_seconds() == MIN_INTERVAL_SECONDS
         for count in (200, 400):
             context.set_gateways(count)
-            held = count * WAIT_SECONDS / probe.pause_seconds()
-            assert held == pytest.approx(CALLS_AT_ONCE)
+            held = count * LONG_POLL_SECONDS / probe.interval_seconds()
+            assert held == pytest.approx(MEAN_CONCURRENT_CALLS)
 
     run_with_gateway(scenario)
--- a/tests/gateway/fleet/test_signals_in_replies.py
+++ b/tests/gateway/fleet/test_signals_in_replies.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("target", [ORDER, REPORT])
-def test_a_reply_that_says_that_its_server_leaves_is_heard(target: str) -> None:
+def test_a_leaving_signal_in_a_reply_is_applied(target: str) -> None:
     """Only answers to clients' requests were read."""
 
     async def scenario(harness: Harness) -> None:
@@ -73,19 +73,19 @@
     run_with_gateway(scenario)
 
 
-def test_an_order_that_is_turned_away_may_ask_for_rest() -> None:
+def test_a_rejected_order_may_request_back_off() -> None:
     """As a request that is."""
 
     async def scenario(harness: Harness) -> None:
         instance = await _start(harness, OrderedServer(ORDER, {"Retry-After": "30"}))
         assert harness.node is not None
         context = harness.node.context
-        await harness.until(lambda: context.signal_watch.is_backing_off(instance))
+        await harness.until(lambda: context.signal_monitor.is_backing_off(instance))
 
     run_with_gateway(scenario)
 
 
-def test_a_limit_in_a_report_is_heard_and_its_lack_ends_none() -> None:
+def test_a_limit_in_a_report_is_applied_and_its_absence_lifts_none() -> None:
     """Answers to requests say each time whether there is one; nothing says that reports do."""
 
     async def scenario(harness: Harness) -> None:
@@ -101,7 +101,7 @@
     run_with_gateway(scenario)
 
 
-def test_what_another_start_reports_is_not_put_down_to_this_one() -> None:
+def test_signals_of_another_incarnation_are_ignored() -> None:
     """A report names no server; only its start tells whose it is."""
 
     async def scenario(harness: Harness) -> None:
--- a/tests/gateway/requests/test_stream_handover.py
+++ b/tests/gateway/requests/test_stream_handover.py
@@ -223,7 +223,7 @@
     async def scenario(harness: Harness) -> None:
         await start_servers(harness, disconnecting_then(delayed_stream(60.0)))
         assert harness.node is not None
-        detector = harness.node.context.crash_watch
+        detector = harness.node.context.crash_detector
         asked = asyncio.Event()
 
         async def never() -> None:
--- a/tests/gateway/servers/test_crashing_requests.py
+++ b/tests/gateway/servers/test_crashing_requests.py
@@ -347,7 +347,7 @@
         context = harness.node.context
         contained = Containment(7, ALLOWED_CRASHES, 0.0, 60.0)
         answers = [None, contained, contained, contained]
-        monkeypatch.setattr(context.crash_watch, "containment", lambda _: answers.pop(0))
+        monkeypatch.setattr(context.crash_detector, "containment", lambda _: answers.pop(0))
         got = await _ask(harness.node, CRASHING_BODY, "learnt-late")
         assert (got.status, got.headers["retry-after"]) == (503, "60.00")
         assert server.received == []
--- a/tests/gateway/servers/test_server_limits.py
+++ b/tests/gateway/servers/test_server_limits.py
@@ -168,7 +168,7 @@
         await fleet.start({"s-1": "2"})
         await fleet.load(PROPAGATION_SECONDS)
         key = fleet.instance(fleet.nodes[0], "s-1").key
-        owner = fleet.nodes[0].context.permits.homes.select(key, 0.0).name
+        owner = fleet.nodes[0].context.permits.owner_selector.select(key, 0.0).name
         stopped = next(node for node in fleet.nodes if node.context.settings.name == owner)
         stopped.close()
         fleet.nodes.remove(stopped)
@@ -380,7 +380,9 @@
         choose = context.selector.choose
 
         def choose_slowly(*arguments: Any) -> Any:
-            context.permits.pauses.on_denied(key, PermitReply(False, 0.0, 0.05), 2.0, context.now())
+            context.permits.retry_delays.on_denied(
+                key, PermitReply(False, 0.0, 0.05), 2.0, context.now()
+            )
             choice = choose(*arguments)
             time.sleep(0.1)
             return choice
@@ -400,9 +402,9 @@
         await fleet.start({"s-1": "2"})
         await fleet.load(PROPAGATION_SECONDS)
         key = fleet.instance(fleet.nodes[0], "s-1").key
-        owner = fleet.nodes[0].context.permits.homes.select(key, 0.0).name
+        owner = fleet.nodes[0].context.permits.owner_selector.select(key, 0.0).name
         requester = next(node for node in fleet.nodes if node.context.settings.name != owner)
-        requester.context.permits.pauses.clear(key)
+        requester.context.permits.retry_delays.clear(key)
         requester.context.permits.send = lambda name, message: None
         client = await Client.connect(requester.frontend_address)
         result = await client.ask("/safe/", "unheard")
--- a/tests/gateway/store/test_restarts_under_one_name.py
+++ b/tests/gateway/store/test_restarts_under_one_name.py
@@ -198,10 +198,10 @@
         context = harness.node.context
         peers = harness.node._fleet.peers
         late = ServerNotice("e-1", "", 0, ServerState.TERMINATED, FIRST_MS)
-        peers._take_notice(late, context.now())
+        peers._on_notice(late, context.now())
         assert [instance.name for instance in context.instances] == ["e-1"]
         now = ServerNotice("e-1", "", 0, ServerState.TERMINATED, FIRST_MS + 10)
-        peers._take_notice(now, context.now())
+        peers._on_notice(now, context.now())
         assert not list(context.instances)
 
     run_with_gateway(scenario)
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -264,8 +264,8 @@
             b"Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: AAMAAABk\r\n"
             b"Content-Length: 4\r\n\r\nbody"
         )
-        for piece in (raw[:60], raw[60:-2], raw[-2:]) if torn else (raw,):
-            client.writer.write(piece)
+        for chunk in (raw[:60], raw[60:-2], raw[-2:]) if torn else (raw,):
+            client.writer.write(chunk)
             await asyncio.sleep(0.02)
         got = await client.read_answer()
         assert got is not None and got.status == 200
@@ -277,7 +277,7 @@
     run_with_gateway(scenario)
 
 
-def test_pipelined_and_torn_requests_are_answered_in_order() -> None:
+def test_pipelined_and_split_requests_are_answered_in_order() -> None:
     """However the bytes are split."""
 
     async def scenario(harness: Harness) -> None:
@@ -304,7 +304,7 @@
 # -- figures and logs ---------------------------------------------------------------------------
 
 
-def test_figures_tell_outcomes_attempts_and_beliefs() -> None:
+def test_metrics_show_outcomes_attempts_and_state() -> None:
     """At the metrics path only; bounded labels."""
 
     async def scenario(harness: Harness) -> None:
@@ -330,24 +330,26 @@
     run_with_gateway(scenario)
 
 
-def test_it_is_told_which_servers_all_gateways_found_sick(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_suspicion_of_a_server_is_logged_when_it_starts_and_ends(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Once when they do, and once when they don't any more."""
-    told: list[tuple[str, bool]] = []
+    logged: list[tuple[str, bool]] = []
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
         await harness.start()
         assert harness.node is not None
         context = harness.node.context
-        monkeypatch.setattr(context.record, "suspicion", lambda *about: told.append(about))
+        monkeypatch.setattr(context.record, "suspicion", lambda *about: logged.append(about))
         failures = InstanceLoad(short_key("app-1"), 0, 0, failures=3)
-        sick = PeerMessage("other", 1, [failures], scope=LoadScope.ZONE)
-        assert context.loads.on_message(sick, context.now())
-        await harness.until(lambda: len(told) == 1)
-        well = PeerMessage("other", 2, [], scope=LoadScope.ZONE)
-        assert context.loads.on_message(well, context.now())
-        await harness.until(lambda: len(told) == 2)
-        assert told == [("app-1", True), ("app-1", False)]
+        suspecting = PeerMessage("other", 1, [failures], scope=LoadScope.ZONE)
+        assert context.loads.on_message(suspecting, context.now())
+        await harness.until(lambda: len(logged) == 1)
+        clearing = PeerMessage("other", 2, [], scope=LoadScope.ZONE)
+        assert context.loads.on_message(clearing, context.now())
+        await harness.until(lambda: len(logged) == 2)
+        assert logged == [("app-1", True), ("app-1", False)]
 
     run_with_gateway(scenario)
 
@@ -375,7 +377,7 @@
 # -- planned stop -------------------------------------------------------------------------------
 
 
-def test_planned_stop_serves_on_and_asks_clients_to_leave() -> None:
+def test_planned_stop_serves_on_and_asks_clients_to_disconnect() -> None:
     """Not ready at once; requests are served with Connection: close; the node then ends."""
 
     async def scenario(harness: Harness) -> None:
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -323,7 +323,7 @@
         client = await harness.client()
         harness.node._spawn(broken_duty())
         async with asyncio.timeout(2.0):
-            await harness.node.duty_failed.wait()
+            await harness.node.task_failed.wait()
         assert (await client.ask("/safe/", "served")).status == 200
 
     run_with_gateway(scenario)
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -55,7 +55,7 @@
     original = ClientConnection._is_last_answer
 
     def is_last_answer(connection: ClientConnection) -> bool:
-        return connection._edge.asks_clients_to_leave() or original(connection)
+        return connection._edge.asks_clients_to_disconnect() or original(connection)
 
     ClientConnection._is_last_answer = is_last_answer  # type: ignore[method-assign]
 
