--- a/src/milletcourse/gateway/__init__.py
+++ b/src/milletcourse/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Input/output of a gateway: connections, watches, orders; decisions come from `exchange`."""
+"""I/O of a gateway: connections, watches, orders to servers. `exchange` makes the decisions."""
--- a/src/milletcourse/gateway/adapter.py
+++ b/src/milletcourse/gateway/adapter.py
@@ -1,4 +1,4 @@
-"""What a platform's adapter hands to a gateway: names and formats, no decisions."""
+"""Interface between a platform's adapter and a gateway: names and formats, no decisions."""
 
 from __future__ import annotations
 
@@ -42,19 +42,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformAdapter:
-    """Everything that differs between platforms.
+    """Names and formats that differ between platforms.
 
     Attributes:
-        read_settings: Settings file -> settings.
-        headers: Header fields of exchanges.
+        read_settings: Decodes the settings file.
+        headers: Header fields of requests and answers.
         store: Formats of the object store.
         kinds: Names in the object store.
         orders: Formats of orders to servers.
-        cache_store: How a store of kept prompt state is asked for a sign of life.
-        decode_configuration: Content of the configuration's object.
-        decode_instance: Name and content of a server's entry.
-        decode_target: Content of a named version.
-        ready_path: Path at which readiness is asked for.
+        cache_store: Format of probes of KV-cache stores.
+        decode_configuration: Decodes the content of the configuration's object.
+        decode_instance: Decodes a server's entry from its name and content.
+        decode_target: Decodes the content of a named version.
+        ready_path: Path of the readiness check.
     """
 
     read_settings: Callable[[bytes], GatewaySettings]
--- a/src/milletcourse/gateway/fleet/__init__.py
+++ b/src/milletcourse/gateway/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""What gateways do together: messages about load, weight orders under a lease, probes of stores.
+"""Tasks that gateways share: load messages, weight orders under a lease, probes of cache stores.
 
-It may import store and what is below it.
+This package may import `store` and the packages below it.
 """
--- a/src/milletcourse/gateway/fleet/cache_store_probe.py
+++ b/src/milletcourse/gateway/fleet/cache_store_probe.py
@@ -1,7 +1,7 @@
-"""Notices when a store of kept prompt state is down, so that no server asks it in vain.
+"""Probes the KV-cache stores, so that no server is sent to a store that is down.
 
-All gateways share the work: the more of them there are, the less often each asks, and each tells
-the others when a store doesn't answer, or answers again.
+All gateways share the probing: the more gateways there are, the less often each one probes. A
+gateway notifies the others when a store doesn't answer, or answers again.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from milletcourse.gateway.state.context import GatewayContext
 
 LONG_POLL_SECONDS = 0.25
-"""A call is held this long at most; shorter ones are priced as probes."""
+"""The store holds a probe open for at most this long. Calls held for less are priced as probes."""
 PROBE_TIMEOUT_SECONDS = 0.8
 MIN_INTERVAL_SECONDS = 0.8
-"""Between calls of a gateway that is alone, so that it notices within two seconds."""
+"""Interval of a single gateway, which so detects a failure within two seconds."""
 MEAN_CONCURRENT_CALLS = 1.0
-"""Calls that all gateways together have at a store, on average. Stores hold about a dozen and turn
-the rest away, and each answer lists what the store has done since the gateway's last call."""
+"""Mean number of calls that all gateways together keep open at a store. Stores hold about a dozen
+calls and reject the others, and each answer lists all events since the gateway's last call."""
 
 
 class ProbeReply(msgspec.Struct, frozen=True):
-    """What a store of kept prompt state says when it is asked for a sign of life.
+    """Content of a KV-cache store's reply to a probe.
 
     Attributes:
-        position: Where its next event will stand.
-        started_ms: Its start by its own clock, in Unix milliseconds; 0 when it isn't told.
+        position: Position of its next event.
+        started_ms: Start of the store by its own clock, in Unix milliseconds; 0 when not given.
     """
 
     position: int
@@ -37,20 +37,20 @@
 
 
 class Caller(Protocol):
-    """Makes a call, as `CallClient` does."""
+    """Interface of `CallClient`."""
 
     async def call(self, address: str, call: Call, timeout_seconds: float) -> Reply | None:
-        """The reply, None when there was none in time."""
+        """Make a call; returns the reply, None when none arrived in time."""
 
 
 class CacheStoreDialect(Protocol):
-    """How a store of kept prompt state is asked for a sign of life."""
+    """Format of probes of a KV-cache store."""
 
     def probe_call(self, position: int, wait_seconds: float) -> Call:
-        """A call that takes no slot and is held for a while; tells what came since a position."""
+        """A long-polling call for the events since a position; it occupies no slot of the store."""
 
     def read_probe_reply(self, reply: Reply) -> ProbeReply | None:
-        """What the store says; None when the reply tells nothing."""
+        """The content of a reply; None when the reply has none."""
 
 
 class CacheStoreProbe:
@@ -64,8 +64,8 @@
         self._starts: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        # Gateways that start together don't ask together.
+        """Probe until cancelled."""
+        # A random offset spreads the probes of gateways that start at the same time.
         await asyncio.sleep(self._context.random.random() * self.interval_seconds())
         while True:
             await asyncio.sleep(self.interval_seconds())
@@ -75,13 +75,13 @@
             await asyncio.gather(*map(self.probe_store, addresses))
 
     def interval_seconds(self) -> float:
-        """Time between two looks of this gateway."""
+        """Seconds between two probes by this gateway."""
         return max(
             MIN_INTERVAL_SECONDS, self._context.members * LONG_POLL_SECONDS / MEAN_CONCURRENT_CALLS
         )
 
     async def probe_store(self, address: str) -> None:
-        """Ask one store, and note whether it answers."""
+        """Probe one store and record whether it answers."""
         position = self._positions.get(address, 0)
         call = self._dialect.probe_call(position, LONG_POLL_SECONDS)
         reply = await self._calls.call(address, call, PROBE_TIMEOUT_SECONDS)
@@ -90,13 +90,13 @@
         self._context.cache_store_availability.record_probe(address, reply is not None)
 
     def _on_reply(self, address: str, reply_content: ProbeReply | None) -> None:
-        """Go on from what a store says; one that is busy refuses without saying anything."""
+        """Update the position and start of a store; a busy store rejects a probe without content."""
         if reply_content is None:
             return
         known = self._starts.get(address, 0)
         if reply_content.started_ms > known:
             self._starts[address] = reply_content.started_ms
             if known:
-                # It has started again, and keeps nothing of what servers sent it before.
+                # The store has restarted and lost the blocks that servers sent it before.
                 self._context.cache_stores.on_lost(address)
         self._positions[address] = reply_content.position
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways: load on servers, and changes of their state."""
+"""Datagrams between gateways: load of servers, changes of their state, and permits."""
 
 from __future__ import annotations
 
@@ -26,7 +26,11 @@
 
 
 class PeerExchange(asyncio.DatagramProtocol):
-    """Carries the messages of a `LoadExchange`, and takes notices of servers' states."""
+    """Sends and receives the messages of a `LoadExchange`, notices of servers' states and permits.
+
+    Attributes:
+        holds_lease: Whether this gateway holds the roll-out's lease.
+    """
 
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
@@ -40,7 +44,7 @@
         context.permits.send = self._send_permit_message
 
     def set_gateways(self, gateways: list[GatewayRecord], readers: list[str]) -> None:
-        """Take the list of the other gateways, and of the zones' readers among them."""
+        """Set the list of the other gateways, and of the zones' readers among them."""
         self._peers = {gateway.name: _socket_address(gateway.address) for gateway in gateways}
         self._addresses = set(self._peers.values())
         self._context.loads.set_gateways(list(self._peers), readers)
@@ -122,12 +126,12 @@
         self.notify(ServerNotice(instance.name, "", 0, ServerState.TERMINATED, started_ms))
 
     def notify(self, notice: ServerNotice) -> None:
-        """Tell all gateways a server's state at once."""
+        """Send a server's state to all gateways at once."""
         self._context.loads.notify(notice)
         self._tick()
 
     async def run(self) -> None:
-        """Tell load until cancelled."""
+        """Report load until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             self._tick()
--- a/src/milletcourse/gateway/fleet/rollout_service.py
+++ b/src/milletcourse/gateway/fleet/rollout_service.py
@@ -30,35 +30,36 @@
 
 TICK_SECONDS = 0.1
 MAX_RENEW_SECONDS = 0.9
-"""The holder renews at least this often while there is work."""
+"""The holder renews the lease at least this often while there is work."""
 MAX_LEASE_MARGIN_SECONDS = 1.0
-"""It stops this long before others may take over, or a third of a short lease."""
+"""The holder stops this long before others may take the lease over, or a third of the duration of
+a short lease."""
 LEASE_POLL_SECONDS = 1.0
 LEASE_POLL_SPREAD_SECONDS = 1.0
-"""Others look this often whether the holder still renews."""
+"""Other gateways check this often, plus a random addition, whether the holder still renews."""
 ORDER_TIMEOUT_SECONDS = 0.6
 LEASE_EXTRA_SECONDS = 0.3
-"""The lease lasts this much longer than the least time between two holders."""
+"""The lease lasts this much longer than the minimum time between two holders."""
 
 
 class OrderDialect(Protocol):
     """Formats of orders and reports."""
 
     def order_call(self, order: WeightOrder) -> Call:
-        """An order as a call to its server."""
+        """The call that sends an order to its server."""
 
     def read_order_reply(self, reply: Reply) -> OrderReply:
-        """What the server said."""
+        """The server's reply to an order."""
 
     def report_call(self) -> Call:
-        """Asks a server for its state."""
+        """The call that requests a server's state."""
 
     def read_report(self, reply: Reply) -> ServerReport | None:
-        """The server's state, None when it can't be read."""
+        """The server's state, None when the reply can't be decoded."""
 
 
 class RolloutService:
-    """Holds the lease while there is work, and gives the orders."""
+    """Holds the lease while there is work, and sends the orders."""
 
     def __init__(
         self,
@@ -94,7 +95,7 @@
         self._running: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run until cancelled."""
         while True:
             await asyncio.sleep(TICK_SECONDS)
             self._context.handle_suspension()
@@ -106,7 +107,7 @@
                 self._send_orders()
 
     def _may_hold_lease(self) -> bool:
-        """Whether this gateway may hold the lease: only those that read the store ask for it."""
+        """Whether this gateway may hold the lease; only readers of the store compete for it."""
         if self._context.stopping:
             return False
         return self._context.reads_store or self._lease.is_held(self._context.now())
@@ -117,7 +118,7 @@
         now = self._context.now()
         era = self._store.era
         if era is not None and self._lease.on_era(era, now):
-            # A holder has its term written again before its time ends.
+            # The store was restored. A holder writes its lease again before the lease expires.
             self._next_lease_call = now
         if now < self._next_lease_call:
             return
@@ -145,7 +146,10 @@
         self._on_lease_read(stored)
 
     def _on_store_error(self, error: StoreError) -> None:
-        """The lease is another one than was known; of other failures the next look tells."""
+        """Handle a lease that differs from the known one.
+
+        After any other failure the lease is read at the next poll.
+        """
         if error.current is not None:
             self._on_lease_read(error.current)
         elif error.problem is StoreProblem.NOT_FOUND:
@@ -233,13 +237,13 @@
             self._context.instances.on_start_seen(
                 instance.name, report.started_ms, report.weight_versions
             )
-            # Another incarnation may have told it than was asked.
+            # The reply may come from another incarnation than the polled one.
             instance = self._context.instances.get(instance.name) or instance
             if report.started_ms and report.started_ms == instance.record.started_ms:
                 self._apply_signals(instance, reply)
         self._plan.on_report(instance, report, self._context.now())
         if self._lease.is_held(self._context.now()):
-            # The next order need not wait for the next tick.
+            # Sends the next order at once instead of at the next tick.
             self._send_orders()
         if report is None or report.busy:
             return
@@ -247,7 +251,7 @@
             self._notify(instance, model, version, ServerState.READY)
 
     def _apply_signals(self, instance: Instance, reply: Reply) -> None:
-        """Take what a server says of itself in a reply that is its own."""
+        """Apply the signals in a reply that is known to come from this incarnation."""
         if reply.head is not None:
             self._context.signal_monitor.on_reply(instance, reply.head, reply.sent_at)
 
--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -1,4 +1,4 @@
-"""One gateway's part among all: what it follows in the store, tells others, and hears from them."""
+"""One gateway as a member of the fleet: replication of the store and exchange with its peers."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 INSTANCE_WAIT_SECONDS = 1.5
 TARGET_WAIT_SECONDS = 3.0
 GATEWAY_WAIT_SECONDS = 10.0
-"""Gateways come seldom, and nothing but speed depends on knowing them."""
+"""The list of gateways changes rarely, and only speed depends on it."""
 
 Listen = Callable[[str, Handler], Awaitable[str]]
-"""Listens at an address with a handler; tells the address that was taken."""
+"""Listens at an address with a handler; returns the address in use."""
 Spawn = Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]]
-"""Starts a task without which the gateway can't go on."""
+"""Starts a task whose failure stops the gateway."""
 
 
 class FleetMember:
-    """Follows the store, alone or with the other gateways.
+    """Follows the object store, alone or together with the other gateways.
 
     Attributes:
         peers: Datagrams to and from the other gateways.
@@ -74,10 +74,10 @@
         )
 
     async def start(self) -> None:
-        """Act together with the other gateways, where there are ports for it, and follow the store.
+        """Join the other gateways if a port is free for it, and follow the store.
 
-        Without them the gateway serves alone: nothing depends on the others but speed and the
-        number of calls to the store.
+        Without a free port the gateway serves alone. Only speed and the number of calls to the
+        store depend on the other gateways.
         """
         settings = self._context.settings
         port = await self._bind_datagrams(settings.host, settings.internal_ports)
@@ -114,7 +114,7 @@
         return next(mirror.position for mirror in mirrors if mirror.kind == self._gateways_kind)
 
     async def compare_with_store(self) -> StoreState:
-        """What this gateway knows of the store, and how that differs from what it holds."""
+        """Compare this gateway's replica with the content of the store."""
         context = self._context
         mirrors = [kind.mirror for kind in self._watched]
         kinds = await compare_kinds(self._store, mirrors, context.now())
@@ -124,11 +124,11 @@
         )
 
     def sweep(self, now: float) -> None:
-        """Bounds on time."""
+        """Remove state whose time limit has passed."""
         self._directory.expire_missing(now)
 
     def _current_entry(self, base_entry: GatewayEntry) -> GatewayEntry:
-        """This gateway's entry as it should be now."""
+        """The entry that this gateway's registration must have now."""
         context = self._context
         reports = context.crash_evidence.locally_persisted(context.now())
         confirmed_era = UNKNOWN_ERA
@@ -142,7 +142,7 @@
         )
 
     def _on_entry(self, entry: GatewayEntry, is_own: bool) -> None:
-        """What a gateway, maybe before all of them ended, left for those that come after it."""
+        """Apply the entry of a gateway; it persists even when all gateways have stopped since."""
         self._context.confirmed_era.on_peer_confirmed(entry.confirmed_era)
         if entry.lost_configuration:
             self._context.on_lost_configuration(entry.lost_configuration)
@@ -150,7 +150,7 @@
             self._on_contained_requests(entry, is_own)
 
     def _on_contained_requests(self, entry: GatewayEntry, is_own: bool) -> None:
-        """A gateway found requests that end servers."""
+        """Apply another gateway's record of requests that crash servers."""
         context = self._context
         try:
             reports = [request.to_report() for request in entry.contained[:MAX_REPORTS_PER_MESSAGE]]
@@ -169,7 +169,10 @@
         self._context.crash_evidence.on_peers_known()
 
     async def _listen_for_followers(self) -> str:
-        """Tell other gateways what the store holds at the first free port; empty without one."""
+        """Serve the content of the store to other gateways at the first free port.
+
+        Returns the address; empty when no port is free.
+        """
         settings = self._context.settings
         mirrors = [kind.mirror for kind in self._watched]
         feed = StoreFeed(self._context, mirrors, proof_mirror=mirrors[0])
@@ -183,7 +186,7 @@
         return ""
 
     async def _bind_datagrams(self, host: str, ports: tuple[int, int]) -> int | None:
-        """Bind the first free port of a range; None when there is none."""
+        """Bind the first free port of a range; returns it, or None when there is none."""
         if ports[0] == 0:
             return None
         loop = asyncio.get_running_loop()
@@ -196,7 +199,7 @@
         return None
 
     def close(self) -> None:
-        """Stop following and telling."""
+        """Stop following the store and exchanging messages."""
         self._store_sync.close()
         self.peers.close()
 
@@ -204,7 +207,7 @@
 def _watched_kinds(
     context: GatewayContext, adapter: PlatformAdapter, directory: GatewayDirectory
 ) -> tuple[WatchedKind, ...]:
-    """What is followed in the object store, and who takes it."""
+    """The kinds of objects that are followed in the store, with their handlers."""
     kinds = adapter.kinds
     configuration = ConfigurationEventHandler(
         context, kinds.configuration_name, adapter.decode_configuration
@@ -215,12 +218,12 @@
     def mirror(kind: str, handler: KindEventHandler) -> KindMirror:
         return KindMirror(kind, handler, context.record.store)
 
-    # The configuration comes first: it is asked for most often.
+    # The configuration comes first: it is requested most often.
     return (
         WatchedKind(
             mirror(kinds.configuration, configuration), context.replication_times.watch_wait
         ),
-        # Many pages: read stale, and brought up to date by the first watch.
+        # A list of many pages: a stale read is enough, since the first watch brings it up to date.
         WatchedKind(mirror(kinds.instances, instances), INSTANCE_WAIT_SECONDS, True),
         WatchedKind(mirror(kinds.targets, targets), TARGET_WAIT_SECONDS),
         WatchedKind(mirror(kinds.gateways, directory), GATEWAY_WAIT_SECONDS, True),
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -1,4 +1,4 @@
-"""One gateway process: puts its parts together, and stops them in a planned way."""
+"""One gateway process: wires up its components, starts them and shuts them down gracefully."""
 
 from __future__ import annotations
 
@@ -36,13 +36,18 @@
 LISTEN_BACKLOG = 1024
 SWEEP_SECONDS = 0.25
 LOOP_STALL_SECONDS = 0.25
-"""A loop that is later than this shows in answers; shorter pauses are collections and bursts."""
+"""Event-loop stalls longer than this delay answers noticeably; shorter ones come from garbage
+collections and bursts of load."""
 STOP_POLL_SECONDS = 0.05
-"""Between two looks of a planned stop at its connections."""
+"""Interval at which a planned stop checks its connections."""
 
 
 class GatewayNode:
-    """A gateway with its listeners and background work."""
+    """A gateway with its listeners and background tasks.
+
+    Attributes:
+        task_failed: Set when a background task has failed, after which the process must stop.
+    """
 
     def __init__(
         self,
@@ -81,7 +86,7 @@
         )
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Listen, and start to follow the store."""
         runner = ExchangeRunner(self.context)
         settings = self.context.settings
         self.readiness_address = await self._listen(settings.readiness, self._answer_readiness)
@@ -105,7 +110,7 @@
         self._spawn(self._log_tallies())
 
     async def _listen(self, address: str, handler: Handler) -> str:
-        """Listen at an address; port 0 takes a free one. Returns the address taken."""
+        """Listen at an address; port 0 takes a free one. Returns the address in use."""
         host, _, port = address.rpartition(":")
         server = await asyncio.get_running_loop().create_server(
             lambda: ClientConnection(self.context, handler, refuse, self._clients),
@@ -119,7 +124,10 @@
         return f"{bound_host}:{bound_port}"
 
     def _listen_for_clients(self, address: str, handler: Handler) -> str:
-        """Listen where clients come, and accept no more than can be served; the address taken."""
+        """Listen for clients, and accept only as many connections as can be served.
+
+        Returns the address in use.
+        """
         host, _, port = address.rpartition(":")
         limiter = ConnectionLimiter(self.context)
         listening = listening_socket(host, int(port), LISTEN_BACKLOG)
@@ -135,14 +143,14 @@
 
     async def _answer_readiness(self, request: ClientRequest, client: ClientConnection) -> None:
         if request.target.split(b"?", 1)[0].decode("latin-1") != self._adapter.ready_path:
-            refuse(client, NotFound("nothing here but readiness"))
+            refuse(client, NotFound("only the readiness check is served at this address"))
         elif self.context.is_ready():
             client.send_whole(200, b"", [], b"")
         else:
             refuse(client, Draining("not ready"))
 
     async def listen_for_operators(self, port: int, metrics_path: str) -> str:
-        """Answer operators on a port of this machine; returns the address."""
+        """Serve the operator API on a port of this machine; returns the address."""
         api = OperatorApi(
             self.context,
             self._metrics,
@@ -158,7 +166,7 @@
         metrics.clients.set(len(self._clients))
 
     async def _sweep(self) -> None:
-        """Bounds on time, kept without a timer for each connection."""
+        """Enforce time limits periodically, without a timer for each connection."""
         while True:
             due_at = self.context.now() + SWEEP_SECONDS
             self.context.responsive_clock.expect_turn(SWEEP_SECONDS)
@@ -182,7 +190,7 @@
         return {instance.key for instance in self.context.instances}
 
     async def _log_tallies(self) -> None:
-        """Sums for the log, at a bounded rate."""
+        """Log the tallies at a fixed interval, which bounds the rate of log lines."""
         while True:
             await asyncio.sleep(TALLY_INTERVAL_SECONDS)
             self.context.record.tallied()
@@ -190,7 +198,7 @@
     # -- planned stop ---------------------------------------------------------------------------
 
     async def stop(self) -> None:
-        """Leave the entry, serve what comes meanwhile, end within the grace time."""
+        """Report not ready, serve the requests that still arrive, and stop within the grace time."""
         context = self.context
         stop = context.planned_stop = PlannedStop(
             context.now(), self._last_responsive_at, context.settings.bounds.grace
@@ -210,9 +218,10 @@
         self.context.record.listener_closed(f"{host}:{port}", waiting)
 
     async def _close_connections(self, stop: PlannedStop) -> None:
-        """Close each connection when nothing is left on it, until all are or the time is over."""
+        """Close connections as they become idle, until none is left or the grace time is over."""
         while True:
-            # First, since connections that were just accepted aren't registered yet.
+            # Sleeps before the first check: connections that were just accepted aren't registered
+            # yet.
             await asyncio.sleep(STOP_POLL_SECONDS)
             now = self.context.now()
             if not self._clients or stop.phase(now) is StopPhase.EXPIRED:
@@ -223,7 +232,7 @@
                     client.close()
 
     def close(self) -> None:
-        """End at once; what is unfinished is cut."""
+        """Stop at once; unfinished requests are aborted."""
         for task in list(self._tasks):
             task.cancel()
         for listener in self._listeners:
@@ -244,7 +253,7 @@
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        # A gateway without one of its duties must not go on looking healthy; what it serves is
-        # not the cause, and ends as in any planned stop.
+        # A gateway that lacks a background task must not continue to report itself healthy. Its
+        # requests are not the cause, so they finish as in any planned stop.
         self.context.log.emit("task-failed", error=repr(task.exception()))
         self.task_failed.set()
--- a/src/milletcourse/gateway/operator_api.py
+++ b/src/milletcourse/gateway/operator_api.py
@@ -1,6 +1,6 @@
-"""What operators may ask of one gateway: figures, limits, what servers say, what the store holds.
+"""Operator API of one gateway: metrics, limits, server signals, store state, contained requests.
 
-It listens on a port of the machine that clients don't reach.
+It listens on a port of the machine that clients can't reach.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 
 
 class ContainmentView(msgspec.Struct, frozen=True):
-    """A request that isn't sent to servers, as operators see it.
+    """A contained request, which isn't sent to servers, as shown to operators.
 
     Attributes:
         content: Identity of its content, as in log lines.
-        ends: Servers that ended under it, one after the other.
-        seconds_since_last_end: Age of the latest evidence.
-        seconds_left: Time until it is tried again.
+        ends: Number of servers that crashed, one after the other, while they ran it.
+        seconds_since_last_end: Seconds since the latest of these crashes.
+        seconds_left: Seconds until the containment expires.
     """
 
     content: str
@@ -49,11 +49,11 @@
 
 
 class LimitsView(msgspec.Struct, frozen=True):
-    """All bounds that gateways keep together, as one of them knows them.
+    """All limits that the gateways enforce together, as one of them knows them.
 
     Attributes:
-        servers: Servers that limit their requests.
-        tenants: Tenants with a limit; `refused` counts since the latest line about it.
+        servers: Servers with a request limit.
+        tenants: Tenants with a limit; `refused` counts since the latest log line about the tenant.
     """
 
     servers: list[ServerLimitState]
@@ -61,7 +61,7 @@
 
 
 class OperatorApi:
-    """Answers on the operators' port."""
+    """Handles requests on the operators' port."""
 
     def __init__(
         self,
@@ -71,14 +71,14 @@
         set_gauges: Callable[[GatewayMetrics], None],
         store_state: Callable[[], Awaitable[StoreState]],
     ) -> None:
-        """A port of one gateway.
+        """Create the API of one gateway.
 
         Args:
-            context: The gateway.
-            metrics: Its figures, None when they aren't kept.
-            metrics_path: Where they are told.
-            set_gauges: Brings the figures that aren't counted up to date.
-            store_state: Compares what is known here with the object store.
+            context: Shared state of the gateway.
+            metrics: Its metrics, None when none are kept.
+            metrics_path: Path of the metrics.
+            set_gauges: Updates the gauges.
+            store_state: Compares the gateway's replica with the object store.
         """
         self._context = context
         self._metrics = metrics
@@ -87,7 +87,7 @@
         self._store_state = store_state
 
     async def handle(self, request: ClientRequest, client: ClientConnection) -> None:
-        """Answer one question; the handler of `ClientConnection`."""
+        """Answer one request; this is the handler of `ClientConnection`."""
         path = request.target.decode("latin-1")
         if request.method == b"GET" and path == self._metrics_path and self._metrics is not None:
             self._set_gauges(self._metrics)
@@ -105,7 +105,7 @@
         else:
             refuse(
                 client,
-                NotFound("figures, limits, signals, the store's state and contained requests only"),
+                NotFound("only metrics, limits, signals, store state and contained requests"),
             )
 
     def _contained(self) -> list[ContainmentView]:
@@ -140,7 +140,7 @@
         )
 
     def _release_contained(self, content: str, client: ClientConnection) -> None:
-        """Send a request again, at all gateways: they are told as of an answer to it."""
+        """Release a contained request at all gateways, which are notified as of an answer to it."""
         if content not in {item.content for item in self._contained()}:
             refuse(client, NotFound("no contained request has this content"))
             return
@@ -149,7 +149,7 @@
 
 
 def set_gauges(context: GatewayContext, metrics: GatewayMetrics) -> None:
-    """Figures that are read when they are asked for."""
+    """Set the gauges, whose values are read at the time of the scrape."""
     now = context.now()
     metrics.configuration.set(context.configuration_version)
     metrics.configuration_behind.set(context.lag.is_behind)
--- a/src/milletcourse/gateway/process.py
+++ b/src/milletcourse/gateway/process.py
@@ -1,4 +1,4 @@
-"""A gateway as a process: settings, signals, planned stop."""
+"""Runs a gateway as a process: settings, signals, planned stop."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 
 STDOUT_FD = 1
 TASK_FAILED_EXIT_CODE = 70
-"""Exit code of a gateway that stopped since one of its duties had failed: an internal error."""
+"""Exit code (EX_SOFTWARE) of a gateway that stopped because a background task had failed."""
 SETTINGS_POLL_SECONDS = 1.0
 GC_THRESHOLD_ALLOCATIONS = 20_000
-"""Allocations between garbage collections: fewer pauses, since requests leave no cycles."""
+"""Allocations between garbage collections. Fewer collections mean fewer pauses, and requests
+leave no reference cycles that would need them."""
 
 
 def run_gateway(
@@ -35,14 +36,17 @@
     metrics_path: str,
     mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
 ) -> None:
-    """Serve until a stop signal; returns after the planned stop.
+    """Serve until a stop signal or the failure of a background task, then stop gracefully.
 
     Args:
         settings_path: Settings file.
         adapter: The platform's names and formats.
-        metrics_port: Port of the figures; 0 for none.
-        metrics_path: Path of the figures.
-        mechanisms: Those that are switched on.
+        metrics_port: Port of the operator API with the metrics; 0 for none.
+        metrics_path: Path of the metrics.
+        mechanisms: Mechanisms that are switched on.
+
+    Raises:
+        SystemExit: A background task failed.
     """
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD_ALLOCATIONS, 20, 20)
@@ -87,14 +91,14 @@
 
 
 def _new_metrics() -> GatewayMetrics:
-    # Imported only where it is used: memory and start-up are priced.
+    # Imported only where it is used, since memory and start-up time are priced.
     from milletcourse.gateway.telling.metrics import GatewayMetrics
 
     return GatewayMetrics()
 
 
 class SettingsReloader:
-    """Takes changed settings into force while the process serves."""
+    """Applies changed settings while the process serves."""
 
     def __init__(
         self,
@@ -111,7 +115,7 @@
         self._log = log
 
     def reload(self) -> None:
-        """Read the file; settings that can't be read leave the former ones in force."""
+        """Read the file and apply its settings; if they are invalid, the former ones stay in force."""
         try:
             content = self._path.read_bytes()
             settings = self._adapter.read_settings(content)
@@ -125,7 +129,7 @@
         self._log.emit("settings-reloaded")
 
     async def watch_file(self) -> None:
-        """Notice changes of the file that no signal tells of, also those during the start."""
+        """Poll the file for changes without a signal, including those made during start-up."""
         last_modified_at = 0
         while True:
             await asyncio.sleep(SETTINGS_POLL_SECONDS)
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -63,8 +63,8 @@
     For the servers whose quota it owns, this gateway grants permits to all gateways.
 
     Attributes:
-        homes: Which gateway owns the quota of which server.
-        pauses: Servers whose quota owner recently had no permit left.
+        owner_selector: Which gateway owns the quota of which server.
+        retry_delays: Servers whose quota owner recently had no permit left.
         send: Sends messages; messages sent before it is set are lost.
     """
 
@@ -85,7 +85,7 @@
         Args:
             own_name: Name of this gateway.
             signals: Signals of servers: limits, shutdowns and requested back-off.
-            pauses: Servers for which no permits are requested at present.
+            retry_delays: Servers for which no permits are requested at present.
             on_reports: Handles what a requester knows of a server's limit.
             random_source: Spreads requests for permits in time.
             clock: Responsive time of the event loop, used for timeouts of quota owners.
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -61,8 +61,8 @@
 
         Args:
             effect: What it changes for requests, None when that isn't known.
-            not_out_at: Monotonic time at which it wasn't published yet; None when only the proofs
-                of freshness bound that time.
+            not_committed_at: Monotonic time at which it wasn't committed yet; None when only the
+                proofs of freshness bound that time.
         """
 
     def on_pending_proof(self, sent_at: float) -> None:
@@ -190,8 +190,8 @@
         """Note that a change is being received from the store.
 
         Args:
-            not_out_at: Monotonic time at which it wasn't published yet; None when only the proofs
-                of freshness bound that time.
+            not_committed_at: Monotonic time at which it wasn't committed yet; None when only the
+                proofs of freshness bound that time.
         """
         self.is_receiving = True
         self._handler.on_change_announced(None, not_committed_at)
--- a/src/milletcourse/platform/__init__.py
+++ b/src/milletcourse/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls; it decides nothing."""
+"""Adapter to the users' platform: its names, formats and calls, without any decisions."""
--- a/src/milletcourse/platform/__main__.py
+++ b/src/milletcourse/platform/__main__.py
@@ -8,8 +8,8 @@
 
 def main(arguments: list[str]) -> None:
     """Start a gateway; see `milletcourse.platform.start` for the arguments."""
-    # Most of a start is importing. A reload that is asked for meanwhile must not end the process:
-    # the settings are read after it.
+    # Imports take most of the start-up time. A SIGHUP that arrives meanwhile must not end the
+    # process; it may be ignored, since the settings are read later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from milletcourse.platform.start import start
 
--- a/src/milletcourse/platform/cache_events.py
+++ b/src/milletcourse/platform/cache_events.py
@@ -1,4 +1,4 @@
-"""Asks a store of kept prompt state for a sign of life: the newest of its events."""
+"""Probes of KV-cache stores: calls for their latest events."""
 
 from __future__ import annotations
 
--- a/src/milletcourse/platform/documents.py
+++ b/src/milletcourse/platform/documents.py
@@ -26,7 +26,7 @@
 
 
 class _Document(msgspec.Struct, frozen=True, rename="pascal"):
-    """Base of all documents: unknown fields are passed over."""
+    """Base of all documents; unknown fields are ignored."""
 
 
 # -- settings -----------------------------------------------------------------------------------
@@ -61,7 +61,7 @@
     "QuotaOverage": "limit_overage",
     "QuotaSlack": "limit_slack",
 }
-"""The platform's bounds that a gateway keeps, with the product's names."""
+"""Bounds in the platform's settings that a gateway enforces, with the fields of `GatewayBounds`."""
 
 
 class _Settings(_Document, frozen=True):
@@ -76,7 +76,7 @@
 
 
 def read_settings(content: bytes) -> GatewaySettings:
-    """The settings file, which the deploy template lays out as JSON."""
+    """Decode the settings file, which the deploy template writes as JSON."""
     document = msgspec.json.decode(content, type=_Settings)
     ports = document.internal_ports
     return GatewaySettings(
@@ -94,7 +94,7 @@
 
 
 def _bounds(values_by_name: dict[str, Any]) -> GatewayBounds:
-    """Bounds in seconds; those that the platform doesn't give keep their defaults."""
+    """Bounds in seconds; those that the settings lack keep their defaults."""
     values = {
         field: values_by_name[name] * SECONDS_PER_MILLISECOND
         if name.endswith("Ms")
@@ -113,7 +113,7 @@
     "unsafe": RouteKind.UNSAFE,
     "streaming": RouteKind.STREAMING,
 }
-"""A kind that isn't known may run at most once."""
+"""Requests of an unknown route kind run at most once, as unsafe ones."""
 
 
 class _Backend(_Document, frozen=True):
@@ -190,16 +190,16 @@
 
 
 class ConfigurationDecoder:
-    """Reads the configuration's object; routes that are written as before keep their records.
+    """Decodes the configuration's object, and reuses the records of unchanged routes.
 
-    With many routes that takes a tenth of the time, and next to no memory, when few have changed.
+    With many routes of which few have changed, this takes a tenth of the time and almost no memory.
     """
 
     def __init__(self) -> None:
         self._routes: dict[bytes, RouteRecord] = {}
 
     def decode(self, spec: bytes) -> ExchangeConfiguration:
-        """The configuration; raises `msgspec.MsgspecError` for what is none."""
+        """Decode a configuration; raises `msgspec.MsgspecError` when it is invalid."""
         document = msgspec.json.decode(spec, type=_Configuration)
         raw_routes = [bytes(route) for route in document.routes]
         routes = {
@@ -211,7 +211,7 @@
 
 
 def decode_configuration(spec: bytes) -> ExchangeConfiguration:
-    """The configuration's object."""
+    """Decode the configuration's object, without reuse of earlier records."""
     return ConfigurationDecoder().decode(spec)
 
 
@@ -255,12 +255,12 @@
 
 
 def _limit_problem(tenant: _Tenant) -> str:
-    """What is wrong with a tenant's limit, empty for nothing.
+    """Why a tenant's limit is invalid; empty when it is valid.
 
-    A wrong limit must not keep the whole configuration, with its routes and keys, out of force.
+    An invalid limit must not block the whole configuration with its routes and keys.
     """
     if not isinstance(tenant.unit, str) or tenant.unit not in _LIMIT_UNITS:
-        return f"unit {tenant.unit!r} is not known"
+        return f"unit {tenant.unit!r} is unknown"
     numbers = {
         "rate": tenant.rate_per_s,
         "burst": tenant.burst,
@@ -268,7 +268,7 @@
     }
     for name, value in numbers.items():
         if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
-            return f"{name} {value!r} is no number of 0 or more"
+            return f"{name} {value!r} is not a non-negative number"
     return ""
 
 
@@ -312,11 +312,11 @@
 
 
 MAX_SAFE_INTEGER = 2**53
-"""Larger numbers lose digits in JSON."""
+"""Larger integers lose precision in JSON decoders that use doubles."""
 
 
 def _whole_number(value: int, what: str) -> int:
-    """A count or a moment; raises `ValueError` for what is none."""
+    """Validate a count or a timestamp; raises `ValueError` when it is out of range."""
     if not 0 <= value <= MAX_SAFE_INTEGER:
         raise ValueError(f"{what} is out of range")
     return value
@@ -341,16 +341,16 @@
 
 
 def decode_instance(name: str, spec: bytes) -> InstanceRecord:
-    """A server's entry.
+    """Decode a server's entry.
 
     Raises:
-        msgspec.MsgspecError: It is no entry.
-        ValueError: It names no address, or a number is out of range.
+        msgspec.MsgspecError: The entry can't be decoded.
+        ValueError: The address or the state is invalid, or a number is out of range.
     """
     document = msgspec.json.decode(spec, type=_Server)
     split_address(document.address)
     if document.state not in _STATES:
-        raise ValueError("the state is unknown")
+        raise ValueError("server state is unknown")
     return InstanceRecord(
         name=name,
         service=document.service,
@@ -358,13 +358,13 @@
         zone=document.zone,
         draining=document.state == _DRAINING,
         weight_versions={
-            model.name: _whole_number(model.version, "a version") for model in document.models
+            model.name: _whole_number(model.version, "weight version") for model in document.models
         },
-        started_ms=_whole_number(document.born, "the start"),
+        started_ms=_whole_number(document.born, "start time"),
     )
 
 
 def decode_target(spec: bytes) -> ModelTarget:
-    """A named version of a model's weights."""
+    """Decode a named version of a model's weights."""
     document = msgspec.json.decode(spec, type=_Version)
-    return ModelTarget(document.model, _whole_number(document.version, "a version"))
+    return ModelTarget(document.model, _whole_number(document.version, "weight version"))
--- a/src/milletcourse/platform/names.py
+++ b/src/milletcourse/platform/names.py
@@ -38,7 +38,7 @@
     rollout_lease="roll-out",
 )
 STORE_ERA_HEADER = b"store-era"
-"""Field of the store's answers, in lower case."""
+"""Header field of the store's answers, in lower case."""
 READY_PATH = "/milletcourse/ready"
 OBJECTS_PATH = "/milletcourse/objects"
 ORDER_PATH = "/milletcourse/order"
--- a/src/milletcourse/platform/object_store.py
+++ b/src/milletcourse/platform/object_store.py
@@ -126,7 +126,7 @@
 
 
 def _decode_listed_object(item: msgspec.Raw, era: int) -> StoredObject | None:
-    """An object of a list; None when it can't be told apart, whoever wrote it."""
+    """An object of a list; None when it can't be decoded, so that the others are still used."""
     try:
         return _stored(msgspec.json.decode(item, type=_Object), era)
     except DECODE_ERRORS:
@@ -148,7 +148,7 @@
     if not values:
         return UNKNOWN_ERA
     if len(values) > 1 or not _ERA.fullmatch(values[0]):
-        raise ValueError("no era")
+        raise ValueError("store era is malformed or repeated")
     return int(values[0])
 
 
--- a/src/milletcourse/platform/orders.py
+++ b/src/milletcourse/platform/orders.py
@@ -1,4 +1,4 @@
-"""Formats of orders to servers and of their reports."""
+"""Formats of weight orders to servers and of servers' reports."""
 
 from __future__ import annotations
 
--- a/src/milletcourse/platform/start.py
+++ b/src/milletcourse/platform/start.py
@@ -1,4 +1,4 @@
-"""Puts a gateway for the users' platform together and runs it."""
+"""Assembles a gateway for the users' platform and runs it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def new_adapter() -> PlatformAdapter:
-    """The adapter to this platform."""
+    """Create the adapter to this platform."""
     return PlatformAdapter(
         read_settings=read_settings,
         headers=HeaderDialect(HEADER_NAMES),
--- a/tests/gateway/fleet/test_cache_store_probe.py
+++ b/tests/gateway/fleet/test_cache_store_probe.py
@@ -1,4 +1,4 @@
-"""How gateways notice together that a store of kept prompt state is down, and that it is back."""
+"""Shared probing of KV-cache stores: gateways detect together that one is down, and recovers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from milletcourse.platform.cache_events import PlatformCacheEvents
 
 STORE = "127.0.0.1:1"
-"""Where nothing listens."""
+"""An address at which nothing listens."""
 
 
 def _with_store() -> dict[str, object]:
@@ -26,7 +26,7 @@
 
 
 async def _two_gateways(harness: Harness) -> tuple[GatewayNode, GatewayNode]:
-    """In two zones, so that both read the store and neither follows the other."""
+    """Two gateways in different zones, so that both read the store and neither follows the other."""
     harness.internal_ports = harness.free_ports()
     harness.store.put("config", "main", _with_store())
     nodes = []
@@ -39,7 +39,7 @@
 
 
 def test_all_gateways_learn_the_result_of_a_probe() -> None:
-    """That a store is down, and that it is back; a store that nobody configured is passed over."""
+    """The other gateway learns of a failure and a recovery; unconfigured stores are ignored."""
 
     async def scenario(harness: Harness) -> None:
         prober, other = await _two_gateways(harness)
@@ -53,7 +53,7 @@
 
 
 def test_a_store_that_stays_down_is_reported_again() -> None:
-    """A gateway that started meanwhile learns it with the next look of any other."""
+    """A gateway that started meanwhile learns of the failure with the next probe of any other."""
 
     async def scenario(harness: Harness) -> None:
         prober, other = await _two_gateways(harness)
@@ -71,7 +71,7 @@
 
 
 class _Calls:
-    """Answers calls from a list, and keeps them."""
+    """Answers calls from a list of replies, and records their targets."""
 
     def __init__(self, replies: list[Reply | None]) -> None:
         self._replies = replies
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("refusal", [Reply(429, b"", 0.0), Reply(503, b"busy", 0.0)])
 def test_a_busy_store_is_probed_again_from_the_same_position(refusal: Reply) -> None:
-    """From the beginning it would tell all that it has done."""
+    """Asked from position 0, it would list all events since its start."""
 
     async def scenario(harness: Harness) -> None:
         await harness.start()
@@ -102,7 +102,7 @@
 
 
 def test_more_gateways_probe_less_often_each() -> None:
-    """All together have about as many calls at a store, however many they are."""
+    """The mean number of calls at a store doesn't depend on the number of gateways."""
 
     async def scenario(harness: Harness) -> None:
         await harness.start()
--- a/tests/gateway/fleet/test_signals_in_replies.py
+++ b/tests/gateway/fleet/test_signals_in_replies.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves in replies to orders and in their reports."""
+"""Signals of servers in their replies to weight orders and in their reports."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OrderedServer:
-    """A model server with old weights, which says something in one kind of its replies."""
+    """A model server with outdated weights, which sends header fields in one kind of its replies."""
 
     def __init__(self, target: str, fields: dict[str, str], born: int = BORN) -> None:
         self._target = target
@@ -29,7 +29,7 @@
     async def behave(
         self, server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
-        """Answer a report or an order; nothing else comes."""
+        """Answer a poll or an order; no other requests arrive."""
         self.calls.append(request.target)
         fields = self._fields if request.target == self._target else {}
         if request.target == ORDER:
@@ -45,7 +45,7 @@
 
 
 async def _start(harness: Harness, ordered: OrderedServer) -> Instance:
-    """A gateway that has a server to bring to newer weights."""
+    """Start a gateway with a server that needs newer weights."""
     server = StandinServer("s-1", ordered.behave)
     await server.start()
     harness.servers["s-1"] = server
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("target", [ORDER, REPORT])
 def test_a_leaving_signal_in_a_reply_is_applied(target: str) -> None:
-    """Only answers to clients' requests were read."""
+    """Guards against reading signals only in answers to clients' requests."""
 
     async def scenario(harness: Harness) -> None:
         ordered = OrderedServer(target, {"Server-Leaving": "1"})
@@ -74,7 +74,7 @@
 
 
 def test_a_rejected_order_may_request_back_off() -> None:
-    """As a request that is."""
+    """A rejected order counts as a rejected request does."""
 
     async def scenario(harness: Harness) -> None:
         instance = await _start(harness, OrderedServer(ORDER, {"Retry-After": "30"}))
@@ -86,7 +86,7 @@
 
 
 def test_a_limit_in_a_report_is_applied_and_its_absence_lifts_none() -> None:
-    """Answers to requests say each time whether there is one; nothing says that reports do."""
+    """Each answer to a request states whether there is a limit; a report need not."""
 
     async def scenario(harness: Harness) -> None:
         ordered = OrderedServer(REPORT, {"Server-Limit": "2"})
@@ -102,7 +102,7 @@
 
 
 def test_signals_of_another_incarnation_are_ignored() -> None:
-    """A report names no server; only its start tells whose it is."""
+    """A report doesn't name its server; only the start time identifies the incarnation."""
 
     async def scenario(harness: Harness) -> None:
         ordered = OrderedServer(REPORT, {"Server-Leaving": "1"}, born=BORN - 5)
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway before stand-ins of the users' platform: answers, retries, bad input, its stop."""
+"""A gateway with stand-ins of the users' platform: answers, retries, bad input, planned stop."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_passes_a_request_through_unchanged() -> None:
-    """Method, target, body and id reach the server; the key doesn't, the tenant does."""
+    """Method, target, body, id and tenant reach the server unchanged; the key doesn't."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -84,7 +84,7 @@
     "fault", [reset, truncated, garbled, unsigned, unframed_reset, promise_without_word]
 )
 def test_unsafe_request_that_may_have_run_is_not_sent_again(fault: Behaviour) -> None:
-    """Without a promise it runs at most once, and the client gets 502 without a signature."""
+    """Without a promise that it was not executed, it runs at most once; the client gets 502."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = once_then_whole(fault)
@@ -102,7 +102,7 @@
     "fault", [reset, truncated, garbled, unsigned, unframed_reset, failing, promise_without_word]
 )
 def test_safe_request_is_repeated_at_another_server(fault: Behaviour) -> None:
-    """Once, within the attempts of its route."""
+    """It is repeated once, within the attempts of its route."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = once_then_whole(fault)
@@ -116,7 +116,7 @@
 
 
 def test_retry_budget_is_spent_only_by_sends() -> None:
-    """Requests that can't be sent again leave the budget to those that can."""
+    """Requests that can't be retried don't consume the budget."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", reset)
@@ -136,7 +136,7 @@
 
 
 def test_own_failures_are_passed_on_with_their_signature() -> None:
-    """After the attempts are used up, the last failure is the server's own, unchanged."""
+    """After the last attempt, the client gets the server's failure unchanged."""
 
     async def scenario(harness: Harness) -> None:
         for number in (1, 2, 3):
@@ -151,7 +151,7 @@
 
 
 def test_turned_away_request_goes_elsewhere_or_is_refused_with_a_time() -> None:
-    """What was not run may be sent to another server; with none left, 503 and Retry-After."""
+    """A request that was not run may go to another server; with none left: 503, Retry-After."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", once_then_whole(shedding))
@@ -168,7 +168,7 @@
 
 
 def test_foreign_answer_is_dropped_and_its_connection_is_not_reused() -> None:
-    """Answers are told apart by the request's id."""
+    """Answers are matched to requests by the request's id."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", once_then_whole(foreign_first))
@@ -182,7 +182,7 @@
 
 
 def test_unframed_body_is_whole_when_its_connection_closes() -> None:
-    """The client gets it with a length."""
+    """The client gets it with a Content-Length."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", unframed)
@@ -194,7 +194,7 @@
 
 
 def test_refused_connection_goes_to_another_server() -> None:
-    """No byte was sent, so even an unsafe request may go elsewhere."""
+    """No byte was sent, so even an unsafe request may go to another server."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -234,7 +234,7 @@
     ],
 )
 def test_bad_input_gets_a_typed_answer_and_nothing_is_sent(raw: bytes, status: int) -> None:
-    """Each ends its connection; other clients are served on."""
+    """Each closes its connection; other clients are still served."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -253,7 +253,7 @@
 
 @pytest.mark.parametrize("torn", [False, True])
 def test_an_offer_of_another_protocol_is_declined(torn: bool) -> None:
-    """As clients that prefer HTTP/2 send it on their first request: served whole, in HTTP/1.1."""
+    """Clients that prefer HTTP/2 offer h2c in their first request; it is served in HTTP/1.1."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -278,7 +278,7 @@
 
 
 def test_pipelined_and_split_requests_are_answered_in_order() -> None:
-    """However the bytes are split."""
+    """The answers don't depend on how the bytes are split into packets."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -301,11 +301,11 @@
     run_with_gateway(scenario)
 
 
-# -- figures and logs ---------------------------------------------------------------------------
+# -- metrics and logs ---------------------------------------------------------------------------
 
 
 def test_metrics_show_outcomes_attempts_and_state() -> None:
-    """At the metrics path only; bounded labels."""
+    """The metrics path serves them with bounded labels; other paths get 404."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = once_then_whole(failing)
@@ -333,7 +333,7 @@
 def test_suspicion_of_a_server_is_logged_when_it_starts_and_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Once when they do, and once when they don't any more."""
+    """One line when the gateways together suspect a server, and one when they stop doing so."""
     logged: list[tuple[str, bool]] = []
 
     async def scenario(harness: Harness) -> None:
@@ -355,7 +355,7 @@
 
 
 def test_a_request_is_explained_from_the_logs_of_all_nodes() -> None:
-    """In the order of time, with the belief that decided it; other text before the JSON is cut."""
+    """In order of time, with the configuration in force; text before the JSON is ignored."""
     lines = [
         '3.2 front-2 {"node":"b","event":"request-failed","request_id":"x","code":"overloaded",'
         '"timestamp":"2026-01-01T00:00:03Z"}',
@@ -378,7 +378,7 @@
 
 
 def test_planned_stop_serves_on_and_asks_clients_to_disconnect() -> None:
-    """Not ready at once; requests are served with Connection: close; the node then ends."""
+    """It is not ready at once, serves requests with Connection: close, and then ends."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
--- a/tests/gateway/test_gateway_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -26,7 +26,7 @@
 
 
 def test_signals_and_changed_settings(tmp_path: Path) -> None:
-    """SIGHUP and a bad file leave it serving; SIGTERM ends it in a planned way with code 0."""
+    """SIGHUP with an invalid file doesn't stop it; SIGTERM causes a planned stop with exit code 0."""
 
     async def scenario(harness: Harness, gateway: GatewayProcess, path: Path) -> None:
         started = await gateway.wait_for("started")
@@ -50,7 +50,7 @@
 
 
 def test_a_full_log_pipe_does_not_block(tmp_path: Path) -> None:
-    """Nobody reads the log, and requests are served on."""
+    """Requests are still served when nothing reads the log."""
 
     async def scenario(harness: Harness, gateway: GatewayProcess, path: Path) -> None:
         started = await gateway.wait_for("started")
@@ -64,7 +64,7 @@
 
 
 def test_a_gateway_imports_only_what_it_uses() -> None:
-    """Memory and start-up are priced on the users' machines; figures are written out late."""
+    """Memory and start-up time are priced on the users' machines, so heavy modules stay out."""
     code = (
         "import sys, milletcourse.platform.start, milletcourse.gateway.telling.metrics\n"
         "milletcourse.gateway.telling.metrics.GatewayMetrics()\n"
@@ -77,7 +77,7 @@
 
 
 def test_a_reload_during_the_start_does_not_end_the_process(tmp_path: Path) -> None:
-    """SIGHUP comes while most of a start, importing, is still under way."""
+    """SIGHUP arrives during the imports, which take most of the start-up time."""
 
     async def scenario(harness: Harness, gateway: GatewayProcess, path: Path) -> None:
         status = Path(f"/proc/{gateway.process.pid}/status")
@@ -96,6 +96,6 @@
 
 
 def ignores_hang_up(status: str) -> bool:
-    """Whether a process ignores SIGHUP, by what the kernel tells of it."""
+    """Whether a process ignores SIGHUP, by its status in /proc."""
     lines = dict(line.split(":", 1) for line in status.splitlines() if ":" in line)
     return bool(int(lines["SigIgn"], 16) & 1 << (signal.SIGHUP - 1))
