--- a/src/milletcourse/gateway/fleet/cache_store_probe.py
+++ b/src/milletcourse/gateway/fleet/cache_store_probe.py
@@ -90,7 +90,7 @@
         self._context.cache_store_availability.record_probe(address, reply is not None)
 
     def _on_reply(self, address: str, reply_content: ProbeReply | None) -> None:
-        """Update the position and start of a store; a busy store rejects a probe without content."""
+        """Update the position and start of a store; a busy one rejects a probe without content."""
         if reply_content is None:
             return
         known = self._starts.get(address, 0)
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -198,7 +198,7 @@
     # -- planned stop ---------------------------------------------------------------------------
 
     async def stop(self) -> None:
-        """Report not ready, serve the requests that still arrive, and stop within the grace time."""
+        """Report not ready, serve requests that still arrive, and stop within the grace time."""
         context = self.context
         stop = context.planned_stop = PlannedStop(
             context.now(), self._last_responsive_at, context.settings.bounds.grace
--- a/src/milletcourse/gateway/process.py
+++ b/src/milletcourse/gateway/process.py
@@ -115,7 +115,7 @@
         self._log = log
 
     def reload(self) -> None:
-        """Read the file and apply its settings; if they are invalid, the former ones stay in force."""
+        """Read and apply the settings; if they are invalid, the former ones stay in force."""
         try:
             content = self._path.read_bytes()
             settings = self._adapter.read_settings(content)
--- a/tests/gateway/fleet/test_cache_store_probe.py
+++ b/tests/gateway/fleet/test_cache_store_probe.py
@@ -26,7 +26,7 @@
 
 
 async def _two_gateways(harness: Harness) -> tuple[GatewayNode, GatewayNode]:
-    """Two gateways in different zones, so that both read the store and neither follows the other."""
+    """Two gateways in different zones, so that both read the store and none follows the other."""
     harness.internal_ports = harness.free_ports()
     harness.store.put("config", "main", _with_store())
     nodes = []
--- a/tests/gateway/fleet/test_signals_in_replies.py
+++ b/tests/gateway/fleet/test_signals_in_replies.py
@@ -18,7 +18,7 @@
 
 
 class OrderedServer:
-    """A model server with outdated weights, which sends header fields in one kind of its replies."""
+    """A model server with outdated weights, which sends signals in one kind of its replies."""
 
     def __init__(self, target: str, fields: dict[str, str], born: int = BORN) -> None:
         self._target = target
--- a/tests/gateway/test_gateway_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -26,7 +26,7 @@
 
 
 def test_signals_and_changed_settings(tmp_path: Path) -> None:
-    """SIGHUP with an invalid file doesn't stop it; SIGTERM causes a planned stop with exit code 0."""
+    """SIGHUP with an invalid file doesn't stop it; SIGTERM stops it gracefully with exit code 0."""
 
     async def scenario(harness: Harness, gateway: GatewayProcess, path: Path) -> None:
         started = await gateway.wait_for("started")
@@ -64,7 +64,7 @@
 
 
 def test_a_gateway_imports_only_what_it_uses() -> None:
-    """Memory and start-up time are priced on the users' machines, so heavy modules stay out."""
+    """Memory and start-up time are priced; prometheus_client is imported at the first scrape."""
     code = (
         "import sys, milletcourse.platform.start, milletcourse.gateway.telling.metrics\n"
         "milletcourse.gateway.telling.metrics.GatewayMetrics()\n"
--- a/tests/gateway/test_planned_stop.py
+++ b/tests/gateway/test_planned_stop.py
@@ -230,7 +230,7 @@
         kept.sendall(request_bytes("first"))
         await until_readable(kept)
         assert kept.recv(4096).startswith(b"HTTP/1.1 200")
-        # Due just before a sweep of connections, so that the loop runs both before it reads sockets.
+        # Due just before a sweep of connections, so that the loop runs both before it reads.
         loop = asyncio.get_running_loop()
         loop.call_later(0.05, kept.sendall, request_bytes("second"))
         block_loop_until(time.monotonic() + 2.0)
