--- a/tests/gateway/store/test_restarts_under_one_name.py
+++ b/tests/gateway/store/test_restarts_under_one_name.py
@@ -230,7 +230,7 @@
         starts = [FIRST_MS, FIRST_MS, FIRST_MS + 5, FIRST_MS]
         probe = CacheStoreProbe(context, Calls(starts), PlatformCacheEvents())
         for expected in (0, 0, 1, 1):
-            await probe.look("127.0.0.1:1")
+            await probe.probe_store("127.0.0.1:1")
             assert len(lost) == expected
 
     run_with_gateway(scenario)
