--- a/src/milletcourse/gateway/fleet_member.py
+++ b/src/milletcourse/gateway/fleet_member.py
@@ -1,4 +1,4 @@
-"""One gateway's part among all: what it follows in the store, tells others, and hears from them."""
+"""One gateway as a member of the fleet: replication of the store and exchange with its peers."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 INSTANCE_WAIT_SECONDS = 1.5
 TARGET_WAIT_SECONDS = 3.0
 GATEWAY_WAIT_SECONDS = 10.0
-"""Gateways come seldom, and nothing but speed depends on knowing them."""
+"""The list of gateways changes rarely, and only speed depends on it."""
 
 Listen = Callable[[str, Handler], Awaitable[str]]
-"""Listens at an address with a handler; tells the address that was taken."""
+"""Listens at an address with a handler; returns the address in use."""
 Spawn = Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]]
-"""Starts a task without which the gateway can't go on."""
+"""Starts a task whose failure stops the gateway."""
 
 
 class FleetMember:
-    """Follows the store, alone or with the other gateways.
+    """Follows the object store, alone or together with the other gateways.
 
     Attributes:
         peers: Datagrams to and from the other gateways.
@@ -65,17 +65,19 @@
         self._spawn = spawn
         self._gateways_kind = adapter.kinds.gateways
         self._directory = GatewayDirectory(settings.name, context.log, self._on_entry, context.now)
-        self._plan = ReaderSelection(settings.name, settings.zone, settings.link_megabits)
+        self._reader_selection = ReaderSelection(
+            settings.name, settings.zone, settings.link_megabits
+        )
         self._watched = _watched_kinds(context, adapter, self._directory)
-        self._reader = StoreSync(
-            context, store, calls, self._plan, self._watched, self._gateways_kind, spawn
+        self._store_sync = StoreSync(
+            context, store, calls, self._reader_selection, self._watched, self._gateways_kind, spawn
         )
 
     async def start(self) -> None:
-        """Act together with the other gateways, where there are ports for it, and follow the store.
+        """Join the other gateways if a port is free for it, and follow the store.
 
-        Without them the gateway serves alone: nothing depends on the others but speed and the
-        number of calls to the store.
+        Without a free port the gateway serves alone. Only speed and the number of calls to the
+        store depend on the other gateways.
         """
         settings = self._context.settings
         port = await self._bind_datagrams(settings.host, settings.internal_ports)
@@ -83,7 +85,7 @@
             self._context.log.emit("peers-unavailable", ports=settings.internal_ports)
         else:
             await self._join(f"{settings.host}:{port}")
-        self._spawn(self._reader.run())
+        self._spawn(self._store_sync.run())
 
     async def _join(self, address: str) -> None:
         settings = self._context.settings
@@ -91,28 +93,28 @@
         feed_address = await self._listen_for_followers()
         self._directory.add_listener(self._on_gateways)
         self._spawn(self.peers.run())
-        location = GatewayEntry(address, settings.zone, feed_address, settings.link_megabits)
+        base_entry = GatewayEntry(address, settings.zone, feed_address, settings.link_megabits)
         registration = Registration(
             self._store,
             self._gateways_kind,
             settings.name,
             self._directory,
-            lambda: self._entry_of(location),
+            lambda: self._current_entry(base_entry),
             lambda found: self._on_entry(found, True),
-            self._gateways_listed_at,
+            self._gateways_position,
             self._context.random,
             self._context.record.store.entry_rewritten,
         )
         self._spawn(registration.run())
-        self._context.crash_watch.listeners.append(registration.on_change)
+        self._context.crash_detector.listeners.append(registration.on_change)
         self._context.on_restore_update = registration.on_change
 
-    def _gateways_listed_at(self) -> StorePosition | None:
+    def _gateways_position(self) -> StorePosition | None:
         mirrors = [kind.mirror for kind in self._watched]
         return next(mirror.position for mirror in mirrors if mirror.kind == self._gateways_kind)
 
     async def compare_with_store(self) -> StoreState:
-        """What this gateway knows of the store, and how that differs from what it holds."""
+        """Compare this gateway's replica with the content of the store."""
         context = self._context
         mirrors = [kind.mirror for kind in self._watched]
         kinds = await compare_kinds(self._store, mirrors, context.now())
@@ -122,33 +124,33 @@
         )
 
     def sweep(self, now: float) -> None:
-        """Bounds on time."""
+        """Remove state whose time limit has passed."""
         self._directory.expire_missing(now)
 
-    def _entry_of(self, location: GatewayEntry) -> GatewayEntry:
-        """This gateway's entry as it should be now."""
+    def _current_entry(self, base_entry: GatewayEntry) -> GatewayEntry:
+        """The entry that this gateway's registration must have now."""
         context = self._context
         reports = context.crash_evidence.locally_persisted(context.now())
         confirmed_era = UNKNOWN_ERA
         if context.reads_store and self._directory.confirmed_era < context.confirmed_era.latest:
             confirmed_era = context.confirmed_era.latest
         return msgspec.structs.replace(
-            location,
+            base_entry,
             contained=[ContainedRequest.from_report(report) for report in reports],
             confirmed_era=confirmed_era,
             lost_configuration=context.lost_configuration.version if context.reads_store else 0,
         )
 
     def _on_entry(self, entry: GatewayEntry, is_own: bool) -> None:
-        """What a gateway, maybe before all of them ended, left for those that come after it."""
+        """Apply the entry of a gateway; it persists even when all gateways have stopped since."""
         self._context.confirmed_era.on_peer_confirmed(entry.confirmed_era)
         if entry.lost_configuration:
             self._context.on_lost_configuration(entry.lost_configuration)
         if entry.contained:
-            self._on_contained(entry, is_own)
+            self._on_contained_requests(entry, is_own)
 
-    def _on_contained(self, entry: GatewayEntry, is_own: bool) -> None:
-        """A gateway found requests that end servers."""
+    def _on_contained_requests(self, entry: GatewayEntry, is_own: bool) -> None:
+        """Apply another gateway's record of requests that crash servers."""
         context = self._context
         try:
             reports = [request.to_report() for request in entry.contained[:MAX_REPORTS_PER_MESSAGE]]
@@ -157,17 +159,20 @@
             return
         age_seconds = max(wall_seconds() - entry.contained_at, 0.0)
         context.crash_evidence.restore(reports, age_seconds, context.now(), is_own)
-        context.crash_watch.report_contained()
+        context.crash_detector.report_contained()
 
     def _on_gateways(self, others: list[GatewayRecord]) -> None:
         own_name = self._context.settings.name
-        self._plan.set_gateways(others)
-        readers = [name for name in self._plan.primary_readers if name != own_name]
+        self._reader_selection.set_gateways(others)
+        readers = [name for name in self._reader_selection.primary_readers if name != own_name]
         self.peers.set_gateways(others, readers)
         self._context.crash_evidence.on_peers_known()
 
     async def _listen_for_followers(self) -> str:
-        """Tell other gateways what the store holds at the first free port; empty without one."""
+        """Serve the content of the store to other gateways at the first free port.
+
+        Returns the address; empty when no port is free.
+        """
         settings = self._context.settings
         mirrors = [kind.mirror for kind in self._watched]
         feed = StoreFeed(self._context, mirrors, proof_mirror=mirrors[0])
@@ -181,7 +186,7 @@
         return ""
 
     async def _bind_datagrams(self, host: str, ports: tuple[int, int]) -> int | None:
-        """Bind the first free port of a range; None when there is none."""
+        """Bind the first free port of a range; returns it, or None when there is none."""
         if ports[0] == 0:
             return None
         loop = asyncio.get_running_loop()
@@ -194,15 +199,15 @@
         return None
 
     def close(self) -> None:
-        """Stop following and telling."""
-        self._reader.close()
+        """Stop following the store and exchanging messages."""
+        self._store_sync.close()
         self.peers.close()
 
 
 def _watched_kinds(
     context: GatewayContext, adapter: PlatformAdapter, directory: GatewayDirectory
 ) -> tuple[WatchedKind, ...]:
-    """What is followed in the object store, and who takes it."""
+    """The kinds of objects that are followed in the store, with their handlers."""
     kinds = adapter.kinds
     configuration = ConfigurationEventHandler(
         context, kinds.configuration_name, adapter.decode_configuration
@@ -210,15 +215,15 @@
     instances = InstanceEventHandler(context, adapter.decode_instance)
     targets = TargetEventHandler(context, adapter.decode_target)
 
-    def mirror(kind: str, sink: KindEventHandler) -> KindMirror:
-        return KindMirror(kind, sink, context.record.store)
+    def mirror(kind: str, handler: KindEventHandler) -> KindMirror:
+        return KindMirror(kind, handler, context.record.store)
 
-    # The configuration comes first: it is asked for most often.
+    # The configuration comes first: it is requested most often.
     return (
         WatchedKind(
             mirror(kinds.configuration, configuration), context.replication_times.watch_wait
         ),
-        # Many pages: read stale, and brought up to date by the first watch.
+        # A list of many pages: a stale read is enough, since the first watch brings it up to date.
         WatchedKind(mirror(kinds.instances, instances), INSTANCE_WAIT_SECONDS, True),
         WatchedKind(mirror(kinds.targets, targets), TARGET_WAIT_SECONDS),
         WatchedKind(mirror(kinds.gateways, directory), GATEWAY_WAIT_SECONDS, True),
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -1,4 +1,4 @@
-"""One gateway process: puts its parts together, and stops them in a planned way."""
+"""One gateway process: wires up its components, starts them and shuts them down gracefully."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from milletcourse.gateway.clients.refusals import refuse
 from milletcourse.gateway.clients.request_reader import ClientRequest
 from milletcourse.gateway.fleet.cache_store_probe import CacheStoreProbe
-from milletcourse.gateway.fleet.roll_out_service import RollOutService
+from milletcourse.gateway.fleet.rollout_service import RolloutService
 from milletcourse.gateway.fleet_member import FleetMember
 from milletcourse.gateway.operator_api import OperatorApi, set_gauges
 from milletcourse.gateway.requests.exchange_runner import ExchangeRunner
@@ -35,14 +35,19 @@
 
 LISTEN_BACKLOG = 1024
 SWEEP_SECONDS = 0.25
-LATE_SECONDS = 0.25
-"""A loop that is later than this shows in answers; shorter pauses are collections and bursts."""
-LOOK_SECONDS = 0.05
-"""Between two looks of a planned stop at its connections."""
+LOOP_STALL_SECONDS = 0.25
+"""Event-loop stalls longer than this delay answers noticeably; shorter ones come from garbage
+collections and bursts of load."""
+STOP_POLL_SECONDS = 0.05
+"""Interval at which a planned stop checks its connections."""
 
 
 class GatewayNode:
-    """A gateway with its listeners and background work."""
+    """A gateway with its listeners and background tasks.
+
+    Attributes:
+        task_failed: Set when a background task has failed, after which the process must stop.
+    """
 
     def __init__(
         self,
@@ -62,8 +67,8 @@
         self._clients: set[ClientConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._listeners: list[asyncio.Server | Acceptor] = []
-        self._seen_running_at = self.context.now()
-        self.duty_failed = asyncio.Event()
+        self._last_responsive_at = self.context.now()
+        self.task_failed = asyncio.Event()
         self.readiness_address = settings.readiness
         self.frontend_address = settings.frontend
         self._calls = CallClient(self.context.pool, self.context.record.store.call_aborted)
@@ -81,7 +86,7 @@
         )
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store."""
+        """Listen, and start to follow the store."""
         runner = ExchangeRunner(self.context)
         settings = self.context.settings
         self.readiness_address = await self._listen(settings.readiness, self._answer_readiness)
@@ -89,23 +94,23 @@
         self.context.log.emit("started", frontend=self.frontend_address)
         await self._fleet.start()
         kinds = self._adapter.kinds
-        roll_out = RollOutService(
+        rollout = RolloutService(
             self.context,
             self._store,
             kinds.leases,
-            kinds.roll_out_lease,
+            kinds.rollout_lease,
             self._calls,
             self._adapter.orders,
             self._fleet.peers,
         )
-        self._spawn(roll_out.run())
+        self._spawn(rollout.run())
         probe = CacheStoreProbe(self.context, self._calls, self._adapter.cache_store)
         self._spawn(probe.run())
         self._spawn(self._sweep())
-        self._spawn(self._tally())
+        self._spawn(self._log_tallies())
 
     async def _listen(self, address: str, handler: Handler) -> str:
-        """Listen at an address; port 0 takes a free one. Returns the address taken."""
+        """Listen at an address; port 0 takes a free one. Returns the address in use."""
         host, _, port = address.rpartition(":")
         server = await asyncio.get_running_loop().create_server(
             lambda: ClientConnection(self.context, handler, refuse, self._clients),
@@ -119,30 +124,33 @@
         return f"{bound_host}:{bound_port}"
 
     def _listen_for_clients(self, address: str, handler: Handler) -> str:
-        """Listen where clients come, and accept no more than can be served; the address taken."""
+        """Listen for clients, and accept only as many connections as can be served.
+
+        Returns the address in use.
+        """
         host, _, port = address.rpartition(":")
-        gate = ConnectionLimiter(self.context)
+        limiter = ConnectionLimiter(self.context)
         listening = listening_socket(host, int(port), LISTEN_BACKLOG)
 
         def new_connection() -> ClientConnection:
-            return ClientConnection(self.context, handler, refuse, self._clients, gate.clients)
+            return ClientConnection(self.context, handler, refuse, self._clients, limiter.clients)
 
         self._listeners.append(
-            Acceptor(listening, new_connection, lambda: gate.capacity(listening))
+            Acceptor(listening, new_connection, lambda: limiter.capacity(listening))
         )
         bound_host, bound_port = listening.getsockname()[:2]
         return f"{bound_host}:{bound_port}"
 
     async def _answer_readiness(self, request: ClientRequest, client: ClientConnection) -> None:
         if request.target.split(b"?", 1)[0].decode("latin-1") != self._adapter.ready_path:
-            refuse(client, NotFound("nothing here but readiness"))
+            refuse(client, NotFound("only the readiness check is served at this address"))
         elif self.context.is_ready():
             client.send_whole(200, b"", [], b"")
         else:
             refuse(client, Draining("not ready"))
 
     async def listen_for_operators(self, port: int, metrics_path: str) -> str:
-        """Answer operators on a port of this machine; returns the address."""
+        """Serve the operator API on a port of this machine; returns the address."""
         api = OperatorApi(
             self.context,
             self._metrics,
@@ -158,14 +166,14 @@
         metrics.clients.set(len(self._clients))
 
     async def _sweep(self) -> None:
-        """Bounds on time, kept without a timer for each connection."""
+        """Enforce time limits periodically, without a timer for each connection."""
         while True:
             due_at = self.context.now() + SWEEP_SECONDS
             self.context.responsive_clock.on_loop_tick(SWEEP_SECONDS)
             await asyncio.sleep(SWEEP_SECONDS)
             self.context.handle_suspension()
-            now = self._seen_running_at = self.context.now()
-            if now - due_at > LATE_SECONDS:
+            now = self._last_responsive_at = self.context.now()
+            if now - due_at > LOOP_STALL_SECONDS:
                 self.context.record.loop_late(now - due_at)
             for client in list(self._clients):
                 client.check_timeouts(now)
@@ -175,14 +183,14 @@
             self.context.gate.forget_before(now)
             self.context.report_suspicions()
             self.context.report_limits()
-            self.context.crash_watch.sweep()
+            self.context.crash_detector.sweep()
             self.context.permits.sweep(self._server_keys)
 
     def _server_keys(self) -> set[int]:
         return {instance.key for instance in self.context.instances}
 
-    async def _tally(self) -> None:
-        """Sums for the log, at a bounded rate."""
+    async def _log_tallies(self) -> None:
+        """Log the tallies at a fixed interval, which bounds the rate of log lines."""
         while True:
             await asyncio.sleep(TALLY_INTERVAL_SECONDS)
             self.context.record.write_tally()
@@ -190,16 +198,16 @@
     # -- planned stop ---------------------------------------------------------------------------
 
     async def stop(self) -> None:
-        """Leave the entry, serve what comes meanwhile, end within the grace time."""
+        """Report not ready, serve requests that still arrive, and stop within the grace time."""
         context = self.context
         stop = context.planned_stop = PlannedStop(
-            context.now(), self._seen_running_at, context.settings.bounds.grace
+            context.now(), self._last_responsive_at, context.settings.bounds.grace
         )
         context.log.emit("stopping", connections=len(self._clients))
         await asyncio.sleep(max(stop.refuses_at - context.now(), 0.0))
         for listener in self._listeners:
             await self._close_listener(listener)
-        await self._end_connections(stop)
+        await self._close_connections(stop)
         context.record.write_tally()
         context.log.emit("stopped", unfinished=len(self._clients))
         self.close()
@@ -209,11 +217,12 @@
         waiting = await drain_and_close(listener)
         self.context.record.listener_closed(f"{host}:{port}", waiting)
 
-    async def _end_connections(self, stop: PlannedStop) -> None:
-        """Close each connection when nothing is left on it, until all are or the time is over."""
+    async def _close_connections(self, stop: PlannedStop) -> None:
+        """Close connections as they become idle, until none is left or the grace time is over."""
         while True:
-            # First, since connections that were just accepted aren't registered yet.
-            await asyncio.sleep(LOOK_SECONDS)
+            # Sleeps before the first check: connections that were just accepted aren't registered
+            # yet.
+            await asyncio.sleep(STOP_POLL_SECONDS)
             now = self.context.now()
             if not self._clients or stop.phase(now) is StopPhase.EXPIRED:
                 return
@@ -223,7 +232,7 @@
                     client.close()
 
     def close(self) -> None:
-        """End at once; what is unfinished is cut."""
+        """Stop at once; unfinished requests are aborted."""
         for task in list(self._tasks):
             task.cancel()
         for listener in self._listeners:
@@ -231,7 +240,7 @@
         for client in list(self._clients):
             client.abort_at_shutdown()
         self._fleet.close()
-        self.context.crash_watch.close()
+        self.context.crash_detector.close()
         self.context.pool.close()
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -244,7 +253,7 @@
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
-        # A gateway without one of its duties must not go on looking healthy; what it serves is
-        # not the cause, and ends as in any planned stop.
+        # A gateway that lacks a background task must not continue to report itself healthy. Its
+        # requests are not the cause, so they finish as in any planned stop.
         self.context.log.emit("task-failed", error=repr(task.exception()))
-        self.duty_failed.set()
+        self.task_failed.set()
--- a/src/milletcourse/gateway/process.py
+++ b/src/milletcourse/gateway/process.py
@@ -1,4 +1,4 @@
-"""A gateway as a process: settings, signals, planned stop."""
+"""Runs a gateway as a process: settings, signals, planned stop."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 if TYPE_CHECKING:
     from milletcourse.gateway.telemetry.metrics import GatewayMetrics
 
-STANDARD_OUTPUT = 1
-DUTY_FAILED_EXIT = 70
-"""Exit code of a gateway that stopped since one of its duties had failed: an internal error."""
+STDOUT_FD = 1
+TASK_FAILED_EXIT_CODE = 70
+"""Exit code (EX_SOFTWARE) of a gateway that stopped because a background task had failed."""
 SETTINGS_POLL_SECONDS = 1.0
-COLLECTION_THRESHOLD = 20_000
-"""Allocations between garbage collections: fewer pauses, since requests leave no cycles."""
+GC_THRESHOLD_ALLOCATIONS = 20_000
+"""Allocations between garbage collections. Fewer collections mean fewer pauses, and requests
+leave no reference cycles that would need them."""
 
 
 def run_gateway(
@@ -35,17 +36,20 @@
     metrics_path: str,
     mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
 ) -> None:
-    """Serve until a stop signal; returns after the planned stop.
+    """Serve until a stop signal or the failure of a background task, then stop gracefully.
 
     Args:
         settings_path: Settings file.
         adapter: The platform's names and formats.
-        metrics_port: Port of the figures; 0 for none.
-        metrics_path: Path of the figures.
-        mechanisms: Those that are switched on.
+        metrics_port: Port of the operator API with the metrics; 0 for none.
+        metrics_path: Path of the metrics.
+        mechanisms: Mechanisms that are switched on.
+
+    Raises:
+        SystemExit: A background task failed.
     """
     gc.freeze()
-    gc.set_threshold(COLLECTION_THRESHOLD, 20, 20)
+    gc.set_threshold(GC_THRESHOLD_ALLOCATIONS, 20, 20)
     uvloop.run(_serve(settings_path, adapter, metrics_port, metrics_path, mechanisms))
 
 
@@ -58,7 +62,7 @@
 ) -> None:
     content = settings_path.read_bytes()
     settings = adapter.read_settings(content)
-    log = EventLog(settings.name, NonBlockingWriter(STANDARD_OUTPUT))
+    log = EventLog(settings.name, NonBlockingWriter(STDOUT_FD))
     metrics = _new_metrics() if metrics_port else None
     node = GatewayNode(settings, adapter, random.Random(), log, metrics, mechanisms)
     loop = asyncio.get_running_loop()
@@ -70,31 +74,31 @@
     await node.start()
     if metrics is not None:
         await node.listen_for_operators(metrics_port, metrics_path)
-    following = asyncio.create_task(reloader.follow())
-    await _first_of(stopped, node.duty_failed)
-    following.cancel()
+    watcher = asyncio.create_task(reloader.watch_file())
+    await _wait_for_any(stopped, node.task_failed)
+    watcher.cancel()
     await node.stop()
-    if node.duty_failed.is_set():
-        raise SystemExit(DUTY_FAILED_EXIT)
+    if node.task_failed.is_set():
+        raise SystemExit(TASK_FAILED_EXIT_CODE)
 
 
-async def _first_of(*events: asyncio.Event) -> None:
+async def _wait_for_any(*events: asyncio.Event) -> None:
     """Wait until one of the events is set."""
-    waits = [asyncio.create_task(event.wait()) for event in events]
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for wait in waits:
-        wait.cancel()
+    tasks = [asyncio.create_task(event.wait()) for event in events]
+    await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+    for task in tasks:
+        task.cancel()
 
 
 def _new_metrics() -> GatewayMetrics:
-    # Imported only where it is used: memory and start-up are priced.
+    # Imported only where it is used, since memory and start-up time are priced.
     from milletcourse.gateway.telemetry.metrics import GatewayMetrics
 
     return GatewayMetrics()
 
 
 class SettingsReloader:
-    """Takes changed settings into force while the process serves."""
+    """Applies changed settings while the process serves."""
 
     def __init__(
         self,
@@ -111,7 +115,7 @@
         self._log = log
 
     def reload(self) -> None:
-        """Read the file; settings that can't be read leave the former ones in force."""
+        """Read and apply the settings; if they are invalid, the former ones stay in force."""
         try:
             content = self._path.read_bytes()
             settings = self._adapter.read_settings(content)
@@ -124,17 +128,17 @@
         self._node.context.apply_settings(settings)
         self._log.emit("settings-reloaded")
 
-    async def follow(self) -> None:
-        """Notice changes of the file that no signal tells of, also those during the start."""
-        seen = 0
+    async def watch_file(self) -> None:
+        """Poll the file for changes without a signal, including those made during start-up."""
+        last_modified_at = 0
         while True:
             await asyncio.sleep(SETTINGS_POLL_SECONDS)
-            changed_at = self._changed_at()
-            if changed_at != seen:
-                seen = changed_at
+            modified_at = self._modified_at()
+            if modified_at != last_modified_at:
+                last_modified_at = modified_at
                 self.reload()
 
-    def _changed_at(self) -> int:
+    def _modified_at(self) -> int:
         try:
             return os.stat(self._path).st_mtime_ns
         except OSError:
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -53,7 +53,7 @@
         """
 
     def on_change_announced(
-        self, effect: ConfigurationEffect | None, not_out_at: float | None
+        self, effect: ConfigurationEffect | None, not_committed_at: float | None
     ) -> None:
         """Handle the announcement of a published change that hasn't arrived here yet.
 
@@ -61,8 +61,8 @@
 
         Args:
             effect: What it changes for requests, None when that isn't known.
-            not_out_at: Monotonic time at which it wasn't published yet; None when only the proofs
-                of freshness bound that time.
+            not_committed_at: Monotonic time at which it wasn't committed yet; None when only the
+                proofs of freshness bound that time.
         """
 
     def on_pending_proof(self, sent_at: float) -> None:
@@ -85,7 +85,7 @@
         """See `KindEventHandler`."""
 
     def on_change_announced(
-        self, effect: ConfigurationEffect | None, not_out_at: float | None
+        self, effect: ConfigurationEffect | None, not_committed_at: float | None
     ) -> None:
         """See `KindEventHandler`."""
 
@@ -186,19 +186,21 @@
         """Note that a list is being received from the store; it may contain nothing new."""
         self.is_receiving = True
 
-    def on_change_coming(self, not_out_at: float | None) -> None:
+    def on_change_coming(self, not_committed_at: float | None) -> None:
         """Note that a change is being received from the store.
 
         Args:
-            not_out_at: Monotonic time at which it wasn't published yet; None when only the proofs
-                of freshness bound that time.
+            not_committed_at: Monotonic time at which it wasn't committed yet; None when only the
+                proofs of freshness bound that time.
         """
         self.is_receiving = True
-        self._handler.on_change_announced(None, not_out_at)
+        self._handler.on_change_announced(None, not_committed_at)
 
-    def on_announced(self, effect: ConfigurationEffect | None, not_out_at: float | None) -> None:
+    def on_announced(
+        self, effect: ConfigurationEffect | None, not_committed_at: float | None
+    ) -> None:
         """Report a change that a reader announced, and whose content hasn't arrived yet."""
-        self._handler.on_change_announced(effect, not_out_at)
+        self._handler.on_change_announced(effect, not_committed_at)
 
     def on_pending_proof(self, sent_at: float) -> None:
         """Report a reader's proof that nothing but the announced changes is missing."""
--- a/tests/gateway/store/test_restarts_under_one_name.py
+++ b/tests/gateway/store/test_restarts_under_one_name.py
@@ -198,10 +198,10 @@
         context = harness.node.context
         peers = harness.node._fleet.peers
         late = ServerNotice("e-1", "", 0, ServerState.TERMINATED, FIRST_MS)
-        peers._take_notice(late, context.now())
+        peers._on_notice(late, context.now())
         assert [instance.name for instance in context.instances] == ["e-1"]
         now = ServerNotice("e-1", "", 0, ServerState.TERMINATED, FIRST_MS + 10)
-        peers._take_notice(now, context.now())
+        peers._on_notice(now, context.now())
         assert not list(context.instances)
 
     run_with_gateway(scenario)
@@ -230,7 +230,7 @@
         starts = [FIRST_MS, FIRST_MS, FIRST_MS + 5, FIRST_MS]
         probe = CacheStoreProbe(context, Calls(starts), PlatformCacheEvents())
         for expected in (0, 0, 1, 1):
-            await probe.look("127.0.0.1:1")
+            await probe.probe_store("127.0.0.1:1")
             assert len(lost) == expected
 
     run_with_gateway(scenario)
