--- a/src/milletcourse/configuration/freshness.py
+++ b/src/milletcourse/configuration/freshness.py
@@ -42,12 +42,14 @@
             wall = self.latest_stamp.wall_seconds - self._skew_seconds
             self._confirmed_wall = max(self._confirmed_wall, wall)
 
-    def on_majority(self, heard_wall: float, own_revision: int, highest_heard: int) -> None:
+    def on_majority(
+        self, contact_wall_seconds: float, own_revision: int, highest_peer_revision: int
+    ) -> None:
         """The majority of the members was heard by this time and none has a higher revision."""
-        if own_revision >= highest_heard:
-            self._majority_wall = max(self._majority_wall, heard_wall)
+        if own_revision >= highest_peer_revision:
+            self._majority_wall = max(self._majority_wall, contact_wall_seconds)
 
-    def on_wake(self, wall_now: float) -> None:
+    def on_resume(self, wall_now: float) -> None:
         """This process was frozen: evidence from before counts no more."""
         self._ignored_before_wall = wall_now
 
--- a/src/milletcourse/configuration/freshness_watch.py
+++ b/src/milletcourse/configuration/freshness_watch.py
@@ -10,7 +10,7 @@
 from milletcourse.membership.failure_detector import FailureDetector
 from milletcourse.runtime.clock import Clock
 
-FREEZE_SECONDS = 1.5
+STALL_THRESHOLD_SECONDS = 1.5
 """Looks that are this far apart mean that the process did not run."""
 
 
@@ -30,36 +30,36 @@
         freshness: FreshnessTracker,
         detector: FailureDetector,
         store: ConfigurationStore,
-        highest_heard: Callable[[], int],
+        highest_peer_revision: Callable[[], int],
         clock: Clock,
     ) -> None:
         self._freshness = freshness
         self._detector = detector
         self._store = store
-        self._highest_heard = highest_heard
+        self._highest_peer_revision = highest_peer_revision
         self._clock = clock
-        self._looked_at = 0.0
+        self._checked_at = 0.0
         self._log = get_logger("node")
 
     def start(self) -> None:
         """Count from now on."""
-        self._looked_at = self._clock.monotonic()
+        self._checked_at = self._clock.monotonic()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Notice a freeze, and refresh what others prove."""
-        self.notice_freeze()
-        self.share_stamp()
+        self.check_for_stall()
+        self.publish_stamp()
         self._note_majority()
 
-    def notice_freeze(self) -> None:
+    def check_for_stall(self) -> None:
         """A process that did not run must not trust what it believed before."""
         now = self._clock.monotonic()
-        if self._looked_at and now - self._looked_at > FREEZE_SECONDS:
-            self._log.warning("the process was frozen", seconds=round(now - self._looked_at, 1))
-            self._freshness.on_wake(self._clock.wall())
-        self._looked_at = now
+        if self._checked_at and now - self._checked_at > STALL_THRESHOLD_SECONDS:
+            self._log.warning("the process was frozen", seconds=round(now - self._checked_at, 1))
+            self._freshness.on_resume(self._clock.wall())
+        self._checked_at = now
 
-    def share_stamp(self) -> None:
+    def publish_stamp(self) -> None:
         """Let the next datagrams carry the latest stamp of the platform."""
         self._detector.stamp = self._freshness.latest_stamp
 
@@ -70,7 +70,9 @@
             return
         now = self._clock.monotonic()
         names = {item.name for item in router_set.members}
-        heard_at = min(self._detector.majority_heard_at(names), now)
+        contact_at = min(self._detector.majority_contact_at(names), now)
         self._freshness.on_majority(
-            self._clock.wall() - (now - heard_at), self._store.revision, self._highest_heard()
+            self._clock.wall() - (now - contact_at),
+            self._store.revision,
+            self._highest_peer_revision(),
         )
--- a/src/milletcourse/configuration/service.py
+++ b/src/milletcourse/configuration/service.py
@@ -16,7 +16,7 @@
 from milletcourse.configuration.freshness import FreshnessTracker
 from milletcourse.configuration.platform_client import WATCH_IDLE_SECONDS, PlatformClient
 from milletcourse.configuration.store import ChangesPage, ChangesRequest, ConfigurationStore
-from milletcourse.control.lease import NOT_THERE, LeaseSpec, LeaseTracker
+from milletcourse.control.lease import ABSENT_REVISION, LeaseSpec, LeaseTracker
 from milletcourse.errors import FailureError, HistoryExpired, VersionConflict
 from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.logs import get_logger
@@ -30,9 +30,9 @@
 PULL_RETRY_SECONDS = 0.2
 CONFIRM_SECONDS = 1.0
 """A fifth of the freshness bound, so that single lost answers don't matter."""
-READERS_SILENT_SECONDS = 2.0
+READERS_TIMEOUT_SECONDS = 2.0
 """Two confirmations were missed and the news of them had time to spread."""
-STAND_IN_READERS = 3
+SUBSTITUTE_READERS = 3
 """Expected number of routers that ask a second while no reader does."""
 LEASE_KIND = "Lease"
 
@@ -76,8 +76,8 @@
         """One observation and, when due, one write; raises FailureError."""
         stored = await self._platform.get(LEASE_KIND, self._name)
         spec = msgspec.convert(stored.spec, LeaseSpec) if stored else None
-        place = _place(stored.version if stored else NOT_THERE)
-        self.tracker.on_observed(spec, place, self._clock.monotonic())
+        position = _position(stored.version if stored else ABSENT_REVISION)
+        self.tracker.on_observed(spec, position, self._clock.monotonic())
         now = self._clock.monotonic()
         claim = self.tracker.next_claim(now)
         if claim is None:
@@ -90,10 +90,10 @@
             if isinstance(error.failure, VersionConflict):
                 return
             raise
-        self.tracker.on_written(claim, _place(written.version), now)
+        self.tracker.on_written(claim, _position(written.version), now)
 
 
-def _place(version: int) -> StorePosition:
+def _position(version: int) -> StorePosition:
     """The platform of the routers tells no era."""
     return StorePosition(UNKNOWN_ERA, version)
 
@@ -125,34 +125,34 @@
         self._random = random_source
         self._tasks = tasks
         self._log = get_logger("configuration")
-        self._highest_heard = 0
-        self._wanted: dict[str, int] = {}
-        self._wanted_changed = asyncio.Event()
+        self._highest_peer_revision = 0
+        self._pending_pulls: dict[str, int] = {}
+        self._pulls_changed = asyncio.Event()
         self.loaded = asyncio.Event()
 
     def start(self) -> None:
         """Begin to load and follow the configuration."""
-        self._tasks.spawn(self._load_first(), "load-configuration")
+        self._tasks.spawn(self._load_initial(), "load-configuration")
         self._tasks.spawn(self._reader_lease.run(), "reader-lease")
         self._tasks.spawn(self._read_platform(), "read-platform")
         self._tasks.spawn(self._confirm_freshness(), "confirm-freshness")
-        self._tasks.spawn(self._pull_wanted(), "pull-configuration")
+        self._tasks.spawn(self._pull_pending(), "pull-configuration")
 
     def page_for(self, request: ChangesRequest) -> ChangesPage:
         """Answer a peer."""
         page = self.store.page_for(request)
         return msgspec.structs.replace(page, stamp=self.freshness.latest_stamp)
 
-    def highest_heard(self) -> int:
+    def highest_peer_revision(self) -> int:
         """Highest revision that any peer has named."""
-        return self._highest_heard
+        return self._highest_peer_revision
 
     def on_peer_revision(self, address: str, revision: int) -> None:
         """A peer has this revision in force."""
-        self._highest_heard = max(self._highest_heard, revision)
+        self._highest_peer_revision = max(self._highest_peer_revision, revision)
         if revision > self.store.revision:
-            self._wanted[address] = revision
-            self._wanted_changed.set()
+            self._pending_pulls[address] = revision
+            self._pulls_changed.set()
 
     async def pull(self, address: str) -> bool:
         """Fetch and apply all changes of a peer; raises FailureError."""
@@ -165,19 +165,19 @@
             if page.complete:
                 break
             cursor = page.changes[-1].revision
-        joined = ChangesPage(after, page.through, tuple(changes), whole=page.whole)
-        applied = self._applied(self.store.apply(joined))
+        merged = ChangesPage(after, page.through, tuple(changes), whole=page.whole)
+        applied = self._after_apply(self.store.apply(merged))
         self.freshness.on_stamp(page.stamp, self.store.revision)
         return applied
 
     async def refresh_from_platform(self) -> None:
         """Load the whole state; raises FailureError."""
-        asked_at = self._clock.wall()
+        requested_at = self._clock.wall()
         listing = await self._platform.list_objects()
-        self._applied(self.store.apply_list(listing))
-        self._confirm(listing.revision, asked_at)
+        self._after_apply(self.store.apply_list(listing))
+        self._confirm(listing.revision, requested_at)
 
-    def _applied(self, applied: bool) -> bool:
+    def _after_apply(self, applied: bool) -> bool:
         if applied:
             self.freshness.on_revision(self.store.revision)
         if self.store.revision:
@@ -190,7 +190,7 @@
             stamp = PlatformStamp(revision, wall_seconds)
             self.freshness.on_stamp(stamp, self.store.revision)
 
-    async def _load_first(self) -> None:
+    async def _load_initial(self) -> None:
         while not self.loaded.is_set():
             addresses = self._peer_addresses()
             self._random.shuffle(addresses)
@@ -206,13 +206,15 @@
             except FailureError:
                 await self._clock.sleep(START_RETRY_SECONDS * (0.5 + self._random.random()))
 
-    async def _pull_wanted(self) -> None:
+    async def _pull_pending(self) -> None:
         while True:
-            await self._wanted_changed.wait()
-            self._wanted_changed.clear()
-            while self._wanted:
-                address = max(self._wanted, key=lambda item: (self._wanted[item], item))
-                revision = self._wanted.pop(address)
+            await self._pulls_changed.wait()
+            self._pulls_changed.clear()
+            while self._pending_pulls:
+                address = max(
+                    self._pending_pulls, key=lambda item: (self._pending_pulls[item], item)
+                )
+                revision = self._pending_pulls.pop(address)
                 if revision <= self.store.revision:
                     continue
                 try:
@@ -248,7 +250,7 @@
                 if line.change is None:
                     continue
                 page = ChangesPage(line.change.revision - 1, line.change.revision, (line.change,))
-                self._applied(self.store.apply(page))
+                self._after_apply(self.store.apply(page))
         except (TimeoutError, StopAsyncIteration):
             return
         finally:
@@ -262,24 +264,24 @@
         """
         while True:
             await self._clock.sleep(CONFIRM_SECONDS * (0.8 + 0.4 * self._random.random()))
-            if not self._reader_lease.is_held() and not self._stands_in_for_readers():
+            if not self._reader_lease.is_held() and not self._substitutes_for_readers():
                 continue
-            asked_at = self._clock.wall()
+            requested_at = self._clock.wall()
             try:
                 revision = await self._platform.revision()
             except FailureError:
                 continue
             if revision > self.store.revision:
                 await self._reload()
-            self._confirm(revision, asked_at)
+            self._confirm(revision, requested_at)
 
-    def _stands_in_for_readers(self) -> bool:
+    def _substitutes_for_readers(self) -> bool:
         """Whether to ask although another router holds the lease.
 
         While no reader has vouched for the platform lately, as when all of them died at once, a
         few routers picked at random ask in their place.
         """
         age = self._clock.wall() - self.freshness.latest_stamp.wall_seconds
-        if age < READERS_SILENT_SECONDS:
+        if age < READERS_TIMEOUT_SECONDS:
             return False
-        return self._random.random() * self._live_count() < STAND_IN_READERS
+        return self._random.random() * self._live_count() < SUBSTITUTE_READERS
--- a/src/milletcourse/configuration/store.py
+++ b/src/milletcourse/configuration/store.py
@@ -68,7 +68,7 @@
         self._latest: dict[ObjectKey, ObjectChange] = {}
         self._by_revision: SortedDict[int, ObjectChange] = SortedDict()
         self._tombstones: SortedDict[int, ObjectKey] = SortedDict()
-        self._floor = 0
+        self._pruned_through = 0
 
     def __len__(self) -> int:
         return len(self._latest) - len(self._tombstones)
@@ -89,7 +89,7 @@
 
     def page_for(self, request: ChangesRequest) -> ChangesPage:
         """The next page for a peer."""
-        whole = request.after < self._floor
+        whole = request.after < self._pruned_through
         start = request.cursor
         if whole and request.cursor == request.after:
             start = 0
@@ -140,12 +140,12 @@
 
     def _apply_change(self, change: ObjectChange) -> None:
         key = ObjectKey(change.kind, change.name)
-        former = self._latest.get(key)
-        if former is not None:
-            if former.revision > change.revision:
+        previous = self._latest.get(key)
+        if previous is not None:
+            if previous.revision > change.revision:
                 return
-            self._by_revision.pop(former.revision, None)
-            self._tombstones.pop(former.revision, None)
+            self._by_revision.pop(previous.revision, None)
+            self._tombstones.pop(previous.revision, None)
         self._latest[key] = change
         self._by_revision[change.revision] = change
         if change.spec is None:
@@ -167,6 +167,6 @@
     def _prune_tombstones(self) -> None:
         while len(self._tombstones) > MAX_TOMBSTONES:
             revision, key = self._tombstones.popitem(0)
-            self._floor = revision
+            self._pruned_through = revision
             self._by_revision.pop(revision, None)
             self._latest.pop(key, None)
--- a/src/milletcourse/control/lease.py
+++ b/src/milletcourse/control/lease.py
@@ -20,7 +20,7 @@
 
 DEFAULT_DURATION_SECONDS = 6.0
 """Short enough to replace a dead holder within seconds, long enough for few renewals."""
-NOT_THERE = 0
+ABSENT_REVISION = 0
 """Revision of an object that doesn't exist."""
 TOKENS_PER_ERA = 2**36
 """More than a store changes its objects within an era; tokens of many eras fit into 53 bits, which
@@ -51,7 +51,7 @@
 
     Attributes:
         spec: The lease.
-        expected: Its last change as this process knows it; `NOT_THERE` when there is no lease yet.
+        expected: Its last change as this process knows it; `ABSENT_REVISION` when there is no lease yet.
     """
 
     spec: LeaseSpec
@@ -60,7 +60,7 @@
     @property
     def creates(self) -> bool:
         """Whether the lease must not be there yet."""
-        return self.expected.revision == NOT_THERE
+        return self.expected.revision == ABSENT_REVISION
 
 
 class LeaseTracker:
@@ -77,9 +77,9 @@
         self._margin_seconds = margin_seconds
         self._era: int | None = None
         self._era_known_at = float("-inf")
-        self._returned_at = float("-inf")
+        self._restored_at = float("-inf")
         self._spec: LeaseSpec | None = None
-        self._place: StorePosition | None = StorePosition(UNKNOWN_ERA, NOT_THERE)
+        self._position: StorePosition | None = StorePosition(UNKNOWN_ERA, ABSENT_REVISION)
         """Last change of the lease; None while it must be read before anything is claimed."""
         self._unchanged_since = 0.0
         self._held_until = float("-inf")
@@ -102,52 +102,52 @@
         self._spec = None
         if before is None:
             self._era_known_at = now
-            self._place = StorePosition(era, NOT_THERE)
+            self._position = StorePosition(era, ABSENT_REVISION)
             return False
-        self._returned_at = now
-        self._place = None
+        self._restored_at = now
+        self._position = None
         return True
 
-    def on_observed(self, spec: LeaseSpec | None, place: StorePosition, now: float) -> None:
+    def on_observed(self, spec: LeaseSpec | None, position: StorePosition, now: float) -> None:
         """The lease was read from the platform.
 
         Args:
             spec: The lease, None when it isn't there.
-            place: Its last change; of revision `NOT_THERE` when it isn't there.
+            place: Its last change; of revision `ABSENT_REVISION` when it isn't there.
             now: Monotonic time.
         """
-        if self._era is not None and place.era < self._era:
+        if self._era is not None and position.era < self._era:
             return
-        self.on_era(place.era, now)
-        if place != self._place or spec is None:
+        self.on_era(position.era, now)
+        if position != self._position or spec is None:
             self._unchanged_since = now
         self._spec = spec
-        self._place = place
+        self._position = position
         if spec is not None:
             self._highest_token = max(self._highest_token, spec.fencing_token)
         is_own = spec is not None and spec.holder == self._owner
         # What an older copy shows doesn't end a term that the store has lost.
-        if not is_own and place.era == self._held_era:
+        if not is_own and position.era == self._held_era:
             self._held_until = float("-inf")
 
     def on_conflict(self) -> None:
         """A claim failed since the lease has changed; it must be read again."""
-        self._place = None
+        self._position = None
 
-    def on_written(self, claim: LeaseClaim, place: StorePosition, sent_at: float) -> None:
+    def on_written(self, claim: LeaseClaim, position: StorePosition, sent_at: float) -> None:
         """The platform accepted the claim.
 
         One that was accepted in another era than it was meant for counts for nothing: what it
         replaced there is not what was expected.
         """
-        if place.era != claim.expected.era:
-            self._place = None
+        if position.era != claim.expected.era:
+            self._position = None
             return
         self._spec = claim.spec
-        self._place = place
+        self._position = position
         self._unchanged_since = sent_at
         self._held_until = sent_at + self._duration_seconds - self._margin_seconds
-        self._held_era = place.era
+        self._held_era = position.era
         self._token = claim.spec.fencing_token
         self._highest_token = max(self._highest_token, self._token)
 
@@ -155,29 +155,29 @@
 
     def next_claim(self, now: float) -> LeaseClaim | None:
         """The write to try now: a renewal, a new term, or None to look at the lease instead."""
-        if self._place is None:
+        if self._position is None:
             return None
         if self.is_held(now):
-            return self._renewal(self._place)
-        return self._new_term(self._place) if self._may_take(now) else None
+            return self._renewal(self._position)
+        return self._new_term(self._position) if self._may_acquire(now) else None
 
-    def _renewal(self, place: StorePosition) -> LeaseClaim:
+    def _renewal(self, position: StorePosition) -> LeaseClaim:
         spec = self._spec
         if spec is None or spec.holder != self._owner or spec.fencing_token != self._token:
             # The store has lost this term, and nobody else takes the lease before it ends.
-            return self._new_term(place)
+            return self._new_term(position)
         renewed = LeaseSpec(self._owner, self._token, self._duration_seconds, spec.renewals + 1)
-        return LeaseClaim(renewed, place)
+        return LeaseClaim(renewed, position)
 
-    def _new_term(self, place: StorePosition) -> LeaseClaim:
+    def _new_term(self, position: StorePosition) -> LeaseClaim:
         token = self._highest_token + 1
-        if place.era != UNKNOWN_ERA:
-            token = max(token, place.era * TOKENS_PER_ERA + place.revision)
-        return LeaseClaim(LeaseSpec(self._owner, token, self._duration_seconds, 0), place)
+        if position.era != UNKNOWN_ERA:
+            token = max(token, position.era * TOKENS_PER_ERA + position.revision)
+        return LeaseClaim(LeaseSpec(self._owner, token, self._duration_seconds, 0), position)
 
-    def _may_take(self, now: float) -> bool:
+    def _may_acquire(self, now: float) -> bool:
         """Whether no other process can still act as the holder."""
-        if now - self._returned_at < self._duration_seconds:
+        if now - self._restored_at < self._duration_seconds:
             return False
         spec = self._spec
         if spec is None:
--- a/src/milletcourse/control/machines.py
+++ b/src/milletcourse/control/machines.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachinesReading:
+class MachineListSnapshot:
     """One reading of the platform's list.
 
     Attributes:
@@ -20,28 +20,28 @@
     """
 
     wall_seconds: float = 0.0
-    away: frozenset[str] = field(default_factory=frozenset)
+    excluded: frozenset[str] = field(default_factory=frozenset)
 
 
-class MachinesView:
+class MachineListView:
     """The newest known reading."""
 
     def __init__(self) -> None:
-        self.reading = MachinesReading()
+        self.snapshot = MachineListSnapshot()
 
     def on_list(self, machines: tuple[Machine, ...], wall_seconds: float) -> bool:
         """A reading of this router; True when it says something new."""
-        away = frozenset(item.name for item in machines if item.state is not MachineState.LIVE)
-        return self.on_reading(MachinesReading(wall_seconds, away))
+        excluded = frozenset(item.name for item in machines if item.state is not MachineState.LIVE)
+        return self.on_snapshot(MachineListSnapshot(wall_seconds, excluded))
 
-    def on_reading(self, reading: MachinesReading) -> bool:
+    def on_snapshot(self, snapshot: MachineListSnapshot) -> bool:
         """A reading of any router; True when it is newer and says something new."""
-        if reading.wall_seconds <= self.reading.wall_seconds:
+        if snapshot.wall_seconds <= self.snapshot.wall_seconds:
             return False
-        changed = reading.away != self.reading.away
-        self.reading = reading
+        changed = snapshot.excluded != self.snapshot.excluded
+        self.snapshot = snapshot
         return changed
 
-    def is_away(self, machine: str) -> bool:
+    def is_excluded(self, machine: str) -> bool:
         """Whether a machine must get no new work."""
-        return machine in self.reading.away
+        return machine in self.snapshot.excluded
--- a/src/milletcourse/control/machines_service.py
+++ b/src/milletcourse/control/machines_service.py
@@ -6,7 +6,7 @@
 
 from milletcourse.configuration.platform_client import PlatformClient
 from milletcourse.configuration.service import LeaseKeeper
-from milletcourse.control.machines import MachinesView
+from milletcourse.control.machines import MachineListView
 from milletcourse.errors import FailureError
 from milletcourse.membership.failure_detector import FailureDetector
 from milletcourse.runtime.clock import Clock
@@ -23,11 +23,11 @@
 
 
 class MachinesService:
-    """Input and output round `MachinesView`."""
+    """Input and output round `MachineListView`."""
 
     def __init__(
         self,
-        view: MachinesView,
+        view: MachineListView,
         platform: PlatformClient,
         reader_lease: LeaseKeeper,
         detector: FailureDetector,
@@ -56,10 +56,10 @@
     def on_envelope(self, envelope: Envelope) -> None:
         """A reading of another router."""
         try:
-            reading = decode_machines(envelope.body)
+            snapshot = decode_machines(envelope.body)
         except FailureError:
             return
-        if self._view.on_reading(reading):
+        if self._view.on_snapshot(snapshot):
             self._rounds_left = SHARE_REPEATS
 
     async def _read(self) -> None:
@@ -69,12 +69,12 @@
             await self._clock.sleep(READ_SECONDS)
 
     async def _read_once(self) -> None:
-        asked_at = self._clock.wall()
+        requested_at = self._clock.wall()
         try:
             machines = await self._platform.machines()
         except FailureError:
             return
-        if self._view.on_list(machines, asked_at):
+        if self._view.on_list(machines, requested_at):
             self._rounds_left = SHARE_REPEATS
 
     async def _share(self) -> None:
@@ -88,7 +88,7 @@
         own = self._detector.own
         others = [item for item in self._detector.live() if item.name != own.name]
         peers = self._random.sample(others, min(SHARE_FANOUT, len(others)))
-        body = encode_machines(self._view.reading)
+        body = encode_machines(self._view.snapshot)
         payload = self._codec.encode(
             Envelope(MessageType.MACHINES, own.name, own.incarnation, body)
         )
--- a/src/milletcourse/control/router_set_service.py
+++ b/src/milletcourse/control/router_set_service.py
@@ -15,7 +15,7 @@
 from milletcourse.configuration.platform_client import PlatformClient
 from milletcourse.configuration.service import LeaseKeeper
 from milletcourse.configuration.store import ConfigurationStore
-from milletcourse.control.machines import MachinesView
+from milletcourse.control.machines import MachineListView
 from milletcourse.errors import FailureError
 from milletcourse.logs import get_logger
 from milletcourse.peers import PeerClient
@@ -24,7 +24,7 @@
 from milletcourse.runtime.tasks import TaskSet
 
 CHECK_SECONDS = 1.0
-CHANGE_AFTER_SECONDS = 4.0
+EPOCH_DELAY_SECONDS = 4.0
 """A new epoch takes over this long after it is written: time for all members to have it."""
 ROUTER_SET_KIND = "RouterSet"
 ROUTER_SET_NAME = "default"
@@ -38,7 +38,7 @@
         store: ConfigurationStore,
         platform: PlatformClient,
         peers: PeerClient,
-        machines: MachinesView,
+        machines: MachineListView,
         lease: LeaseKeeper,
         clock: Clock,
         random_source: random.Random,
@@ -72,15 +72,15 @@
 
     async def _advance(self, spec: RouterSetSpec) -> None:
         version = self._store.version(ROUTER_SET_KIND, ROUTER_SET_NAME)
-        if await self._all_have(spec.previous_members, version):
+        if await self._all_in_force(spec.previous_members, version):
             await self._write(msgspec.structs.replace(spec, confirmed=True), version)
         elif self._clock.wall() >= spec.from_mint_seconds:
-            later = self._clock.wall() + CHANGE_AFTER_SECONDS
+            later = self._clock.wall() + EPOCH_DELAY_SECONDS
             await self._write(msgspec.structs.replace(spec, from_mint_seconds=later), version)
 
-    async def _all_have(self, members: tuple[RouterMember, ...], version: int) -> bool:
+    async def _all_in_force(self, members: tuple[RouterMember, ...], version: int) -> bool:
         for member in members:
-            if self._machines.is_away(member.name):
+            if self._machines.is_excluded(member.name):
                 continue
             try:
                 status = await self._peers.status(member.address)
--- a/src/milletcourse/control/weight_service.py
+++ b/src/milletcourse/control/weight_service.py
@@ -58,9 +58,9 @@
         running = frozenset(self._running)
         for order in plan_loads(engines, self._policy.models, states, running):
             self._running.add(order.engine)
-            self._tasks.spawn(self._give(order), f"load/{order.engine}")
+            self._tasks.spawn(self._send_order(order), f"load/{order.engine}")
 
-    async def _give(self, order: LoadOrder) -> None:
+    async def _send_order(self, order: LoadOrder) -> None:
         """The lease is checked right before sending; the token fences what is late anyway."""
         try:
             spec = self._policy.engines.get(order.engine)
--- a/src/milletcourse/gateway/fleet/roll_out_service.py
+++ b/src/milletcourse/gateway/fleet/roll_out_service.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from milletcourse.control.lease import NOT_THERE, LeaseClaim, LeaseSpec, LeaseTracker
+from milletcourse.control.lease import ABSENT_REVISION, LeaseClaim, LeaseSpec, LeaseTracker
 from milletcourse.exchange.messages.peer_messages import ServerNotice, ServerState
 from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.exchange.rollout.weight_rollout import (
@@ -155,7 +155,7 @@
 
     def _on_missing(self) -> None:
         era = self._store.era if self._store.era is not None else UNKNOWN_ERA
-        self._lease.on_observed(None, StorePosition(era, NOT_THERE), self._context.now())
+        self._lease.on_observed(None, StorePosition(era, ABSENT_REVISION), self._context.now())
 
     async def _write(self, claim: LeaseClaim) -> None:
         spec = msgspec.json.encode(claim.spec)
--- a/src/milletcourse/membership/failure_detector.py
+++ b/src/milletcourse/membership/failure_detector.py
@@ -36,9 +36,9 @@
 """Each piece of news is sent about this many times the logarithm of the member count."""
 DEAD_RETRY_SECONDS = 5.0
 """A dead member is probed this often, so that a healed cut is noticed."""
-FORGET_DEAD_SECONDS = 3600.0
+DEAD_RETRY_LIMIT_SECONDS = 3600.0
 """After an hour a dead member is left to the configuration's list."""
-FREEZE_SECONDS = 2.0
+STALL_THRESHOLD_SECONDS = 2.0
 """A gap this long between ticks means that this process did not run."""
 
 
@@ -46,7 +46,7 @@
 class _Member:
     record: MemberRecord
     since: float
-    last_heard: float = float("-inf")
+    last_contact_at: float = float("-inf")
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         self._random = random_source
         self._members: dict[str, _Member] = {}
         self._suspects: dict[str, None] = {}
-        self._news: dict[str, int] = {own.name: 0}
+        self._pending_updates: dict[str, int] = {own.name: 0}
         self._round: list[str] = []
         self._probe: _Probe | None = None
         self._relayed: dict[int, tuple[str, int]] = {}
@@ -109,19 +109,21 @@
         states = [member.record.state for member in self._members.values()]
         return 1 + sum(1 for state in states if state <= MemberState.SUSPECT)
 
-    def majority_heard_at(self, names: Collection[str]) -> float:
+    def majority_contact_at(self, names: Collection[str]) -> float:
         """Latest monotonic time by which this member has since heard a majority of `names`.
 
         Only datagrams received from a member itself count, since the view of who is alive stays
         unchanged for a while after this member has been cut off.
         """
-        heard = [self._members[name].last_heard for name in sorted(names) if name in self._members]
+        contact_times = [
+            self._members[name].last_contact_at for name in sorted(names) if name in self._members
+        ]
         if self.own.name in names:
-            heard.append(float("inf"))
+            contact_times.append(float("inf"))
         needed = len(names) // 2 + 1
-        if len(heard) < needed:
+        if len(contact_times) < needed:
             return float("-inf")
-        return sorted(heard, reverse=True)[needed - 1]
+        return sorted(contact_times, reverse=True)[needed - 1]
 
     # -- input --------------------------------------------------------------------------------
 
@@ -130,7 +132,7 @@
         for record in records:
             if record.name != self.own.name and record.name not in self._members:
                 self._members[record.name] = _Member(record, now)
-                self._note_suspect(record)
+                self._update_suspects(record)
 
     def merge(self, records: Iterable[MemberRecord], now: float) -> None:
         """News of members from outside of datagrams."""
@@ -144,14 +146,14 @@
     def leave(self, now: float) -> list[Outgoing]:
         """Planned stop: tell some members, who tell the others."""
         self.own = replace(self.own, state=MemberState.LEFT)
-        self._news[self.own.name] = 0
+        self._pending_updates[self.own.name] = 0
         peers = self._pick_live(GOSSIP_FANOUT * 2)
         return [self._outgoing(peer, MessageKind.GOSSIP, 0, "") for peer in peers]
 
     def on_tick(self, now: float) -> list[Outgoing]:
         """Advance timers; call it every few hundredths of a second."""
-        if self._last_tick is not None and now - self._last_tick > FREEZE_SECONDS:
-            self._on_wake(now)
+        if self._last_tick is not None and now - self._last_tick > STALL_THRESHOLD_SECONDS:
+            self._on_resume(now)
         self._last_tick = now
         out: list[Outgoing] = []
         self._check_probe(now, out)
@@ -175,7 +177,7 @@
             self._merge(record, now)
         member = self._members.get(sender)
         if member is not None:
-            member.last_heard = now
+            member.last_contact_at = now
             if incarnation > member.record.incarnation:
                 alive = replace(member.record, state=MemberState.ALIVE, incarnation=incarnation)
                 self._set(member, alive, now)
@@ -198,9 +200,9 @@
     def _on_ack(self, message: MembershipMessage, out: list[Outgoing]) -> None:
         relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
-            asker = self._members.get(relayed[0])
-            if asker is not None:
-                out.append(self._outgoing(asker, MessageKind.ACK, relayed[1], message.target))
+            requester = self._members.get(relayed[0])
+            if requester is not None:
+                out.append(self._outgoing(requester, MessageKind.ACK, relayed[1], message.target))
             return
         probe = self._probe
         if probe is not None and probe.sequence == message.sequence:
@@ -255,7 +257,8 @@
         dead = [
             member
             for member in self._members.values()
-            if member.record.state is MemberState.DEAD and now - member.since < FORGET_DEAD_SECONDS
+            if member.record.state is MemberState.DEAD
+            and now - member.since < DEAD_RETRY_LIMIT_SECONDS
         ]
         if dead:
             member = self._random.choice(dead)
@@ -266,7 +269,7 @@
 
     # -- state changes ------------------------------------------------------------------------
 
-    def _on_wake(self, now: float) -> None:
+    def _on_resume(self, now: float) -> None:
         """This process did not run: its own silence proves nothing about the others."""
         self._probe = None
         for name in self._suspects:
@@ -291,8 +294,8 @@
         if member is None:
             if record.state <= MemberState.SUSPECT:
                 self._members[record.name] = _Member(record, now)
-                self._news[record.name] = 0
-                self._note_suspect(record)
+                self._pending_updates[record.name] = 0
+                self._update_suspects(record)
         elif record.supersedes(member.record):
             self._set(member, record, now)
 
@@ -303,15 +306,15 @@
             return
         if record.incarnation >= self.own.incarnation:
             self.own = replace(self.own, incarnation=record.incarnation + 1)
-            self._news[self.own.name] = 0
+            self._pending_updates[self.own.name] = 0
 
     def _set(self, member: _Member, record: MemberRecord, now: float) -> None:
         member.record = record
         member.since = now
-        self._news[record.name] = 0
-        self._note_suspect(record)
+        self._pending_updates[record.name] = 0
+        self._update_suspects(record)
 
-    def _note_suspect(self, record: MemberRecord) -> None:
+    def _update_suspects(self, record: MemberRecord) -> None:
         if record.state is MemberState.SUSPECT:
             self._suspects[record.name] = None
         else:
@@ -320,7 +323,7 @@
     # -- sending ------------------------------------------------------------------------------
 
     def _gossip(self, out: list[Outgoing]) -> None:
-        if not self._news and not self._announce_rounds:
+        if not self._pending_updates and not self._announce_rounds:
             return
         self._announce_rounds = max(self._announce_rounds - 1, 0)
         for peer in self._pick_live(GOSSIP_FANOUT):
@@ -343,23 +346,25 @@
     def _message(
         self, kind: MessageKind, sequence: int, target: str, extra: tuple[MemberRecord, ...]
     ) -> MembershipMessage:
-        records = extra + self._take_news(MAX_RECORDS_PER_MESSAGE - len(extra))
+        records = extra + self._take_updates(MAX_RECORDS_PER_MESSAGE - len(extra))
         if kind in (MessageKind.PROBE, MessageKind.ACK) and not records:
             records = self._random_record()
         return MembershipMessage(kind, sequence, target, self.revision, self.stamp, records)
 
-    def _take_news(self, count: int) -> tuple[MemberRecord, ...]:
+    def _take_updates(self, count: int) -> tuple[MemberRecord, ...]:
         """The least often sent news first; each is sent a bounded number of times."""
-        if not self._news:
+        if not self._pending_updates:
             return ()
         limit = self._retransmit_limit()
-        chosen = sorted(self._news, key=lambda name: (self._news[name], name))[:count]
+        chosen = sorted(
+            self._pending_updates, key=lambda name: (self._pending_updates[name], name)
+        )[:count]
         records = []
         for name in chosen:
             record = self.record(name)
-            self._news[name] += 1
-            if record is None or self._news[name] >= limit:
-                del self._news[name]
+            self._pending_updates[name] += 1
+            if record is None or self._pending_updates[name] >= limit:
+                del self._pending_updates[name]
             if record is not None:
                 records.append(record)
         return tuple(records)
--- a/src/milletcourse/membership/member_sync.py
+++ b/src/milletcourse/membership/member_sync.py
@@ -14,10 +14,10 @@
 MEMBER_SYNC_SECONDS = 30.0
 """A whole exchange of the member list this often corrects whatever news was missed; at 420 members
 it costs 650 bytes a second."""
-JOIN_MEMBERS = 1000
+MAX_JOIN_MEMBERS = 1000
 """Members told to a joining router: all of a large deployment, some 20 KB once a start."""
 
-AskMembers = Callable[[str, MemberRecord], Awaitable[Sequence[MemberRecord]]]
+JoinSender = Callable[[str, MemberRecord], Awaitable[Sequence[MemberRecord]]]
 """Introduces this router at an address; tells the members that are known there."""
 
 
@@ -35,14 +35,14 @@
     def __init__(
         self,
         detector: FailureDetector,
-        ask: AskMembers,
-        first_addresses: Sequence[str],
+        send_join: JoinSender,
+        seed_addresses: Sequence[str],
         clock: Clock,
         random_source: random.Random,
     ) -> None:
         self._detector = detector
-        self._ask = ask
-        self._first_addresses = first_addresses
+        self._send_join = send_join
+        self._seed_addresses = seed_addresses
         self._clock = clock
         self._random = random_source
 
@@ -51,22 +51,22 @@
         while True:
             for address in self._addresses():
                 try:
-                    records = await self._ask(address, self._detector.own)
+                    records = await self._send_join(address, self._detector.own)
                 except FailureError:
                     continue
                 self._detector.merge(records, self._clock.monotonic())
             joined = self._detector.live_count() > 1
-            pause = MEMBER_SYNC_SECONDS if joined else JOIN_RETRY_SECONDS
-            await self._clock.sleep(pause * (0.75 + self._random.random() / 2))
+            delay_seconds = MEMBER_SYNC_SECONDS if joined else JOIN_RETRY_SECONDS
+            await self._clock.sleep(delay_seconds * (0.75 + self._random.random() / 2))
 
     def on_join(self, records: tuple[MemberRecord, ...]) -> tuple[MemberRecord, ...]:
         """A router introduced itself: answer with some live members."""
         self._detector.merge(records, self._clock.monotonic())
         live = self._detector.live()
-        return tuple(self._random.sample(live, min(len(live), JOIN_MEMBERS)))
+        return tuple(self._random.sample(live, min(len(live), MAX_JOIN_MEMBERS)))
 
     def _addresses(self) -> list[str]:
         """The peers named in the settings while alone, else one random live member."""
         own = self._detector.own.name
         live = [item.http_address for item in self._detector.live() if item.name != own]
-        return [self._random.choice(live)] if live else list(self._first_addresses)
+        return [self._random.choice(live)] if live else list(self._seed_addresses)
--- a/src/milletcourse/membership/service.py
+++ b/src/milletcourse/membership/service.py
@@ -32,7 +32,7 @@
         tasks: TaskSet,
     ) -> None:
         self.detector = detector
-        self.on_news: Callable[[MemberRecord, int, PlatformStamp], None] | None = None
+        self.on_peer_update: Callable[[MemberRecord, int, PlatformStamp], None] | None = None
         self.rejected = 0
         self._codec = codec
         self._clock = clock
@@ -54,8 +54,8 @@
         now = self._clock.monotonic()
         self._send(self.detector.on_message(envelope.sender, envelope.incarnation, message, now))
         record = self.detector.record(envelope.sender)
-        if record is not None and self.on_news is not None:
-            self.on_news(record, message.revision, message.stamp)
+        if record is not None and self.on_peer_update is not None:
+            self.on_peer_update(record, message.revision, message.stamp)
 
     def leave(self) -> None:
         """Tell the others about a planned stop."""
--- a/src/milletcourse/node.py
+++ b/src/milletcourse/node.py
@@ -19,7 +19,7 @@
 from milletcourse.configuration.platform_client import PlatformClient
 from milletcourse.configuration.service import ConfigurationService, LeaseKeeper
 from milletcourse.configuration.store import ConfigurationStore
-from milletcourse.control.machines import MachinesView
+from milletcourse.control.machines import MachineListView
 from milletcourse.control.machines_service import MachinesService
 from milletcourse.control.router_set_service import RouterSetService
 from milletcourse.control.weight_service import WeightService
@@ -81,7 +81,7 @@
         self.freshness = FreshnessTracker(
             settings.freshness_bound_seconds, settings.clock_skew_seconds
         )
-        self.machines = MachinesView()
+        self.machines = MachineListView()
         self._random = random_source
         self._codec = EnvelopeCodec(settings.cluster_key)
         self._platform = PlatformClient(settings.platform, client)
@@ -107,7 +107,7 @@
         )
         self.detector = FailureDetector(own, self._random)
         self.membership = MembershipService(self.detector, self._codec, self.clock, self.tasks)
-        self.membership.on_news = self._on_peer_news
+        self.membership.on_peer_update = self._on_peer_news
         self.member_sync = MemberSync(
             self.detector, self._peers.members, self.settings.peers, self.clock, self._random
         )
@@ -137,7 +137,7 @@
             self.freshness,
             self.detector,
             self.store,
-            self.configuration.highest_heard,
+            self.configuration.highest_peer_revision,
             self.clock,
         )
         self.store.on_change = self._on_revision
@@ -145,7 +145,7 @@
     def _build_inference(self, client: HttpClient, parameters: RoutingParameters) -> None:
         engines = EngineClient(client)
         self.selector = EngineSelector(
-            self.policy, self._random, parameters, self.settings.place, self.machines.is_away
+            self.policy, self._random, parameters, self.settings.place, self.machines.is_excluded
         )
         self.load_digests = LoadDigestService(
             self.policy,
@@ -256,7 +256,7 @@
         admin = Administration(
             context, self.configuration, self._platform, self._peers, self.detector, self._random
         )
-        sink = ApplicationsSink(context, self._apps, self.settings.place, self.machines.is_away)
+        sink = ApplicationsSink(context, self._apps, self.settings.place, self.machines.is_excluded)
         return build_routes(context, admin, sink, self.peer_server, self._random)
 
     # -- life cycle -----------------------------------------------------------------------------
@@ -296,7 +296,7 @@
 
     def is_fresh(self) -> bool:
         """Whether this router can prove that its configuration is in force."""
-        self.freshness_watch.notice_freeze()
+        self.freshness_watch.check_for_stall()
         return self.freshness.is_fresh(self.clock.wall())
 
     def status(self) -> RouterStatus:
@@ -338,7 +338,7 @@
 
     def _on_peer_news(self, record: MemberRecord, revision: int, stamp: PlatformStamp) -> None:
         self.freshness.on_stamp(stamp, self.store.revision)
-        self.freshness_watch.share_stamp()
+        self.freshness_watch.publish_stamp()
         self.configuration.on_peer_revision(record.http_address, revision)
 
     def _on_revision(self, revision: int) -> None:
@@ -348,7 +348,7 @@
         self.metrics.revision.set(revision)
 
     async def _on_claim(self, request: ClaimRequest) -> ClaimReply:
-        self.freshness_watch.notice_freeze()
+        self.freshness_watch.check_for_stall()
         if not self._keeps_claim(request):
             return ClaimReply(ClaimVerdict.NOT_REPLICA)
         return self.replica.handle(request, self.clock.wall())
@@ -369,6 +369,6 @@
     async def _watchdog(self) -> None:
         """Keep the proof of freshness and the gauges current."""
         while True:
-            self.freshness_watch.look()
+            self.freshness_watch.check()
             self.metrics.live_members.set(self.detector.live_count())
             await self.clock.sleep(WATCHDOG_SECONDS)
--- a/src/milletcourse/operations/coordinator.py
+++ b/src/milletcourse/operations/coordinator.py
@@ -196,7 +196,7 @@
         self._quorum = majority(len(replicas))
 
     async def run(self) -> WriteResult:
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         prepared = await self._step(ClaimStep.PREPARE)
         replayed = await self._check_prepared(prepared)
         if replayed is not None:
@@ -204,7 +204,7 @@
         dispatching = await self._step(ClaimStep.DISPATCHING)
         if dispatching.count(ClaimVerdict.ACCEPTED) < self._quorum:
             raise FailureError(self._not_sent("the claim was not recorded at a majority"))
-        if self._clock.monotonic() - began > DISPATCH_WINDOW_SECONDS:
+        if self._clock.monotonic() - started_at > DISPATCH_WINDOW_SECONDS:
             await self._record(StoredOutcome(False, 0, "", b""))
             raise FailureError(OperationNotRun("the router was held up", RETRY_SECONDS))
         return await self._dispatch()
@@ -219,7 +219,7 @@
             )
         dispatched = tally.first(ClaimVerdict.DISPATCHED)
         if dispatched is not None:
-            return await self._settle_other(dispatched)
+            return await self._resolve_other(dispatched)
         if tally.count(ClaimVerdict.ACCEPTED) >= self._quorum:
             return None
         if tally.first(ClaimVerdict.HELD) is not None:
@@ -240,7 +240,7 @@
         answer = AppAnswer(outcome.status, outcome.content_type, outcome.body)
         return WriteResult(self._key.text, answer, replayed=True)
 
-    async def _settle_other(self, reply: ClaimReply) -> WriteResult:
+    async def _resolve_other(self, reply: ClaimReply) -> WriteResult:
         """Another coordinator may have sent the write: only the application can tell."""
         answer = await self._read_back(attempts=1)
         if answer is not None:
@@ -269,7 +269,7 @@
             except FailureError as error:
                 if isinstance(error.failure, BackendUnreachable):
                     continue
-                return await self._settle_own()
+                return await self._resolve_own()
             return self._finish(answer)
         await self._record(StoredOutcome(False, 0, "", b""))
         raise FailureError(OperationNotRun("no server of the application answers", RETRY_SECONDS))
@@ -279,7 +279,7 @@
         self._owner._tasks.spawn(self._record(outcome), "record-outcome")
         return WriteResult(self._key.text, answer, replayed=False)
 
-    async def _settle_own(self) -> WriteResult:
+    async def _resolve_own(self) -> WriteResult:
         answer = await self._read_back(SETTLE_READS)
         if answer is not None:
             return self._finish(answer)
@@ -302,8 +302,8 @@
     async def _record(self, outcome: StoredOutcome) -> None:
         for _ in range(OUTCOME_SENDS):
             tally = await self._step(ClaimStep.OUTCOME, outcome)
-            recorded = tally.count(ClaimVerdict.ACCEPTED) + tally.count(ClaimVerdict.FINISHED)
-            if recorded >= self._quorum:
+            recorded_count = tally.count(ClaimVerdict.ACCEPTED) + tally.count(ClaimVerdict.FINISHED)
+            if recorded_count >= self._quorum:
                 return
 
     async def _step(self, step: ClaimStep, outcome: StoredOutcome | None = None) -> _Tally:
@@ -317,13 +317,13 @@
             outcome,
         )
         tally = _Tally([])
-        asked = [
+        requests = [
             asyncio.ensure_future(self._owner._send_claim(replica, request))
             for replica in self._replicas
         ]
-        for task in asked:
-            task.add_done_callback(_consume)
-        pending = asked
+        for task in requests:
+            task.add_done_callback(_ignore_result)
+        pending = requests
         try:
             async with asyncio.timeout(QUORUM_TIMEOUT_SECONDS):
                 while pending and not self._is_decided(tally):
@@ -344,7 +344,7 @@
         return self._owner._not_sent(self._minted_here, detail)
 
 
-def _consume(task: asyncio.Future[ClaimReply]) -> None:
+def _ignore_result(task: asyncio.Future[ClaimReply]) -> None:
     """Late replies are not needed; their errors must not be reported as lost."""
     if not task.cancelled():
         task.exception()
--- a/src/milletcourse/operations/replica.py
+++ b/src/milletcourse/operations/replica.py
@@ -102,8 +102,8 @@
             return ClaimReply(ClaimVerdict.DISPATCHED, claim.dispatching)
         if ballot == claim.promised:
             return ClaimReply(ClaimVerdict.ACCEPTED)
-        young = wall_now - claim.promised_at < TAKEOVER_SECONDS
-        if young or ballot < claim.promised:
+        is_recent = wall_now - claim.promised_at < TAKEOVER_SECONDS
+        if is_recent or ballot < claim.promised:
             return ClaimReply(ClaimVerdict.HELD, claim.promised)
         claim.promised = ballot
         claim.promised_at = wall_now
--- a/src/milletcourse/wire/machines.py
+++ b/src/milletcourse/wire/machines.py
@@ -10,7 +10,7 @@
     Struct,
 )
 
-from milletcourse.control.machines import MachinesReading
+from milletcourse.control.machines import MachineListSnapshot
 from milletcourse.errors import FailureError, WireError
 from milletcourse.wire.decoding import DECODE_ERRORS
 
@@ -23,16 +23,16 @@
 )
 
 
-def encode_machines(reading: MachinesReading) -> bytes:
+def encode_machines(snapshot: MachineListSnapshot) -> bytes:
     """Bytes of a reading; beyond `MAX_MACHINES` names the rest is left to a later reading."""
-    away = sorted(reading.away)[:MAX_MACHINES]
-    return bytes(_LAYOUT.build({"wall_seconds": reading.wall_seconds, "away": away}))
+    excluded = sorted(snapshot.excluded)[:MAX_MACHINES]
+    return bytes(_LAYOUT.build({"wall_seconds": snapshot.wall_seconds, "away": excluded}))
 
 
-def decode_machines(body: bytes) -> MachinesReading:
+def decode_machines(body: bytes) -> MachineListSnapshot:
     """Parse a reading; raises `FailureError` with `WireError`."""
     try:
         parsed = _LAYOUT.parse(body)
-        return MachinesReading(parsed.wall_seconds, frozenset(parsed.away))
+        return MachineListSnapshot(parsed.wall_seconds, frozenset(parsed.away))
     except DECODE_ERRORS as error:
         raise FailureError(WireError(str(error)[:200])) from error
--- a/tests/exchange/rollout/test_lease_machine.py
+++ b/tests/exchange/rollout/test_lease_machine.py
@@ -15,7 +15,7 @@
     run_state_machine_as_test,
 )
 
-from milletcourse.control.lease import NOT_THERE, LeaseClaim, LeaseSpec, LeaseTracker
+from milletcourse.control.lease import ABSENT_REVISION, LeaseClaim, LeaseSpec, LeaseTracker
 from milletcourse.exchange.messages.store_position import StorePosition
 
 LEASE_SECONDS = 3.3
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.era = 1
-        self.held = StoredLease(None, NOT_THERE, 5)
+        self.held = StoredLease(None, ABSENT_REVISION, 5)
 
     @property
     def position(self) -> StorePosition:
--- a/tests/member_cluster.py
+++ b/tests/member_cluster.py
@@ -62,16 +62,16 @@
         self.highest_revision = 0
         self._source = source
         self._pulling = False
-        self._wanted: dict[str, int] = {}
+        self._pending_pulls: dict[str, int] = {}
 
     def start(self) -> None:
         """Begin to tick at a phase of its own."""
         network = self.cluster.network
         network.attach(self.address, self.detector.own.place, self._on_datagram)
-        network.at(network.now + self._source.random() * TICK_SECONDS, self._tick)
-        network.at(network.now + self._source.random() * MEMBER_SYNC_SECONDS, self._sync)
+        network.schedule(network.now + self._source.random() * TICK_SECONDS, self._tick)
+        network.schedule(network.now + self._source.random() * MEMBER_SYNC_SECONDS, self._sync)
         if self.is_reader:
-            network.at(network.now + self._source.random() * CONFIRM_SECONDS, self._confirm)
+            network.schedule(network.now + self._source.random() * CONFIRM_SECONDS, self._confirm)
 
     def stop(self) -> None:
         """The process is killed."""
@@ -83,14 +83,14 @@
             return
         network = self.cluster.network
         self._send(self.detector.on_tick(network.now))
-        network.at(network.now + TICK_SECONDS, self._tick)
+        network.schedule(network.now + TICK_SECONDS, self._tick)
 
     def _sync(self) -> None:
         """Fetch the whole member list of a random live member, as a router does."""
         if not self.alive:
             return
         network = self.cluster.network
-        network.at(network.now + MEMBER_SYNC_SECONDS, self._sync)
+        network.schedule(network.now + MEMBER_SYNC_SECONDS, self._sync)
         live = [item for item in self.detector.live() if item.name != self.detector.own.name]
         address = self._source.choice(live).http_address
         peer = self.cluster.by_address.get(address)
@@ -111,7 +111,7 @@
         if not self.alive:
             return
         network = self.cluster.network
-        network.at(network.now + CONFIRM_SECONDS, self._confirm)
+        network.schedule(network.now + CONFIRM_SECONDS, self._confirm)
         if not self.cluster.platform_reachable(self):
             return
         for change in self.cluster.changes_after(self.store.revision):
@@ -141,14 +141,14 @@
         self.freshness.on_stamp(message.stamp, self.store.revision)
         self.detector.stamp = self.freshness.latest_stamp
         if message.revision > self.store.revision:
-            self._wanted[source] = message.revision
+            self._pending_pulls[source] = message.revision
             self._pull()
 
     def _pull(self) -> None:
-        if self._pulling or not self._wanted or not self.alive:
+        if self._pulling or not self._pending_pulls or not self.alive:
             return
-        address = max(self._wanted, key=lambda item: (self._wanted[item], item))
-        revision = self._wanted.pop(address)
+        address = max(self._pending_pulls, key=lambda item: (self._pending_pulls[item], item))
+        revision = self._pending_pulls.pop(address)
         if revision <= self.store.revision:
             return
         peer = self.cluster.by_address.get(address)
@@ -193,7 +193,7 @@
         for number in range(members):
             self.members.append(self._new_member(number))
         for member in self.members:
-            self.introduce(member)
+            self.add_known_members(member)
             member.start()
 
     def _new_member(self, number: int) -> DatagramMember:
@@ -203,7 +203,7 @@
         self.by_address[member.address] = member
         return member
 
-    def introduce(self, member: DatagramMember) -> None:
+    def add_known_members(self, member: DatagramMember) -> None:
         """The member learns all others, as from the join answer of a peer."""
         records = [item.detector.own for item in self.members if item.alive]
         member.detector.add_seeds(records, self.network.now)
@@ -215,11 +215,11 @@
     def restart(self, number: int) -> DatagramMember:
         """A new process under the same name; it gets the configuration from a peer."""
         self._incarnations += 1
-        former = self.members[number]
-        former.stop()
+        previous = self.members[number]
+        previous.stop()
         member = self._new_member(number)
         self.members[number] = member
-        self.introduce(member)
+        self.add_known_members(member)
         source = next(item for item in self.alive() if item is not member)
         page = source.store.page_for(ChangesRequest(0, 0))
         member.store.apply(page)
--- a/tests/member_measures.py
+++ b/tests/member_measures.py
@@ -17,11 +17,11 @@
 SETTLE_SECONDS = 8.0
 LOSS = 0.01
 LOSS_SECONDS = 30.0
-DEAD_TOGETHER = 41
-HERD = 150
+SIMULTANEOUS_DEATHS = 41
+RESTARTED_MEMBERS = 150
 STEP_SECONDS = 0.25
-GIVE_UP_SECONDS = 60.0
-CUT_SECONDS = 20.0
+TIMEOUT_SECONDS = 60.0
+PARTITION_SECONDS = 20.0
 
 
 class MembersMeasurement(msgspec.Struct, frozen=True):
@@ -75,17 +75,17 @@
     gc.collect()
     resident = tracemalloc.get_traced_memory()[0] // members
     tracemalloc.stop()
-    steady_bytes, steady_datagrams, core = _steady(cluster, members)
-    false_deaths = _lossy(cluster)
+    steady_bytes, steady_datagrams, core = _measure_steady_state(cluster, members)
+    false_deaths = _false_deaths_under_loss(cluster)
     before = cluster.network.datagram_bytes + cluster.network.exchange_bytes
-    change = _change(cluster)
+    change = _apply_change(cluster)
     after = cluster.network.datagram_bytes + cluster.network.exchange_bytes
     change_bytes = (after - before) / members - steady_bytes * change
-    dead = _kill(cluster, 1)
-    many_dead = _kill(cluster, min(DEAD_TOGETHER, members // 10))
-    change_with_dead = _change(cluster)
-    after_heal = _cut_and_heal(cluster)
-    herd = _herd(cluster, min(HERD, members // 3))
+    dead = _kill_members(cluster, 1)
+    many_dead = _kill_members(cluster, min(SIMULTANEOUS_DEATHS, members // 10))
+    change_with_dead = _apply_change(cluster)
+    after_heal = _partition_and_heal(cluster)
+    restart_settled = _restart_many(cluster, min(RESTARTED_MEMBERS, members // 3))
     return MembersMeasurement(
         members=members,
         bytes_per_second_per_node=round(steady_bytes, 1),
@@ -99,7 +99,7 @@
         change_with_dead_seconds_max=round(change_with_dead, 2),
         change_after_heal_seconds_max=round(after_heal, 2),
         change_bytes_per_node=round(max(change_bytes, 0.0), 1),
-        herd_settled_seconds=round(herd, 2),
+        herd_settled_seconds=round(restart_settled, 2),
         lower_revisions_applied=cluster.lower_revisions_applied,
         seed=seed,
     )
@@ -110,7 +110,7 @@
     return usage.ru_utime + usage.ru_stime
 
 
-def _steady(cluster: MemberCluster, members: int) -> tuple[float, float, float]:
+def _measure_steady_state(cluster: MemberCluster, members: int) -> tuple[float, float, float]:
     network = cluster.network
     bytes_before = network.datagram_bytes + network.exchange_bytes
     datagrams_before = network.datagrams
@@ -126,13 +126,13 @@
     """Advance until a condition holds; returns how long it took."""
     assert callable(done)
     while not done():
-        if cluster.network.now - started_at > GIVE_UP_SECONDS:
+        if cluster.network.now - started_at > TIMEOUT_SECONDS:
             return float("inf")
         cluster.network.run(cluster.network.now + STEP_SECONDS)
     return cluster.network.now - started_at
 
 
-def _change(cluster: MemberCluster) -> float:
+def _apply_change(cluster: MemberCluster) -> float:
     started_at = cluster.network.now
     revision = cluster.commit()
     alive = cluster.alive()
@@ -142,7 +142,7 @@
     return float("inf") if missing else max(times[item.number] for item in alive) - started_at
 
 
-def _kill(cluster: MemberCluster, count: int) -> float:
+def _kill_members(cluster: MemberCluster, count: int) -> float:
     started_at = cluster.network.now
     victims = cluster.alive()[-count:]
     for victim in victims:
@@ -151,22 +151,22 @@
     alive = cluster.alive()
 
     def known() -> bool:
-        return all(_sees_dead(member, name) for name in names for member in alive)
+        return all(_knows_dead(member, name) for name in names for member in alive)
 
     return _run_until(cluster, known, started_at)
 
 
-def _sees_dead(member: object, name: str) -> bool:
+def _knows_dead(member: object, name: str) -> bool:
     record = member.detector.record(name)  # type: ignore[attr-defined]
     return record is not None and record.state >= MemberState.DEAD
 
 
-def _cut_and_heal(cluster: MemberCluster) -> float:
-    cluster.network.cut(cluster.places[-1])
+def _partition_and_heal(cluster: MemberCluster) -> float:
+    cluster.network.partition(cluster.places[-1])
     cluster.network.run(cluster.network.now + 2.0)
     revision = cluster.commit()
-    cluster.network.run(cluster.network.now + CUT_SECONDS)
-    cluster.network.cut("")
+    cluster.network.run(cluster.network.now + PARTITION_SECONDS)
+    cluster.network.partition("")
     alive = cluster.alive()
     return _run_until(
         cluster,
@@ -175,7 +175,7 @@
     )
 
 
-def _herd(cluster: MemberCluster, count: int) -> float:
+def _restart_many(cluster: MemberCluster, count: int) -> float:
     cluster.network.run(cluster.network.now + SETTLE_SECONDS)
     started_at = cluster.network.now
     restarted = [cluster.restart(item.number) for item in cluster.alive()[:count]]
@@ -183,7 +183,7 @@
 
     def settled() -> bool:
         return all(
-            _knows(member, item.detector.own.name, item.detector.own.incarnation)
+            _knows_incarnation(member, item.detector.own.name, item.detector.own.incarnation)
             for item in restarted
             for member in alive
         )
@@ -191,7 +191,7 @@
     return _run_until(cluster, settled, started_at)
 
 
-def _knows(member: object, name: str, incarnation: int) -> bool:
+def _knows_incarnation(member: object, name: str, incarnation: int) -> bool:
     record = member.detector.record(name)  # type: ignore[attr-defined]
     return (
         record is not None
@@ -200,22 +200,24 @@
     )
 
 
-def _lossy(cluster: MemberCluster) -> int:
+def _false_deaths_under_loss(cluster: MemberCluster) -> int:
     """Live members that anyone newly declares dead while datagrams are lost."""
     cluster.network.run(cluster.network.now + SETTLE_SECONDS)
     alive = {item.detector.own.name for item in cluster.alive()}
-    before = _believed_dead(cluster, alive)
+    before = _live_members_seen_dead(cluster, alive)
     cluster.network.loss = LOSS
-    false: set[str] = set()
+    falsely_dead: set[str] = set()
     end = cluster.network.now + LOSS_SECONDS
     while cluster.network.now < end:
         cluster.network.run(cluster.network.now + 1.0)
-        false.update(name for viewer, name in _believed_dead(cluster, alive) - before)
+        falsely_dead.update(
+            name for viewer, name in _live_members_seen_dead(cluster, alive) - before
+        )
     cluster.network.loss = 0.0
-    return len(false)
+    return len(falsely_dead)
 
 
-def _believed_dead(cluster: MemberCluster, alive: set[str]) -> set[tuple[str, str]]:
+def _live_members_seen_dead(cluster: MemberCluster, alive: set[str]) -> set[tuple[str, str]]:
     """Pairs of a viewer and a live member that it holds for dead."""
     return {
         (member.detector.own.name, record.name)
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -15,7 +15,7 @@
 SAME_REGION_SECONDS = 0.002
 OTHER_REGION_SECONDS = 0.05
 
-Deliver = Callable[[bytes, str], None]
+DatagramHandler = Callable[[bytes, str], None]
 
 
 class MemberNetwork:
@@ -31,31 +31,31 @@
         self._random = random.Random(f"network/{seed}")
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._counter = itertools.count()
-        self._handlers: dict[str, Deliver] = {}
+        self._handlers: dict[str, DatagramHandler] = {}
         self._places: dict[str, str] = {}
-        self._cut_place = ""
+        self._partitioned_place = ""
 
-    def attach(self, address: str, place: str, deliver: Deliver) -> None:
+    def attach(self, address: str, place: str, on_datagram: DatagramHandler) -> None:
         """A member listens."""
-        self._handlers[address] = deliver
+        self._handlers[address] = on_datagram
         self._places[address] = place
 
     def detach(self, address: str) -> None:
         """A member is gone."""
         self._handlers.pop(address, None)
 
-    def cut(self, place: str) -> None:
+    def partition(self, place: str) -> None:
         """A place is cut off from all others; empty heals."""
-        self._cut_place = place
+        self._partitioned_place = place
 
     def reaches(self, source: str, destination: str) -> bool:
         """Whether the link is not cut."""
-        if not self._cut_place:
+        if not self._partitioned_place:
             return True
-        outside = self._cut_place
-        return (self._places[source] == outside) == (self._places[destination] == outside)
+        partitioned = self._partitioned_place
+        return (self._places[source] == partitioned) == (self._places[destination] == partitioned)
 
-    def at(self, seconds: float, action: Callable[[], None]) -> None:
+    def schedule(self, seconds: float, action: Callable[[], None]) -> None:
         """Run an action at a time."""
         heapq.heappush(self._queue, (seconds, next(self._counter), action))
 
@@ -73,7 +73,7 @@
         if self._random.random() < self.loss or not self.reaches(source, destination):
             return
         delay = self._latency(source, destination)
-        self.at(self.now + delay, lambda: self._deliver(payload, source, destination))
+        self.schedule(self.now + delay, lambda: self._deliver(payload, source, destination))
 
     def exchange(
         self, source: str, destination: str, payload_bytes: int, action: Callable[[], None]
@@ -83,7 +83,7 @@
             return False
         self.exchanges += 1
         self.exchange_bytes += payload_bytes + HTTP_EXCHANGE_BYTES
-        self.at(self.now + 2 * self._latency(source, destination), action)
+        self.schedule(self.now + 2 * self._latency(source, destination), action)
         return True
 
     def _deliver(self, payload: bytes, source: str, destination: str) -> None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -47,7 +47,7 @@
         self.prepared: dict[int, set[int]] = {}
         self.accepted: dict[int, set[int]] = {}
 
-    def ask(self, step: ClaimStep, ballot: int, quorum: tuple[int, ...]) -> set[int]:
+    def send_step(self, step: ClaimStep, ballot: int, quorum: tuple[int, ...]) -> set[int]:
         """Send one step to some replicas; returns those that accepted."""
         request = ClaimRequest(
             step, bytes(16), self.mint_seconds, Ballot(ballot, f"router-{ballot}"), bytes(16)
@@ -79,7 +79,7 @@
     @rule(ballot=ballots, quorum=quorums)
     def prepare(self, ballot: int, quorum: tuple[int, ...]) -> None:
         """PREPARE arrives at some replicas."""
-        accepted = self.ask(ClaimStep.PREPARE, ballot, quorum)
+        accepted = self.send_step(ClaimStep.PREPARE, ballot, quorum)
         self.prepared.setdefault(ballot, set()).update(accepted)
 
     @rule(ballot=ballots, quorum=quorums)
@@ -87,7 +87,7 @@
         """DISPATCHING arrives at some replicas, sent only after a majority of promises."""
         if len(self.prepared.get(ballot, ())) < MAJORITY:
             return
-        accepted = self.ask(ClaimStep.DISPATCHING, ballot, quorum)
+        accepted = self.send_step(ClaimStep.DISPATCHING, ballot, quorum)
         self.accepted.setdefault(ballot, set()).update(accepted)
 
     @rule(ballot=ballots, quorum=quorums)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -110,9 +110,9 @@
     assert not tracker.is_fresh(110.1)
     tracker.on_revision(8)
     assert tracker.is_fresh(110.1)
-    tracker.on_wake(112.0)
+    tracker.on_resume(112.0)
     assert not tracker.is_fresh(112.1)
-    tracker.on_majority(112.2, own_revision=8, highest_heard=8)
+    tracker.on_majority(112.2, own_revision=8, highest_peer_revision=8)
     assert tracker.is_fresh(112.3)
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from member_measures import measure_members
 
 
-def test_members_meet_the_bars() -> None:
+def test_members_meet_time_and_traffic_limits() -> None:
     """Deaths and changes are known in time, and nothing false is."""
     measured = measure_members(30, seed=1)
     assert measured.false_deaths == 0
