--- a/src/milletcourse/configuration/freshness_watch.py
+++ b/src/milletcourse/configuration/freshness_watch.py
@@ -66,7 +66,7 @@
         self._detector.stamp = self._freshness.latest_stamp
 
     def _note_majority(self) -> None:
-        """Record contact with a majority of the routers, evidence while the platform is away."""
+        """Record majority contact, which is evidence while the platform is unavailable."""
         router_set = self._store.policy.router_set
         if router_set is None or not router_set.members:
             return
--- a/src/milletcourse/configuration/platform_client.py
+++ b/src/milletcourse/configuration/platform_client.py
@@ -119,9 +119,7 @@
                         "another change was accepted first", None, current.version, shown
                     )
                 )
-        raise FailureError(
-            ChangeUnknown(f"the outcome of change {write.change_id} is unknown", 2.0)
-        )
+        raise FailureError(ChangeUnknown(f"change {write.change_id} has an unknown outcome", 2.0))
 
     async def watch(self, after: int) -> AsyncIterator[WatchLine]:
         """Yield the changes after a revision, with bookmarks between them.
--- a/src/milletcourse/wire/decoding.py
+++ b/src/milletcourse/wire/decoding.py
@@ -7,4 +7,4 @@
 from construct import ConstructError
 
 DECODE_ERRORS = (ConstructError, struct.error, ValueError, IndexError)
-"""Besides ConstructError, compiled layouts raise the built-in exceptions of their generated code."""
+"""Besides ConstructError, compiled layouts raise built-in exceptions of their generated code."""
--- a/tests/exchange/rollout/test_lease_machine.py
+++ b/tests/exchange/rollout/test_lease_machine.py
@@ -191,9 +191,9 @@
 class TakesAtOnce(LeaseTracker):
     """Takes a lease that an older snapshot shows as free."""
 
-    def _may_take(self, now: float) -> bool:
-        self._returned_at = self._era_known_at = float("-inf")
-        return super()._may_take(now)
+    def _may_acquire(self, now: float) -> bool:
+        self._restored_at = self._era_known_at = float("-inf")
+        return super()._may_acquire(now)
 
 
 class CountsTokens(LeaseTracker):
