--- a/src/milletcourse/configuration/freshness_watch.py
+++ b/src/milletcourse/configuration/freshness_watch.py
@@ -1,4 +1,4 @@
-"""Feeds the proof of freshness: freezes of this process, stamps of peers, and majorities."""
+"""Feeds the freshness tracker with process stalls, stamps of peers, and majority contacts."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from milletcourse.membership.failure_detector import FailureDetector
 from milletcourse.runtime.clock import Clock
 
-FREEZE_SECONDS = 1.5
-"""Looks that are this far apart mean that the process did not run."""
+STALL_THRESHOLD_SECONDS = 1.5
+"""A longer time between two checks means that the process was not running."""
 
 
 class FreshnessWatch:
-    """Looks often whether the configuration may still be trusted.
+    """Updates the freshness evidence periodically.
 
     Args:
-        freshness: The proof.
-        detector: What is known of the other routers.
+        freshness: Tracks the evidence of freshness.
+        detector: Membership view and contact times of the other routers.
         store: The configuration in force.
-        highest_heard: Highest revision that any router told.
+        highest_peer_revision: Returns the highest revision reported by any router.
         clock: Time.
     """
 
@@ -30,47 +30,51 @@
         freshness: FreshnessTracker,
         detector: FailureDetector,
         store: ConfigurationStore,
-        highest_heard: Callable[[], int],
+        highest_peer_revision: Callable[[], int],
         clock: Clock,
     ) -> None:
         self._freshness = freshness
         self._detector = detector
         self._store = store
-        self._highest_heard = highest_heard
+        self._highest_peer_revision = highest_peer_revision
         self._clock = clock
-        self._looked_at = 0.0
+        self._checked_at = 0.0
         self._log = get_logger("node")
 
     def start(self) -> None:
-        """Count from now on."""
-        self._looked_at = self._clock.monotonic()
+        """Start the stall detection at the current time."""
+        self._checked_at = self._clock.monotonic()
 
-    def look(self) -> None:
-        """Notice a freeze, and refresh what others prove."""
-        self.notice_freeze()
-        self.share_stamp()
+    def check(self) -> None:
+        """Check for a stall, then update the stamp to send and the majority contact."""
+        self.check_for_stall()
+        self.publish_stamp()
         self._note_majority()
 
-    def notice_freeze(self) -> None:
-        """A process that did not run must not trust what it believed before."""
+    def check_for_stall(self) -> None:
+        """Discard the evidence from before a stall of this process."""
         now = self._clock.monotonic()
-        if self._looked_at and now - self._looked_at > FREEZE_SECONDS:
-            self._log.warning("the process was frozen", seconds=round(now - self._looked_at, 1))
-            self._freshness.on_wake(self._clock.wall())
-        self._looked_at = now
+        if self._checked_at and now - self._checked_at > STALL_THRESHOLD_SECONDS:
+            self._log.warning(
+                "the process was not running", seconds=round(now - self._checked_at, 1)
+            )
+            self._freshness.on_resume(self._clock.wall())
+        self._checked_at = now
 
-    def share_stamp(self) -> None:
-        """Let the next datagrams carry the latest stamp of the platform."""
+    def publish_stamp(self) -> None:
+        """Put the latest platform stamp into the next datagrams."""
         self._detector.stamp = self._freshness.latest_stamp
 
     def _note_majority(self) -> None:
-        """Hearing most of the configured routers stands in for the platform while it is away."""
+        """Record majority contact, which is evidence while the platform is unavailable."""
         router_set = self._store.policy.router_set
         if router_set is None or not router_set.members:
             return
         now = self._clock.monotonic()
         names = {item.name for item in router_set.members}
-        heard_at = min(self._detector.majority_heard_at(names), now)
+        contact_at = min(self._detector.majority_contact_at(names), now)
         self._freshness.on_majority(
-            self._clock.wall() - (now - heard_at), self._store.revision, self._highest_heard()
+            self._clock.wall() - (now - contact_at),
+            self._store.revision,
+            self._highest_peer_revision(),
         )
--- a/src/milletcourse/configuration/service.py
+++ b/src/milletcourse/configuration/service.py
@@ -1,7 +1,7 @@
-"""Keeps the configuration current: from peers, from a watch held under a lease, or at start.
+"""Keeps the configuration current from peers, from the platform, or from a watch under a lease.
 
-A few leased readers in each place watch the platform. The others learn from datagrams that a peer
-has a higher revision and pull what changed from it.
+In each place, the holder of the reader lease watches the platform. The other routers see in
+datagrams that a peer has a higher revision and pull the changes from that peer.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from milletcourse.configuration.freshness import FreshnessTracker
 from milletcourse.configuration.platform_client import WATCH_IDLE_SECONDS, PlatformClient
 from milletcourse.configuration.store import ChangesPage, ChangesRequest, ConfigurationStore
-from milletcourse.control.lease import NOT_THERE, LeaseSpec, LeaseTracker
+from milletcourse.control.lease import ABSENT_REVISION, LeaseSpec, LeaseTracker
 from milletcourse.errors import FailureError, HistoryExpired, VersionConflict
 from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
 from milletcourse.logs import get_logger
@@ -29,16 +29,16 @@
 START_RETRY_SECONDS = 0.3
 PULL_RETRY_SECONDS = 0.2
 CONFIRM_SECONDS = 1.0
-"""A fifth of the freshness bound, so that single lost answers don't matter."""
-READERS_SILENT_SECONDS = 2.0
-"""Two confirmations were missed and the news of them had time to spread."""
-STAND_IN_READERS = 3
-"""Expected number of routers that ask a second while no reader does."""
+"""A fifth of the freshness bound, so that a single lost response does no harm."""
+READERS_TIMEOUT_SECONDS = 2.0
+"""Covers two missed confirmations and the time for a stamp to spread by gossip."""
+SUBSTITUTE_READERS = 3
+"""Expected number of routers per second that query the platform while no reader does."""
 LEASE_KIND = "Lease"
 
 
 class LeaseKeeper:
-    """Tries to hold one lease at the platform."""
+    """Acquires and renews one lease at the platform."""
 
     def __init__(
         self,
@@ -60,11 +60,11 @@
 
     @property
     def fencing_token(self) -> int:
-        """Token of the present term."""
+        """Fencing token of the current term."""
         return self.tracker.fencing_token
 
     async def run(self) -> None:
-        """Renew or try to take over, for ever."""
+        """Renew or try to acquire the lease until cancelled."""
         while True:
             try:
                 await self.step()
@@ -73,11 +73,11 @@
             await self._clock.sleep(LEASE_POLL_SECONDS * (0.75 + self._random.random() / 2))
 
     async def step(self) -> None:
-        """One observation and, when due, one write; raises FailureError."""
+        """Read the lease and, when due, write a claim; raises FailureError."""
         stored = await self._platform.get(LEASE_KIND, self._name)
         spec = msgspec.convert(stored.spec, LeaseSpec) if stored else None
-        place = _place(stored.version if stored else NOT_THERE)
-        self.tracker.on_observed(spec, place, self._clock.monotonic())
+        position = _position(stored.version if stored else ABSENT_REVISION)
+        self.tracker.on_observed(spec, position, self._clock.monotonic())
         now = self._clock.monotonic()
         claim = self.tracker.next_claim(now)
         if claim is None:
@@ -90,16 +90,16 @@
             if isinstance(error.failure, VersionConflict):
                 return
             raise
-        self.tracker.on_written(claim, _place(written.version), now)
+        self.tracker.on_written(claim, _position(written.version), now)
 
 
-def _place(version: int) -> StorePosition:
-    """The platform of the routers tells no era."""
+def _position(version: int) -> StorePosition:
+    """Return a position without an era, since this platform does not report one."""
     return StorePosition(UNKNOWN_ERA, version)
 
 
 class ConfigurationService:
-    """Input and output round `ConfigurationStore` and `FreshnessTracker`."""
+    """Performs the I/O for `ConfigurationStore` and `FreshnessTracker`."""
 
     def __init__(
         self,
@@ -125,37 +125,37 @@
         self._random = random_source
         self._tasks = tasks
         self._log = get_logger("configuration")
-        self._highest_heard = 0
-        self._wanted: dict[str, int] = {}
-        self._wanted_changed = asyncio.Event()
+        self._highest_peer_revision = 0
+        self._pending_pulls: dict[str, int] = {}
+        self._pulls_changed = asyncio.Event()
         self.loaded = asyncio.Event()
 
     def start(self) -> None:
-        """Begin to load and follow the configuration."""
-        self._tasks.spawn(self._load_first(), "load-configuration")
+        """Start loading and following the configuration."""
+        self._tasks.spawn(self._load_initial(), "load-configuration")
         self._tasks.spawn(self._reader_lease.run(), "reader-lease")
         self._tasks.spawn(self._read_platform(), "read-platform")
         self._tasks.spawn(self._confirm_freshness(), "confirm-freshness")
-        self._tasks.spawn(self._pull_wanted(), "pull-configuration")
+        self._tasks.spawn(self._pull_pending(), "pull-configuration")
 
     def page_for(self, request: ChangesRequest) -> ChangesPage:
-        """Answer a peer."""
+        """Return the page of changes that a peer requests."""
         page = self.store.page_for(request)
         return msgspec.structs.replace(page, stamp=self.freshness.latest_stamp)
 
-    def highest_heard(self) -> int:
-        """Highest revision that any peer has named."""
-        return self._highest_heard
+    def highest_peer_revision(self) -> int:
+        """Return the highest revision reported by any peer."""
+        return self._highest_peer_revision
 
     def on_peer_revision(self, address: str, revision: int) -> None:
-        """A peer has this revision in force."""
-        self._highest_heard = max(self._highest_heard, revision)
+        """Handle a peer's report of the revision that it has in force."""
+        self._highest_peer_revision = max(self._highest_peer_revision, revision)
         if revision > self.store.revision:
-            self._wanted[address] = revision
-            self._wanted_changed.set()
+            self._pending_pulls[address] = revision
+            self._pulls_changed.set()
 
     async def pull(self, address: str) -> bool:
-        """Fetch and apply all changes of a peer; raises FailureError."""
+        """Fetch and apply all newer changes of a peer; raises FailureError."""
         after = self.store.revision
         cursor = after
         changes: list[ObjectChange] = []
@@ -165,19 +165,19 @@
             if page.complete:
                 break
             cursor = page.changes[-1].revision
-        joined = ChangesPage(after, page.through, tuple(changes), whole=page.whole)
-        applied = self._applied(self.store.apply(joined))
+        merged = ChangesPage(after, page.through, tuple(changes), whole=page.whole)
+        applied = self._after_apply(self.store.apply(merged))
         self.freshness.on_stamp(page.stamp, self.store.revision)
         return applied
 
     async def refresh_from_platform(self) -> None:
-        """Load the whole state; raises FailureError."""
-        asked_at = self._clock.wall()
+        """Load the whole state from the platform; raises FailureError."""
+        requested_at = self._clock.wall()
         listing = await self._platform.list_objects()
-        self._applied(self.store.apply_list(listing))
-        self._confirm(listing.revision, asked_at)
+        self._after_apply(self.store.apply_list(listing))
+        self._confirm(listing.revision, requested_at)
 
-    def _applied(self, applied: bool) -> bool:
+    def _after_apply(self, applied: bool) -> bool:
         if applied:
             self.freshness.on_revision(self.store.revision)
         if self.store.revision:
@@ -185,12 +185,12 @@
         return applied
 
     def _confirm(self, revision: int, wall_seconds: float) -> None:
-        """The platform showed a revision; an older state than ours confirms nothing."""
+        """Record a revision read from the platform; one older than ours confirms nothing."""
         if revision >= self.store.revision:
             stamp = PlatformStamp(revision, wall_seconds)
             self.freshness.on_stamp(stamp, self.store.revision)
 
-    async def _load_first(self) -> None:
+    async def _load_initial(self) -> None:
         while not self.loaded.is_set():
             addresses = self._peer_addresses()
             self._random.shuffle(addresses)
@@ -206,13 +206,15 @@
             except FailureError:
                 await self._clock.sleep(START_RETRY_SECONDS * (0.5 + self._random.random()))
 
-    async def _pull_wanted(self) -> None:
+    async def _pull_pending(self) -> None:
         while True:
-            await self._wanted_changed.wait()
-            self._wanted_changed.clear()
-            while self._wanted:
-                address = max(self._wanted, key=lambda item: (self._wanted[item], item))
-                revision = self._wanted.pop(address)
+            await self._pulls_changed.wait()
+            self._pulls_changed.clear()
+            while self._pending_pulls:
+                address = max(
+                    self._pending_pulls, key=lambda item: (self._pending_pulls[item], item)
+                )
+                revision = self._pending_pulls.pop(address)
                 if revision <= self.store.revision:
                     continue
                 try:
@@ -239,7 +241,7 @@
             self._log.info("reload failed", failure=error.failure.code)
 
     async def _watch(self) -> None:
-        """Apply what the platform shows, until the lease or the watch ends."""
+        """Apply the changes of a watch until the lease or the watch ends."""
         lines = self._platform.watch(self.store.revision)
         try:
             while self._reader_lease.is_held():
@@ -248,38 +250,38 @@
                 if line.change is None:
                     continue
                 page = ChangesPage(line.change.revision - 1, line.change.revision, (line.change,))
-                self._applied(self.store.apply(page))
+                self._after_apply(self.store.apply(page))
         except (TimeoutError, StopAsyncIteration):
             return
         finally:
             await lines.aclose()  # type: ignore[attr-defined]
 
     async def _confirm_freshness(self) -> None:
-        """Ask the platform for its revision; the answer vouches for the time of the question.
+        """Query the platform's revision; the response confirms it as of the time of the request.
 
-        A line of the watch can't vouch for anything: it may have waited in a buffer while this
-        process was frozen.
+        A line of the watch confirms nothing, since it may have been buffered while this process was
+        not running.
         """
         while True:
             await self._clock.sleep(CONFIRM_SECONDS * (0.8 + 0.4 * self._random.random()))
-            if not self._reader_lease.is_held() and not self._stands_in_for_readers():
+            if not self._reader_lease.is_held() and not self._substitutes_for_readers():
                 continue
-            asked_at = self._clock.wall()
+            requested_at = self._clock.wall()
             try:
                 revision = await self._platform.revision()
             except FailureError:
                 continue
             if revision > self.store.revision:
                 await self._reload()
-            self._confirm(revision, asked_at)
+            self._confirm(revision, requested_at)
 
-    def _stands_in_for_readers(self) -> bool:
-        """Whether to ask although another router holds the lease.
+    def _substitutes_for_readers(self) -> bool:
+        """Whether to query the platform without holding the reader lease.
 
-        While no reader has vouched for the platform lately, as when all of them died at once, a
-        few routers picked at random ask in their place.
+        While no reader has confirmed a revision recently, e.g. because all of them died at the same
+        time, a few routers chosen at random query the platform in their place.
         """
         age = self._clock.wall() - self.freshness.latest_stamp.wall_seconds
-        if age < READERS_SILENT_SECONDS:
+        if age < READERS_TIMEOUT_SECONDS:
             return False
-        return self._random.random() * self._live_count() < STAND_IN_READERS
+        return self._random.random() * self._live_count() < SUBSTITUTE_READERS
--- a/src/milletcourse/control/router_set_service.py
+++ b/src/milletcourse/control/router_set_service.py
@@ -1,8 +1,8 @@
-"""Confirms a new epoch of the router set once every former member has it in force.
+"""Confirms a new epoch of the router set once every previous member has it in force.
 
-Runs under the lease `router-set`. When the former members do not all answer before the planned time
-of the change, that time is moved on. This is safe, since new members vote on nothing before they
-know of the confirmation.
+Runs under the lease `router-set`. If some of the previous members do not answer before the planned
+start of the epoch, the start is postponed. This is safe, since new members do not vote before they
+receive the confirmation.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from milletcourse.configuration.platform_client import PlatformClient
 from milletcourse.configuration.service import LeaseKeeper
 from milletcourse.configuration.store import ConfigurationStore
-from milletcourse.control.machines import MachinesView
+from milletcourse.control.machines import MachineListView
 from milletcourse.errors import FailureError
 from milletcourse.logs import get_logger
 from milletcourse.peers import PeerClient
@@ -24,21 +24,21 @@
 from milletcourse.runtime.tasks import TaskSet
 
 CHECK_SECONDS = 1.0
-CHANGE_AFTER_SECONDS = 4.0
-"""A new epoch takes over this long after it is written: time for all members to have it."""
+EPOCH_DELAY_SECONDS = 4.0
+"""Delay from the write of a new epoch to its start, in which all members receive it."""
 ROUTER_SET_KIND = "RouterSet"
 ROUTER_SET_NAME = "default"
 
 
 class RouterSetService:
-    """Moves an unconfirmed epoch on to its confirmation."""
+    """Confirms or postpones an unconfirmed epoch."""
 
     def __init__(
         self,
         store: ConfigurationStore,
         platform: PlatformClient,
         peers: PeerClient,
-        machines: MachinesView,
+        machines: MachineListView,
         lease: LeaseKeeper,
         clock: Clock,
         random_source: random.Random,
@@ -55,7 +55,7 @@
         self._log = get_logger("router-set")
 
     def start(self) -> None:
-        """Begin to compete for the lease and to watch for new epochs."""
+        """Start competing for the lease and watching for new epochs."""
         self._tasks.spawn(self._lease.run(), "router-set-lease")
         self._tasks.spawn(self._run(), "router-set")
 
@@ -72,15 +72,15 @@
 
     async def _advance(self, spec: RouterSetSpec) -> None:
         version = self._store.version(ROUTER_SET_KIND, ROUTER_SET_NAME)
-        if await self._all_have(spec.previous_members, version):
+        if await self._all_in_force(spec.previous_members, version):
             await self._write(msgspec.structs.replace(spec, confirmed=True), version)
         elif self._clock.wall() >= spec.from_mint_seconds:
-            later = self._clock.wall() + CHANGE_AFTER_SECONDS
+            later = self._clock.wall() + EPOCH_DELAY_SECONDS
             await self._write(msgspec.structs.replace(spec, from_mint_seconds=later), version)
 
-    async def _all_have(self, members: tuple[RouterMember, ...], version: int) -> bool:
+    async def _all_in_force(self, members: tuple[RouterMember, ...], version: int) -> bool:
         for member in members:
-            if self._machines.is_away(member.name):
+            if self._machines.is_excluded(member.name):
                 continue
             try:
                 status = await self._peers.status(member.address)
--- a/src/milletcourse/membership/failure_detector.py
+++ b/src/milletcourse/membership/failure_detector.py
@@ -1,9 +1,11 @@
-"""Failure detector and member view; no input/output.
-
-Each period a member probes one other in a shuffled round. A missing ack is followed by indirect
-probes through others, then by suspicion, which the suspect refutes with a higher incarnation, and
-only after the suspicion timeout by death. News travels piggybacked on every datagram, and in extra
-gossip datagrams while there is news. Messages and `now` in, datagrams out.
+"""SWIM-style failure detector and membership view; performs no I/O.
+
+In each protocol period a member probes one other member, in a shuffled round-robin order. If the
+ack is missing, it sends indirect probes through other members, then marks the target as suspect.
+A suspect refutes the suspicion with a higher incarnation; otherwise it is declared dead after the
+suspicion timeout. State updates are piggybacked on every datagram and sent in additional gossip
+datagrams while any are pending. The caller passes in messages and `now` and sends the datagrams
+that are returned.
 """
 
 from __future__ import annotations
@@ -22,31 +24,32 @@
 )
 
 PROBE_INTERVAL_SECONDS = 1.0
-"""One probe a second a member keeps detection within seconds for tens of bytes a second."""
+"""One probe per second and member detects failures within seconds at tens of bytes per second."""
 PROBE_TIMEOUT_SECONDS = 0.4
-"""Twice the round trip between the farthest regions."""
+"""Twice the round-trip time between the two most distant regions."""
 SUSPICION_SECONDS = 2.0
-"""Time to refute: several gossip rounds of 0.25 s there and back."""
+"""Leaves time for a refutation: several gossip rounds of 0.25 s in each direction."""
 GOSSIP_INTERVAL_SECONDS = 0.25
 GOSSIP_FANOUT = 3
 INDIRECT_PROBES = 3
 MAX_RECORDS_PER_MESSAGE = 12
-"""Keeps a datagram below one Ethernet frame."""
+"""Keeps a datagram within one Ethernet frame."""
 RETRANSMIT_FACTOR = 2
-"""Each piece of news is sent about this many times the logarithm of the member count."""
+"""Each update is sent about this many times the binary logarithm of the member count."""
 DEAD_RETRY_SECONDS = 5.0
-"""A dead member is probed this often, so that a healed cut is noticed."""
-FORGET_DEAD_SECONDS = 3600.0
-"""After an hour a dead member is left to the configuration's list."""
-FREEZE_SECONDS = 2.0
-"""A gap this long between ticks means that this process did not run."""
+"""Interval of probes to dead members, which detect that a network partition has healed."""
+DEAD_RETRY_LIMIT_SECONDS = 3600.0
+"""A member that has been dead for an hour is not probed again; the router list of the configuration
+remains the only source for it."""
+STALL_THRESHOLD_SECONDS = 2.0
+"""A longer gap between two ticks means that this process was not running."""
 
 
 @dataclass(slots=True)
 class _Member:
     record: MemberRecord
     since: float
-    last_heard: float = float("-inf")
+    last_contact_at: float = float("-inf")
 
 
 @dataclass(slots=True)
@@ -58,7 +61,7 @@
 
 
 class FailureDetector:
-    """State of one member's view."""
+    """One member's view of the cluster and its protocol state."""
 
     def __init__(self, own: MemberRecord, random_source: random.Random) -> None:
         self.own = own
@@ -67,7 +70,7 @@
         self._random = random_source
         self._members: dict[str, _Member] = {}
         self._suspects: dict[str, None] = {}
-        self._news: dict[str, int] = {own.name: 0}
+        self._pending_updates: dict[str, int] = {own.name: 0}
         self._round: list[str] = []
         self._probe: _Probe | None = None
         self._relayed: dict[int, tuple[str, int]] = {}
@@ -81,23 +84,23 @@
     # -- view ---------------------------------------------------------------------------------
 
     def record(self, name: str) -> MemberRecord | None:
-        """The record of a member, None when it is unknown."""
+        """Return the record of a member, None when it is unknown."""
         if name == self.own.name:
             return self.own
         member = self._members.get(name)
         return member.record if member else None
 
     def records(self) -> list[MemberRecord]:
-        """All known members, this one included, by name."""
+        """Return all known members, including this one, sorted by name."""
         others = [member.record for member in self._members.values()]
         return sorted([*others, self.own], key=lambda record: record.name)
 
     def live(self) -> list[MemberRecord]:
-        """Members that are alive or merely suspected, this one included."""
+        """Return the members that are alive or suspect, including this one."""
         return [item for item in self.records() if item.state <= MemberState.SUSPECT]
 
     def dead(self) -> list[MemberRecord]:
-        """Members declared dead, in no particular order."""
+        """Return the members declared dead, in no particular order."""
         return [
             member.record
             for member in self._members.values()
@@ -105,53 +108,58 @@
         ]
 
     def live_count(self) -> int:
-        """Number of members in `live`."""
+        """Return the number of members in `live`."""
         states = [member.record.state for member in self._members.values()]
         return 1 + sum(1 for state in states if state <= MemberState.SUSPECT)
 
-    def majority_heard_at(self, names: Collection[str]) -> float:
-        """Latest monotonic time by which this member has since heard a majority of `names`.
+    def majority_contact_at(self, names: Collection[str]) -> float:
+        """Return the latest time since which a majority of `names` has sent a datagram.
+
+        Only datagrams received directly from a member count, since the view of live members stays
+        unchanged for a while after this member has been partitioned from the others.
 
-        Only datagrams received from a member itself count, since the view of who is alive stays
-        unchanged for a while after this member has been cut off.
+        Returns:
+            Monotonic seconds; minus infinity when fewer than a majority are known.
         """
-        heard = [self._members[name].last_heard for name in sorted(names) if name in self._members]
+        contact_times = [
+            self._members[name].last_contact_at for name in sorted(names) if name in self._members
+        ]
         if self.own.name in names:
-            heard.append(float("inf"))
+            contact_times.append(float("inf"))
         needed = len(names) // 2 + 1
-        if len(heard) < needed:
+        if len(contact_times) < needed:
             return float("-inf")
-        return sorted(heard, reverse=True)[needed - 1]
+        return sorted(contact_times, reverse=True)[needed - 1]
 
     # -- input --------------------------------------------------------------------------------
 
     def add_seeds(self, records: Iterable[MemberRecord], now: float) -> None:
-        """Members named by settings or configuration, unless already known."""
+        """Add members from the settings or the configuration that are not known yet."""
         for record in records:
             if record.name != self.own.name and record.name not in self._members:
                 self._members[record.name] = _Member(record, now)
-                self._note_suspect(record)
+                self._update_suspects(record)
 
     def merge(self, records: Iterable[MemberRecord], now: float) -> None:
-        """News of members from outside of datagrams."""
+        """Merge member records that were received other than by datagram."""
         for record in records:
             self._merge(record, now)
 
     def announce(self) -> None:
-        """Something worth telling at once has changed, such as the revision."""
+        """Start gossip rounds for a change outside the member records, such as a new revision."""
         self._announce_rounds = self._retransmit_limit()
 
     def leave(self, now: float) -> list[Outgoing]:
-        """Planned stop: tell some members, who tell the others."""
+        """Announce a planned stop to some members, which gossip it to the others."""
         self.own = replace(self.own, state=MemberState.LEFT)
-        self._news[self.own.name] = 0
+        self._pending_updates[self.own.name] = 0
         peers = self._pick_live(GOSSIP_FANOUT * 2)
         return [self._outgoing(peer, MessageKind.GOSSIP, 0, "") for peer in peers]
 
     def on_tick(self, now: float) -> list[Outgoing]:
-        """Advance timers; call it every few hundredths of a second."""
-        if self._last_tick is not None and now - self._last_tick > FREEZE_SECONDS:
-            self._on_wake(now)
+        """Advance the timers; the caller runs it about every tenth of a second."""
+        if self._last_tick is not None and now - self._last_tick > STALL_THRESHOLD_SECONDS:
+            self._on_resume(now)
         self._last_tick = now
         out: list[Outgoing] = []
         self._check_probe(now, out)
@@ -170,12 +178,12 @@
     def on_message(
         self, sender: str, incarnation: int, message: MembershipMessage, now: float
     ) -> list[Outgoing]:
-        """Handle a datagram of an authenticated sender."""
+        """Handle a datagram from an authenticated sender."""
         for record in message.records:
             self._merge(record, now)
         member = self._members.get(sender)
         if member is not None:
-            member.last_heard = now
+            member.last_contact_at = now
             if incarnation > member.record.incarnation:
                 alive = replace(member.record, state=MemberState.ALIVE, incarnation=incarnation)
                 self._set(member, alive, now)
@@ -198,9 +206,9 @@
     def _on_ack(self, message: MembershipMessage, out: list[Outgoing]) -> None:
         relayed = self._relayed.pop(message.sequence, None)
         if relayed is not None:
-            asker = self._members.get(relayed[0])
-            if asker is not None:
-                out.append(self._outgoing(asker, MessageKind.ACK, relayed[1], message.target))
+            requester = self._members.get(relayed[0])
+            if requester is not None:
+                out.append(self._outgoing(requester, MessageKind.ACK, relayed[1], message.target))
             return
         probe = self._probe
         if probe is not None and probe.sequence == message.sequence:
@@ -255,7 +263,8 @@
         dead = [
             member
             for member in self._members.values()
-            if member.record.state is MemberState.DEAD and now - member.since < FORGET_DEAD_SECONDS
+            if member.record.state is MemberState.DEAD
+            and now - member.since < DEAD_RETRY_LIMIT_SECONDS
         ]
         if dead:
             member = self._random.choice(dead)
@@ -266,8 +275,8 @@
 
     # -- state changes ------------------------------------------------------------------------
 
-    def _on_wake(self, now: float) -> None:
-        """This process did not run: its own silence proves nothing about the others."""
+    def _on_resume(self, now: float) -> None:
+        """Restart the suspicion timers after a stall, in which no ack could be received."""
         self._probe = None
         for name in self._suspects:
             self._members[name].since = now
@@ -291,8 +300,8 @@
         if member is None:
             if record.state <= MemberState.SUSPECT:
                 self._members[record.name] = _Member(record, now)
-                self._news[record.name] = 0
-                self._note_suspect(record)
+                self._pending_updates[record.name] = 0
+                self._update_suspects(record)
         elif record.supersedes(member.record):
             self._set(member, record, now)
 
@@ -303,15 +312,15 @@
             return
         if record.incarnation >= self.own.incarnation:
             self.own = replace(self.own, incarnation=record.incarnation + 1)
-            self._news[self.own.name] = 0
+            self._pending_updates[self.own.name] = 0
 
     def _set(self, member: _Member, record: MemberRecord, now: float) -> None:
         member.record = record
         member.since = now
-        self._news[record.name] = 0
-        self._note_suspect(record)
+        self._pending_updates[record.name] = 0
+        self._update_suspects(record)
 
-    def _note_suspect(self, record: MemberRecord) -> None:
+    def _update_suspects(self, record: MemberRecord) -> None:
         if record.state is MemberState.SUSPECT:
             self._suspects[record.name] = None
         else:
@@ -320,7 +329,7 @@
     # -- sending ------------------------------------------------------------------------------
 
     def _gossip(self, out: list[Outgoing]) -> None:
-        if not self._news and not self._announce_rounds:
+        if not self._pending_updates and not self._announce_rounds:
             return
         self._announce_rounds = max(self._announce_rounds - 1, 0)
         for peer in self._pick_live(GOSSIP_FANOUT):
@@ -343,29 +352,31 @@
     def _message(
         self, kind: MessageKind, sequence: int, target: str, extra: tuple[MemberRecord, ...]
     ) -> MembershipMessage:
-        records = extra + self._take_news(MAX_RECORDS_PER_MESSAGE - len(extra))
+        records = extra + self._take_updates(MAX_RECORDS_PER_MESSAGE - len(extra))
         if kind in (MessageKind.PROBE, MessageKind.ACK) and not records:
             records = self._random_record()
         return MembershipMessage(kind, sequence, target, self.revision, self.stamp, records)
 
-    def _take_news(self, count: int) -> tuple[MemberRecord, ...]:
-        """The least often sent news first; each is sent a bounded number of times."""
-        if not self._news:
+    def _take_updates(self, count: int) -> tuple[MemberRecord, ...]:
+        """Take the least often sent updates; each is sent a bounded number of times."""
+        if not self._pending_updates:
             return ()
         limit = self._retransmit_limit()
-        chosen = sorted(self._news, key=lambda name: (self._news[name], name))[:count]
+        chosen = sorted(
+            self._pending_updates, key=lambda name: (self._pending_updates[name], name)
+        )[:count]
         records = []
         for name in chosen:
             record = self.record(name)
-            self._news[name] += 1
-            if record is None or self._news[name] >= limit:
-                del self._news[name]
+            self._pending_updates[name] += 1
+            if record is None or self._pending_updates[name] >= limit:
+                del self._pending_updates[name]
             if record is not None:
                 records.append(record)
         return tuple(records)
 
     def _random_record(self) -> tuple[MemberRecord, ...]:
-        """Anti-entropy: what was missed as news arrives sooner or later all the same."""
+        """Pick a random record as anti-entropy, so that a lost update arrives eventually."""
         if not self._members:
             return ()
         if not self._round:
--- a/src/milletcourse/wire/machines.py
+++ b/src/milletcourse/wire/machines.py
@@ -1,4 +1,4 @@
-"""Codec of machine readings."""
+"""Codec of machine list snapshots."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
     Struct,
 )
 
-from milletcourse.control.machines import MachinesReading
+from milletcourse.control.machines import MachineListSnapshot
 from milletcourse.errors import FailureError, WireError
 from milletcourse.wire.decoding import DECODE_ERRORS
 
 MAX_MACHINES = 100
-"""Keeps the datagram below one frame; more machines are rarely away at once."""
+"""Keeps a datagram within one Ethernet frame; more machines are rarely excluded at once."""
 
 _LAYOUT = Struct(
     "wall_seconds" / Float64b,
@@ -23,16 +23,16 @@
 )
 
 
-def encode_machines(reading: MachinesReading) -> bytes:
-    """Bytes of a reading; beyond `MAX_MACHINES` names the rest is left to a later reading."""
-    away = sorted(reading.away)[:MAX_MACHINES]
-    return bytes(_LAYOUT.build({"wall_seconds": reading.wall_seconds, "away": away}))
+def encode_machines(snapshot: MachineListSnapshot) -> bytes:
+    """Encode a snapshot; names beyond `MAX_MACHINES` are left to a later snapshot."""
+    excluded = sorted(snapshot.excluded)[:MAX_MACHINES]
+    return bytes(_LAYOUT.build({"wall_seconds": snapshot.wall_seconds, "away": excluded}))
 
 
-def decode_machines(body: bytes) -> MachinesReading:
-    """Parse a reading; raises `FailureError` with `WireError`."""
+def decode_machines(body: bytes) -> MachineListSnapshot:
+    """Parse a snapshot; raises `FailureError` with `WireError`."""
     try:
         parsed = _LAYOUT.parse(body)
-        return MachinesReading(parsed.wall_seconds, frozenset(parsed.away))
+        return MachineListSnapshot(parsed.wall_seconds, frozenset(parsed.away))
     except DECODE_ERRORS as error:
         raise FailureError(WireError(str(error)[:200])) from error
--- a/tests/exchange/rollout/test_lease_machine.py
+++ b/tests/exchange/rollout/test_lease_machine.py
@@ -15,7 +15,7 @@
     run_state_machine_as_test,
 )
 
-from milletcourse.control.lease import NOT_THERE, LeaseClaim, LeaseSpec, LeaseTracker
+from milletcourse.control.lease import ABSENT_REVISION, LeaseClaim, LeaseSpec, LeaseTracker
 from milletcourse.exchange.messages.store_position import StorePosition
 
 LEASE_SECONDS = 3.3
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.era = 1
-        self.held = StoredLease(None, NOT_THERE, 5)
+        self.held = StoredLease(None, ABSENT_REVISION, 5)
 
     @property
     def position(self) -> StorePosition:
@@ -191,9 +191,9 @@
 class TakesAtOnce(LeaseTracker):
     """Takes a lease that an older snapshot shows as free."""
 
-    def _may_take(self, now: float) -> bool:
-        self._returned_at = self._era_known_at = float("-inf")
-        return super()._may_take(now)
+    def _may_acquire(self, now: float) -> bool:
+        self._restored_at = self._era_known_at = float("-inf")
+        return super()._may_acquire(now)
 
 
 class CountsTokens(LeaseTracker):
--- a/tests/member_network.py
+++ b/tests/member_network.py
@@ -1,4 +1,4 @@
-"""Counted in-memory network and timeline for hundreds of members without sockets in one process."""
+"""In-memory network with virtual time and byte counts for hundreds of members in one process."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 UDP_HEADER_BYTES = 28
 """IP and UDP headers of a datagram."""
 HTTP_EXCHANGE_BYTES = 700
-"""Headers of one request and its answer on a kept connection, with TCP and IP headers."""
+"""Headers of one request and its response on a persistent connection, with TCP and IP headers."""
 SAME_PLACE_SECONDS = 0.0005
 SAME_REGION_SECONDS = 0.002
 OTHER_REGION_SECONDS = 0.05
 
-Deliver = Callable[[bytes, str], None]
+DatagramHandler = Callable[[bytes, str], None]
 
 
 class MemberNetwork:
-    """Delivers datagrams and exchanges with latency, loss and cuts, and counts their bytes."""
+    """Delivers datagrams and exchanges with latency, loss and partitions; counts their bytes."""
 
     def __init__(self, seed: int) -> None:
         self.now = 0.0
@@ -31,32 +31,32 @@
         self._random = random.Random(f"network/{seed}")
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._counter = itertools.count()
-        self._handlers: dict[str, Deliver] = {}
+        self._handlers: dict[str, DatagramHandler] = {}
         self._places: dict[str, str] = {}
-        self._cut_place = ""
+        self._partitioned_place = ""
 
-    def attach(self, address: str, place: str, deliver: Deliver) -> None:
-        """A member listens."""
-        self._handlers[address] = deliver
+    def attach(self, address: str, place: str, on_datagram: DatagramHandler) -> None:
+        """Register the datagram handler of a member."""
+        self._handlers[address] = on_datagram
         self._places[address] = place
 
     def detach(self, address: str) -> None:
-        """A member is gone."""
+        """Remove a member."""
         self._handlers.pop(address, None)
 
-    def cut(self, place: str) -> None:
-        """A place is cut off from all others; empty heals."""
-        self._cut_place = place
+    def partition(self, place: str) -> None:
+        """Partition a place from all others; an empty name heals the partition."""
+        self._partitioned_place = place
 
     def reaches(self, source: str, destination: str) -> bool:
-        """Whether the link is not cut."""
-        if not self._cut_place:
+        """Whether no partition separates two addresses."""
+        if not self._partitioned_place:
             return True
-        outside = self._cut_place
-        return (self._places[source] == outside) == (self._places[destination] == outside)
+        partitioned = self._partitioned_place
+        return (self._places[source] == partitioned) == (self._places[destination] == partitioned)
 
-    def at(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action at a time."""
+    def schedule(self, seconds: float, action: Callable[[], None]) -> None:
+        """Schedule an action at a virtual time."""
         heapq.heappush(self._queue, (seconds, next(self._counter), action))
 
     def run(self, until: float) -> None:
@@ -73,17 +73,17 @@
         if self._random.random() < self.loss or not self.reaches(source, destination):
             return
         delay = self._latency(source, destination)
-        self.at(self.now + delay, lambda: self._deliver(payload, source, destination))
+        self.schedule(self.now + delay, lambda: self._deliver(payload, source, destination))
 
     def exchange(
         self, source: str, destination: str, payload_bytes: int, action: Callable[[], None]
     ) -> bool:
-        """One request with its answer; False when the peer can't be reached."""
+        """Send a request and schedule its response; return False when the peer is unreachable."""
         if destination not in self._handlers or not self.reaches(source, destination):
             return False
         self.exchanges += 1
         self.exchange_bytes += payload_bytes + HTTP_EXCHANGE_BYTES
-        self.at(self.now + 2 * self._latency(source, destination), action)
+        self.schedule(self.now + 2 * self._latency(source, destination), action)
         return True
 
     def _deliver(self, payload: bytes, source: str, destination: str) -> None:
