--- a/src/milletcourse/cli/experiment.py
+++ b/src/milletcourse/cli/experiment.py
@@ -10,7 +10,8 @@
 import typer
 
 from milletcourse.errors import FailureError, InvalidObject
-from milletcourse.experiments.allowance_model import compare_allowances
+from milletcourse.experiments.backoff_model import compare_rests
+from milletcourse.experiments.backoff_plot import plot_rests
 from milletcourse.experiments.change_model import compare_changes
 from milletcourse.experiments.cluster_model import FarImports
 from milletcourse.experiments.containment_model import compare_containment
@@ -18,10 +19,9 @@
 from milletcourse.experiments.limit_model import compare_ways
 from milletcourse.experiments.parameters import load_deployment
 from milletcourse.experiments.report import plot, summarize, table
-from milletcourse.experiments.rest_model import compare_rests
-from milletcourse.experiments.rest_plot import plot_rests
-from milletcourse.experiments.return_model import compare_returns
 from milletcourse.experiments.run import POLICIES, ExperimentRun
+from milletcourse.experiments.server_quota_model import compare_allowances
+from milletcourse.experiments.store_restore_model import compare_returns
 
 DEFAULT_LOAD = 0.8
 
--- a/src/milletcourse/experiments/rest_plot.py
+++ b/src/milletcourse/experiments/backoff_plot.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from milletcourse.experiments.rest_model import Need, RestFigures, RestWay
+from milletcourse.experiments.backoff_model import Need, RestFigures, RestWay
 from milletcourse.reports.pyplot import load_pyplot
 
 BAR_WIDTH = 0.11
--- a/src/milletcourse/experiments/containment_model.py
+++ b/src/milletcourse/experiments/containment_model.py
@@ -18,7 +18,7 @@
 
 from milletcourse.exchange.evidence.crash_evidence import CrashEvidence
 from milletcourse.exchange.load.load_exchange import TICK_SECONDS, LoadExchange
-from milletcourse.experiments.containment_ways import Way, rule_of
+from milletcourse.experiments.containment_strategies import Way, rule_of
 
 ZONES = 3
 GATEWAYS_A_SERVER = 1.6
--- a/src/milletcourse/experiments/limit_model.py
+++ b/src/milletcourse/experiments/limit_model.py
@@ -23,7 +23,7 @@
     TenantLimit,
     TenantRecord,
 )
-from milletcourse.experiments.limit_ways import KNOWLEDGE, Way
+from milletcourse.experiments.limit_strategies import KNOWLEDGE, Way
 from milletcourse.experiments.sliding_window import window_sums
 
 TENANT = "tenant-1"
--- a/src/milletcourse/experiments/run.py
+++ b/src/milletcourse/experiments/run.py
@@ -33,7 +33,7 @@
 )
 from milletcourse.experiments.faults import CRASH_SECONDS, FaultPlan
 from milletcourse.experiments.parameters import Deployment
-from milletcourse.experiments.shipped import Shipped
+from milletcourse.experiments.production_policy import Shipped
 from milletcourse.policy.compiled import CompiledPolicy
 from milletcourse.policy.objects import ObjectKey, parse_spec
 from milletcourse.routing.parameters import RoutingParameters
--- a/src/milletcourse/experiments/allowance_model.py
+++ b/src/milletcourse/experiments/server_quota_model.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from milletcourse.experiments.allowance_ways import (
+from milletcourse.experiments.server_quota_strategies import (
     BURST_PERMITS,
     Borrower,
     EqualPart,
--- a/src/milletcourse/streams/answer_service.py
+++ b/src/milletcourse/streams/answer_service.py
@@ -39,9 +39,9 @@
     InferenceRequest,
 )
 from milletcourse.streams.crash_guard import CrashGuard
+from milletcourse.streams.idle_timeout import SilenceWatch
 from milletcourse.streams.ordered_relay import OrderedRelay, RelayCounters, RelayedToken
 from milletcourse.streams.resume_token import ResumePoint
-from milletcourse.streams.silence_watch import SilenceWatch
 
 MAX_STREAM_RESUMES = 2
 """Reconnections to the same engine before the answer moves to another one."""
--- a/tests/exchange/evidence/test_containment_model.py
+++ b/tests/exchange/evidence/test_containment_model.py
@@ -5,7 +5,7 @@
 import pytest
 
 from milletcourse.experiments.containment_model import ContainmentModel, Trouble
-from milletcourse.experiments.containment_ways import Way
+from milletcourse.experiments.containment_strategies import Way
 
 MAX_LATE_SENDS = 3
 
--- a/tests/exchange/limits/test_backoff_retry.py
+++ b/tests/exchange/limits/test_backoff_retry.py
@@ -10,7 +10,7 @@
     RANKS,
     backoff_retry_seconds,
 )
-from milletcourse.experiments.rest_model import Need, RestModel, RestWay
+from milletcourse.experiments.backoff_model import Need, RestModel, RestWay
 
 GATEWAYS = 20
 SEED = 3
--- a/tests/exchange/limits/test_quota_model.py
+++ b/tests/exchange/limits/test_quota_model.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from milletcourse.experiments.allowance_model import AllowanceModel, Trouble
-from milletcourse.experiments.allowance_ways import Way
+from milletcourse.experiments.server_quota_model import AllowanceModel, Trouble
+from milletcourse.experiments.server_quota_strategies import Way
 
 SAME_LISTS = [trouble for trouble in Trouble if trouble is not Trouble.VIEWS]
 
--- a/tests/exchange/limits/test_server_quotas.py
+++ b/tests/exchange/limits/test_server_quotas.py
@@ -53,7 +53,7 @@
     NO_LIMIT,
     read_limit,
 )
-from milletcourse.experiments.allowance_model import WINDOW_SECONDS
+from milletcourse.experiments.server_quota_model import WINDOW_SECONDS
 from milletcourse.experiments.sliding_window import most_in_window
 
 KEY = 7
--- a/tests/exchange/limits/test_tenant_limits.py
+++ b/tests/exchange/limits/test_tenant_limits.py
@@ -31,7 +31,7 @@
     TenantRecord,
 )
 from milletcourse.experiments.limit_model import LIMIT_PER_SECOND, TOLERANCE, LimitModel, Trouble
-from milletcourse.experiments.limit_ways import EqualParts, Way
+from milletcourse.experiments.limit_strategies import EqualParts, Way
 from milletcourse.platform.documents import decode_configuration
 
 RATE = 1000.0
--- a/tests/gateway/servers/test_server_limits.py
+++ b/tests/gateway/servers/test_server_limits.py
@@ -38,7 +38,7 @@
 )
 from milletcourse.cli.main import app
 from milletcourse.exchange.limits.quota_owner import PermitReply
-from milletcourse.experiments.allowance_model import WINDOW_SECONDS, borne_in_window
+from milletcourse.experiments.server_quota_model import WINDOW_SECONDS, borne_in_window
 from milletcourse.experiments.sliding_window import most_in_window
 from milletcourse.gateway.node import GatewayNode
 from milletcourse.gateway.servers.server_connection import ServerConnection
--- a/tests/soak/limit_ledger.py
+++ b/tests/soak/limit_ledger.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from milletcourse.experiments.allowance_model import WINDOW_SECONDS, borne_in_window
+from milletcourse.experiments.server_quota_model import WINDOW_SECONDS, borne_in_window
 from milletcourse.experiments.sliding_window import most_in_window
 
 KNOWN_AFTER_SECONDS = 3.0
--- a/tests/test_return_model.py
+++ b/tests/test_store_restore_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from milletcourse.experiments.return_model import WRITES_PER_SECOND, ReturnModel, ReturnWay
+from milletcourse.experiments.store_restore_model import WRITES_PER_SECOND, ReturnModel, ReturnWay
 
 LISTED_SECONDS = 2.0
 
