--- a/src/milletcourse/experiments/backoff_model.py
+++ b/src/milletcourse/experiments/backoff_model.py
@@ -45,7 +45,7 @@
 
     IGNORE_WHEN_ALL = "others first, then all the same"
     """As before: a resting server is asked when no other is left."""
-    HONOR = "heed"
+    HONOUR = "heed"
     """It isn't asked; callers come back as after any refusal."""
     PROBE = "heed, two probes"
     """It is, twice in its rest; an answer ends the rest here."""
--- a/tests/exchange/limits/test_backoff_retry.py
+++ b/tests/exchange/limits/test_backoff_retry.py
@@ -40,15 +40,15 @@
 
 def test_honouring_a_back_off_keeps_requests_from_the_servers() -> None:
     """Without it, requests are sent to servers that back off."""
-    anyway = BackoffModel(BackoffStrategy.ASK_ANYWAY, Overload.ALL, GATEWAYS, SEED).run()
-    heeded = BackoffModel(BackoffStrategy.HONOR, Overload.ALL, GATEWAYS, SEED).run()
+    anyway = BackoffModel(BackoffStrategy.IGNORE_WHEN_ALL, Overload.ALL, GATEWAYS, SEED).run()
+    heeded = BackoffModel(BackoffStrategy.HONOUR, Overload.ALL, GATEWAYS, SEED).run()
     assert heeded.sent_in_a_rest == 0 < anyway.sent_in_a_rest
     assert heeded.turned_away < 0.5 * anyway.turned_away
 
 
 def test_spread_retries_serve_as_many_requests() -> None:
     """This is for servers whose back-off ends after a fixed time."""
-    heeded = BackoffModel(BackoffStrategy.HONOR, Overload.ALL, 79, SEED).run()
+    heeded = BackoffModel(BackoffStrategy.HONOUR, Overload.ALL, 79, SEED).run()
     spread = BackoffModel(BackoffStrategy.SPREAD_RETRIES, Overload.ALL, 79, SEED).run()
     assert spread.served >= heeded.served
 
--- a/tests/exchange/limits/test_tenant_limits.py
+++ b/tests/exchange/limits/test_tenant_limits.py
@@ -15,7 +15,7 @@
 
 from gateway_harness import Harness, run_with_gateway
 from gateway_standin import ReceivedRequest, StandinServer, answer, configuration, serve_whole
-from milletcourse.cli.experiment import read_sizes
+from milletcourse.cli.experiment import parse_sizes
 from milletcourse.errors import FailureError
 from milletcourse.exchange.counting.recent_use import RATE_WINDOW_SECONDS, RecentUse
 from milletcourse.exchange.limits.peer_usage import SummedPeerUsage, UsageSource
@@ -375,9 +375,9 @@
 def test_malformed_sizes_are_refused_with_what_is_allowed(text: str) -> None:
     """The failure is typed, and the command line shows it in one line."""
     with pytest.raises(FailureError) as caught:
-        read_sizes(text)
+        parse_sizes(text)
     assert caught.value.failure.code == "invalid-object"
-    assert read_sizes("8, 79") == [8, 79]
+    assert parse_sizes("8, 79") == [8, 79]
 
 
 # -- the platform's configuration, and a whole gateway ------------------------------------------
