--- a/src/milletcourse/backends/app_client.py
+++ b/src/milletcourse/backends/app_client.py
@@ -1,4 +1,4 @@
-"""Client of the applications: the only module that knows how they are called."""
+"""Client of application servers; the only module that implements their protocol."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppAnswer:
-    """An application's answer."""
+    """Response of an application."""
 
     status: int
     content_type: str
@@ -26,7 +26,7 @@
         self._client = client
 
     async def read(self, address: str, path: str, timeout_seconds: float) -> AppAnswer:
-        """A read, which may be repeated.
+        """Send a read, which may be retried.
 
         Raises:
             FailureError: `BackendUnreachable` or `BackendLost`.
@@ -43,7 +43,7 @@
         key: str,
         timeout_seconds: float,
     ) -> AppAnswer:
-        """A write, sent exactly once on a connection of its own.
+        """Send a write exactly once, on a dedicated connection.
 
         Raises:
             FailureError: `BackendUnreachable` when no byte was sent, `BackendLost` otherwise.
@@ -55,7 +55,7 @@
     async def read_operation(
         self, address: str, key: str, timeout_seconds: float
     ) -> AppAnswer | None:
-        """Outcome of an operation, None when the application does not show one."""
+        """Outcome of an operation; None if the application does not report one."""
         try:
             answer = await self.read(address, f"/operations/{key}", timeout_seconds)
         except FailureError:
--- a/src/milletcourse/backends/engine_client.py
+++ b/src/milletcourse/backends/engine_client.py
@@ -1,4 +1,4 @@
-"""Client of the engine protocol: the only module that knows its paths."""
+"""Client of the engine protocol; the only module that contains its paths."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 
 HEAD_TIMEOUT_SECONDS = 5.0
-"""An engine answers the head before it computes."""
+"""An engine sends the response head before it starts to compute."""
 CONTROL_TIMEOUT_SECONDS = 2.0
 ORDER_TIMEOUT_SECONDS = 30.0
 EVENT_END = b"\n\n"
@@ -43,7 +43,7 @@
         self.incarnation = response.headers.get(INCARNATION_HEADER, "")
 
     async def batches(self) -> AsyncIterator[list[EngineToken]]:
-        """Events as they arrive, several at a time when they come together.
+        """Yield events as they arrive, in batches.
 
         Raises:
             FailureError: `BackendLost`.
@@ -60,14 +60,16 @@
                 if tokens:
                     yield tokens
         except msgspec.DecodeError as error:
-            raise FailureError(BackendLost("unreadable stream event")) from error
+            raise FailureError(
+                BackendLost("the stream contains an event that cannot be decoded")
+            ) from error
 
     def abort(self) -> None:
         """Make a pending read fail."""
         self._response.abort()
 
     async def close(self) -> None:
-        """Give up the stream."""
+        """Close the stream."""
         await self._response.close()
 
 
@@ -89,7 +91,7 @@
     async def resume(
         self, address: str, request_id: str, attempt: int, offset: int
     ) -> EngineStream:
-        """Continue reading an answer that the engine still keeps; raises like `complete`."""
+        """Continue reading an answer that the engine still holds; raises like `complete`."""
         path = f"/v1/streams/{request_id}?attempt={attempt}&offset={offset}"
         return await self._open(json_request("GET", address, path))
 
@@ -102,34 +104,34 @@
         return EngineStream(response)
 
     async def cancel(self, address: str, request_id: str) -> None:
-        """Cancel an answer; failures don't matter, the engine cancels unread streams itself."""
+        """Cancel an answer; failures are ignored, since engines cancel unread streams anyway."""
         try:
             await self._control(json_request("POST", address, f"/v1/streams/{request_id}/cancel"))
         except FailureError:
             return
 
     async def feed(self, address: str, after: int) -> EngineFeed:
-        """Load and cache events from a sequence number on."""
+        """Fetch the load report and the cache events starting at a sequence number."""
         body = await self._control(json_request("GET", address, f"/v1/feed?after={after}"))
         return msgspec.json.decode(body, type=EngineFeed)
 
     async def cached_blocks(self, address: str) -> tuple[BlockHash, ...]:
-        """All blocks that the engine holds, to resynchronise after a gap."""
+        """List all blocks that the engine holds, to resynchronise after a gap in its events."""
         body = await self._control(json_request("GET", address, "/v1/blocks"))
         keys = msgspec.json.decode(body, type=KvKeys)
         return tuple(bytes.fromhex(block) for block in keys.blocks)
 
     async def export(self, address: str, store: str, blocks: tuple[BlockHash, ...]) -> None:
-        """Order an export to a KV store."""
+        """Request an export of blocks to a KV store."""
         order = KvExport(store, tuple(block.hex() for block in blocks))
         request = json_request("POST", address, "/v1/kv/export", order)
         await self._control(request, ORDER_TIMEOUT_SECONDS)
 
     async def order(self, address: str, order: EngineOrder) -> None:
-        """Give a fenced order.
+        """Send a fenced order.
 
         Raises:
-            FailureError: `BackendRefused` with status 409 when the fencing token is spent.
+            FailureError: `BackendRefused` with status 409 when the fencing token is stale.
         """
         request = json_request("POST", address, "/v1/orders", order)
         await self._control(request, ORDER_TIMEOUT_SECONDS)
--- a/src/milletcourse/backends/platform_messages.py
+++ b/src/milletcourse/backends/platform_messages.py
@@ -15,8 +15,8 @@
 
     Attributes:
         spec: New spec, None to delete.
-        expected_version: Version the writer read; 0 when the object must not exist.
-        change_id: Chosen by the writer, so that a lost answer can be settled by reading back.
+        expected_version: Version that the writer read; 0 if the object must not exist.
+        change_id: Chosen by the writer; reading it back resolves a lost answer.
     """
 
     spec: dict[str, Any] | None
@@ -54,14 +54,14 @@
 
 
 class WatchLine(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One line of a watch: a change, or a bookmark that only states the revision."""
+    """One line of a watch: a change, or a bookmark that carries only the revision."""
 
     revision: int
     change: ObjectChange | None = None
 
 
 class MachineState(StrEnum):
-    """State of a machine in the platform's lagging list."""
+    """State of a machine in the platform's list, which may be out of date."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -69,13 +69,13 @@
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """One machine of the platform's list."""
+    """An entry of the platform's list of machines."""
 
     name: str
     state: MachineState
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """The platform's list of machines, which lags."""
+    """The platform's list of machines, which may be out of date."""
 
     machines: tuple[Machine, ...]
--- a/src/milletcourse/benchmarks/__init__.py
+++ b/src/milletcourse/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Micro-benchmarks of the router's own work."""
+"""Micro-benchmarks of the router's overhead."""
--- a/src/milletcourse/benchmarks/decision.py
+++ b/src/milletcourse/benchmarks/decision.py
@@ -18,7 +18,7 @@
 from milletcourse.routing.selector import EngineSelector, RoutingRequest
 
 SHARED_SHARE = 0.6
-"""Part of each prompt that other prompts share."""
+"""Share of each prompt's blocks that it has in common with other prompts."""
 SHARED_PREFIXES = 40
 DECISIONS = 2000
 REPETITIONS = 5
@@ -39,7 +39,7 @@
 
 
 def measure_decision(engines: int, blocks: int) -> DecisionTime:
-    """Decide for many prompts, feeding each decision back as a router does."""
+    """Select engines for many prompts and report each result back, as a router does."""
     selector, request_for = _setup(engines, blocks)
     times = []
     for repetition in range(REPETITIONS):
@@ -81,14 +81,14 @@
 
 
 class RequestFactory:
-    """Prompts that share a prefix with others."""
+    """Builds requests whose prompts share prefixes."""
 
     def __init__(self, policy: CompiledPolicy, blocks: int) -> None:
         self._permission = policy.permit(RequestFacts("t", "m")).unwrap()
         self._blocks = blocks
 
     def __call__(self, number: int) -> RoutingRequest:
-        """The request of a number."""
+        """The request with the given number."""
         shared = int(self._blocks * SHARED_SHARE)
         prefix = number * 7919 % SHARED_PREFIXES
         hashes = tuple(
--- a/src/milletcourse/benchmarks/relay.py
+++ b/src/milletcourse/benchmarks/relay.py
@@ -1,7 +1,7 @@
 """Tokens per second through a router over loopback TCP, against a direct connection.
 
-Client, router and engine share one process and one loop here, so the router's own processor time is
-taken from the difference of the two runs.
+Client, router and engine share one process and one event loop, so the CPU time of the router is the
+difference between the routed run and the direct run.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
 
 class RelayFigures(msgspec.Struct, frozen=True):
-    """Figures of one benchmark run.
+    """Results of one benchmark run.
 
     Attributes:
         direct_tokens_per_second: Without a router.
         routed_tokens_per_second: Through one router.
-        router_microseconds_per_token: Added processor time for each token.
-        router_core_fraction: Added processor time by elapsed time of the routed run.
+        router_microseconds_per_token: Additional CPU time per token.
+        router_core_fraction: Additional CPU time divided by the duration of the routed run.
         direct_first_token_p95_seconds: Time to first token without a router.
         routed_first_token_p95_seconds: Time to first token through one router.
-        first_token_ratio: The second by the first.
+        first_token_ratio: Routed time to first token divided by the direct one.
     """
 
     direct_tokens_per_second: float
--- a/src/milletcourse/cli/admin_client.py
+++ b/src/milletcourse/cli/admin_client.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: calls of the administration API."""
+"""Client of the administration API, shared by the operator commands."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
         self._client = client
 
     async def call(self, method: str, path: str, document: object = None) -> tuple[int, Any]:
-        """Status and decoded body; raises FailureError when the router is away."""
+        """Status and decoded body; raises FailureError if the router is unreachable."""
         request = json_request(method, self._router, path, document, self._headers)
         status, body = await send_for_body(self._client, request, ADMIN_TIMEOUT_SECONDS)
         return status, msgspec.json.decode(body)
 
     async def expect(self, method: str, path: str, document: object = None) -> Any:
-        """Body of a successful answer; raises FailureError for any other."""
+        """Body of a successful response; raises FailureError for any other status."""
         status, body = await self.call(method, path, document)
         if status != 200:
             raise FailureError(refusal(status, body))
@@ -60,14 +60,14 @@
 
 
 def refusal(status: int, body: Any) -> BackendRefused:
-    """A refusal of the API as a typed failure."""
+    """Convert an error response of the API to a typed failure."""
     problem = msgspec.convert(body, Problem)
     text = f"{problem.type.rpartition(':')[2]} run_state={problem.run_state} {problem.detail}"
     return BackendRefused(text, None, status)
 
 
 def with_admin(router: str, key: str, work: Callable[[AdminClient], Awaitable[T]]) -> T:
-    """Run work against a router's API."""
+    """Run a coroutine with a client of a router's administration API."""
     if not router:
         raise FailureError(InvalidObject("router", None, "router", "", "host:port of a router"))
 
--- a/src/milletcourse/cli/bench.py
+++ b/src/milletcourse/cli/bench.py
@@ -14,7 +14,7 @@
 from milletcourse.logs import configure_logs
 
 app = typer.Typer(
-    help="Measure the router's own work on this machine.",
+    help="Measure the overhead of the router on this machine.",
     no_args_is_help=True,
     rich_markup_mode=None,
 )
@@ -25,7 +25,7 @@
     engines: Annotated[str, typer.Option(help="Numbers of engines.")] = "15,1700",
     blocks: Annotated[str, typer.Option(help="Prompt lengths in blocks.")] = "10,60",
 ) -> None:
-    """Microseconds a routing decision takes, with its feedback."""
+    """Measure the microseconds per routing decision, including its feedback."""
     for length in blocks.split(","):
         for count in engines.split(","):
             row = measure_decision(int(count), int(length))
@@ -34,7 +34,7 @@
 
 @app.command("relay")
 def relay() -> None:
-    """Tokens a second through a router over loopback, against a direct connection."""
+    """Measure tokens per second through a router over loopback and over a direct connection."""
     configure_logs("error")
     figures = uvloop.run(measure_relay())
     sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
--- a/src/milletcourse/cli/configuration.py
+++ b/src/milletcourse/cli/configuration.py
@@ -88,10 +88,11 @@
     router: RouterOption = "",
     key: KeyOption = "",
     wait: Annotated[
-        bool, typer.Option("--wait", help="Return when the change is in force everywhere.")
+        bool, typer.Option("--wait", help="Wait until the change is in force at all routers.")
     ] = False,
     dry_run: Annotated[
-        bool, typer.Option("--dry-run", help="Only show which back ends workloads gain or lose.")
+        bool,
+        typer.Option("--dry-run", help="Only show which back ends each workload gains or loses."),
     ] = False,
 ) -> None:
     """Compare-and-set the objects of a file that differ from those in force."""
@@ -129,7 +130,7 @@
 async def _put(
     admin: AdminClient, document: ObjectDocument, version: int, dry_run: bool
 ) -> dict[str, Any]:
-    """One change; the same change id is sent again when its answer is unknown."""
+    """Submit one change; its change id stays the same if the request is sent again."""
     body = {
         "spec": document.spec,
         "version": version,
@@ -153,4 +154,6 @@
         await asyncio.sleep(WAIT_POLL_SECONDS)
         waited_seconds += WAIT_POLL_SECONDS
     lagging = ", ".join(rollout["lagging"] + rollout["unreachable"])
-    raise FailureError(ChangeUnknown(f"revision {revision} is accepted but lags at {lagging}"))
+    raise FailureError(
+        ChangeUnknown(f"revision {revision} is accepted but not yet in force at {lagging}")
+    )
--- a/src/milletcourse/cli/demo.py
+++ b/src/milletcourse/cli/demo.py
@@ -1,4 +1,4 @@
-"""`milletcourse demo`: the whole path in one process over loopback."""
+"""`milletcourse demo`: an end-to-end deployment in one process over loopback."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class DemoSummary(msgspec.Struct, frozen=True):
-    """What the demo did."""
+    """Summary of the demo's traffic."""
 
     served: int
     streamed: int
@@ -47,7 +47,7 @@
 def run_demo(
     serve: Annotated[bool, typer.Option(help="Keep running after the summary.")] = False,
 ) -> None:
-    """Start stand-ins and two routers on loopback, send real traffic, print a summary."""
+    """Start stand-ins and two routers on loopback, send traffic and print a summary."""
     configure_logs("error")
     sys.exit(asyncio.run(_demo(serve)))
 
@@ -125,7 +125,7 @@
 
 
 async def _swap_twice(session: aiohttp.ClientSession, cluster: EmbeddedCluster) -> int:
-    """Send the same swap through both routers; returns how often the application ran it."""
+    """Send the same swap through both routers; returns its number of executions."""
     await asyncio.sleep(2.0)
     key = mint_key(LoopClock().wall(), random.Random())
     headers = {"Authorization": f"Bearer {TENANT_KEYS['nurses']}", "Idempotency-Key": key}
@@ -137,7 +137,7 @@
 
 
 async def _refused(session: aiohttp.ClientSession, address: str) -> dict[str, Any]:
-    """An operator's key matches no workload."""
+    """Send a request that is refused: an operator's key matches no workload."""
     headers = {"Authorization": f"Bearer {OPERATOR_KEY}"}
     body = {"model": MODEL, "prompt": "hello"}
     url = f"http://{address}/v1/completions"
--- a/src/milletcourse/cli/experiment.py
+++ b/src/milletcourse/cli/experiment.py
@@ -26,20 +26,22 @@
 DEFAULT_LOAD = 0.8
 
 app = typer.Typer(
-    help="Compare routing policies on equal arrivals.", no_args_is_help=True, rich_markup_mode=None
+    help="Compare strategies and routing policies on identical arrivals.",
+    no_args_is_help=True,
+    rich_markup_mode=None,
 )
 
 
 @app.callback()
 def _group() -> None:
-    """Compare routing policies on equal arrivals."""
+    """Compare strategies and routing policies on identical arrivals."""
 
 
 def parse_sizes(text: str) -> list[int]:
-    """Numbers of gateways, separated by commas.
+    """Parse positive integers, separated by commas.
 
     Raises:
-        FailureError: `InvalidObject` when one is no whole number above 0.
+        FailureError: `InvalidObject` when an item is not a whole number above 0.
     """
     sizes = [item.strip() for item in text.split(",")]
     if not all(size.isdigit() and int(size) > 0 for size in sizes):
@@ -50,18 +52,20 @@
 @app.command("limits")
 def limits(
     gateways: Annotated[str, typer.Option(help="Numbers of gateways.")] = "8,79",
-    seed: Annotated[int, typer.Option(help="Of the requests, the same for each way.")] = 1,
+    seed: Annotated[
+        int, typer.Option(help="Seed of the requests, the same for each strategy.")
+    ] = 1,
 ) -> None:
-    """Ways to keep a tenant's limit over many gateways, on the same requests."""
+    """Compare strategies that enforce a tenant's limit across many gateways."""
     for figures in compare_limit_strategies(parse_sizes(gateways), seed):
         sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
 
 
 @app.command("changes")
 def changes(
-    seed: Annotated[int, typer.Option(help="Of all that is random.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of all random draws.")] = 1,
 ) -> None:
-    """Ways to tell gateways a changed configuration, over links of a given width."""
+    """Compare strategies that distribute configuration changes over links of given bandwidth."""
     for figures in compare_changes(seed):
         sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
 
@@ -69,10 +73,12 @@
 @app.command("allowances")
 def allowances(
     gateways: Annotated[str, typer.Option(help="Numbers of gateways.")] = "5,79",
-    per_second: Annotated[str, typer.Option(help="Limits in requests a second.")] = "1,8",
-    seed: Annotated[int, typer.Option(help="Of the requests, the same for each way.")] = 1,
+    per_second: Annotated[str, typer.Option(help="Limits in requests per second.")] = "1,8",
+    seed: Annotated[
+        int, typer.Option(help="Seed of the requests, the same for each strategy.")
+    ] = 1,
 ) -> None:
-    """Ways to keep to the limit that a server names, on the same requests."""
+    """Compare strategies that enforce a limit announced by a server."""
     for figures in compare_server_quotas(parse_sizes(gateways), parse_sizes(per_second), seed):
         sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
 
@@ -80,10 +86,12 @@
 @app.command("rests")
 def rests(
     gateways: Annotated[str, typer.Option(help="Numbers of gateways.")] = "5,79",
-    seed: Annotated[int, typer.Option(help="Of the requests, the same for each way.")] = 1,
+    seed: Annotated[
+        int, typer.Option(help="Seed of the requests, the same for each strategy.")
+    ] = 1,
     out: Annotated[Path | None, typer.Option(help="Directory for a PNG plot.")] = None,
 ) -> None:
-    """Ways to treat servers that ask for rest, and the callers that they can't serve meanwhile."""
+    """Compare strategies for servers that request a back-off, and for the requests they refuse."""
     figures = compare_backoffs(parse_sizes(gateways), seed)
     for item in figures:
         sys.stdout.write(msgspec.json.encode(item).decode() + "\n")
@@ -94,9 +102,11 @@
 @app.command("returns")
 def returns(
     gateways: Annotated[str, typer.Option(help="Numbers of gateways.")] = "5,79",
-    seed: Annotated[int, typer.Option(help="Of all that is random, the same for each way.")] = 1,
+    seed: Annotated[
+        int, typer.Option(help="Seed of all random draws, the same for each strategy.")
+    ] = 1,
 ) -> None:
-    """Ways to go on after the object store has come back from an older copy, and their calls."""
+    """Compare strategies of recovery after the object store was restored from an older snapshot."""
     for figures in compare_store_restores(parse_sizes(gateways), seed):
         sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
 
@@ -104,10 +114,12 @@
 @app.command("containment")
 def containment(
     gateways: Annotated[str, typer.Option(help="Numbers of gateways.")] = "8,79",
-    crashing: Annotated[str, typer.Option(help="Numbers of requests that end servers.")] = "1,5",
-    seed: Annotated[int, typer.Option(help="Of all that is random, the same for each way.")] = 1,
+    crashing: Annotated[str, typer.Option(help="Numbers of requests that crash servers.")] = "1,5",
+    seed: Annotated[
+        int, typer.Option(help="Seed of all random draws, the same for each strategy.")
+    ] = 1,
 ) -> None:
-    """Ways to contain requests that end the servers that run them."""
+    """Compare strategies that contain requests which crash the servers that run them."""
     for figures in compare_containment(parse_sizes(gateways), parse_sizes(crashing), seed):
         sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
 
@@ -120,11 +132,13 @@
     load: Annotated[
         float, typer.Option(min=0.01, help="Arrival rate relative to the file's rates.")
     ] = DEFAULT_LOAD,
-    policies: Annotated[str, typer.Option(help="Only these, separated by commas.")] = "",
+    policies: Annotated[
+        str, typer.Option(help="Policies to run, separated by commas; default all.")
+    ] = "",
     json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
     out: Annotated[Path | None, typer.Option(help="Directory for PNG plots.")] = None,
 ) -> None:
-    """Run each policy on the same arrivals, permissions and engine model."""
+    """Run each routing policy on the same arrivals, permissions and engine model."""
     if faults not in PLANS:
         raise FailureError(InvalidObject(faults, None, "faults", faults, ", ".join(PLANS)))
     names = policies.split(",") if policies else list(POLICIES)
@@ -159,11 +173,13 @@
 @app.command("far-imports")
 def far_imports(
     deployment: Annotated[str, typer.Option(help="roster-desk or whitcombe.")],
-    latencies: Annotated[str, typer.Option(help="Milliseconds between places.")] = "1,10,30,100",
+    latencies: Annotated[
+        str, typer.Option(help="Latencies between places in milliseconds.")
+    ] = "1,10,30,100",
     seeds: Annotated[int, typer.Option(min=1, help="Number of seeds; medians are shown.")] = 5,
     load: Annotated[float, typer.Option(min=0.01, help="Arrival rate.")] = DEFAULT_LOAD,
 ) -> None:
-    """Compare what engines do with blocks that only a store in another place has."""
+    """Compare strategies for importing blocks that only a store in another place holds."""
     loaded = load_deployment(deployment)
     for milliseconds in latencies.split(","):
         rows: dict[str, Any] = {}
--- a/src/milletcourse/cli/explain.py
+++ b/src/milletcourse/cli/explain.py
@@ -20,9 +20,9 @@
 
 
 def run_explain(
-    tenant: Annotated[str, typer.Option(help="Tenant that asks.")],
-    model: Annotated[str, typer.Option(help="Model asked for.")] = "",
-    application: Annotated[str, typer.Option(help="Application asked for.")] = "",
+    tenant: Annotated[str, typer.Option(help="Tenant of the request.")],
+    model: Annotated[str, typer.Option(help="Requested model.")] = "",
+    application: Annotated[str, typer.Option(help="Requested application.")] = "",
     request_class: Annotated[str, typer.Option("--class", help="Request class.")] = "default",
     file: Annotated[
         Path | None, typer.Option(help="Explain a file of objects offline instead of a router.")
@@ -30,7 +30,7 @@
     router: RouterOption = "",
     key: KeyOption = "",
 ) -> None:
-    """Say for a tenant's request, engine by engine, whether it is permitted and why not."""
+    """Show for each engine whether a tenant's request is permitted, and the reason if not."""
     facts = RequestFacts(tenant, model, application, request_class)
     explanation = _offline(file, facts) if file else _online(facts, router, key)
     sys.stdout.write(f"workload      {explanation.workload}\n")
--- a/src/milletcourse/cli/explain_losses.py
+++ b/src/milletcourse/cli/explain_losses.py
@@ -1,4 +1,4 @@
-"""`milletcourse explain-losses`: where service was lost, from the gateways' own logs."""
+"""`milletcourse explain-losses`: lost service, computed from the logs of the gateways."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 def explain_losses(
     as_json: Annotated[bool, typer.Option("--json", help="Print the report as JSON.")] = False,
     plot: Annotated[
-        Path | None, typer.Option(help="Draw the moments into this PNG file (extra `plots`).")
+        Path | None,
+        typer.Option(help="Write a plot of the losses over time to this PNG file (extra `plots`)."),
     ] = None,
 ) -> None:
-    """Add up the logs of all gateways on standard input.
+    """Summarise the logs of all gateways, read from standard input.
 
-    Lines may carry other text before the JSON object, and come in any order. The exit code is 1
-    when no gateway tells how its requests ended.
+    Lines may have a prefix before the JSON object and may be in any order. The exit code is 1 if no
+    line reports how requests ended.
     """
     report = loss_report(sys.stdin)
     if as_json:
@@ -33,16 +34,16 @@
     if plot is not None:
         _draw(report, plot)
     if not report.moments:
-        typer.echo("no line tells how requests ended", err=True)
+        typer.echo("no line reports how requests ended", err=True)
         raise typer.Exit(1)
 
 
 def _draw(report: LossReport, path: Path) -> None:
-    """A stacked bar of the losses of each moment."""
+    """Draw a stacked bar chart of the losses in each interval."""
     try:
         pyplot = load_pyplot("plot", path)
     except FailureError as error:
-        typer.echo("drawing needs matplotlib: pip install 'milletcourse[plots]'", err=True)
+        typer.echo("plots require matplotlib: pip install 'milletcourse[plots]'", err=True)
         raise typer.Exit(2) from error
     starts = [moment.start for moment in report.moments]
     names = sorted({name for moment in report.moments for name in moment.ends} - {"in-time"})
--- a/src/milletcourse/cli/explain_request.py
+++ b/src/milletcourse/cli/explain_request.py
@@ -1,4 +1,4 @@
-"""`milletcourse explain-request`: what gateways' logs say of one request."""
+"""`milletcourse explain-request`: the history of one request, from the logs of the gateways."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
         "stopping",
     }
 )
-"""Events that change what a gateway believes; the latest of each is shown beside the request."""
+"""Events that change the cached state of a gateway; the latest of each precedes the request."""
 
 
 def explain_request(
-    request_id: Annotated[str, typer.Argument(help="Identity of the request.")],
+    request_id: Annotated[str, typer.Argument(help="Id of the request.")],
 ) -> None:
-    """Gather a request's lines from the logs on standard input, in order, with the belief behind.
+    """Print a request's log lines from standard input in order, with the state of each gateway.
 
-    Lines may carry other text before the JSON object. The exit code is 1 when no line tells of the
+    Lines may have a prefix before the JSON object. The exit code is 1 if no line concerns the
     request; successes and frequent events are logged at a bounded rate.
     """
     found = list(explain_lines(sys.stdin, request_id))
     if not found:
-        typer.echo(f"no line tells of request {request_id}", err=True)
+        typer.echo(f"no line concerns request {request_id}", err=True)
         raise typer.Exit(1)
     for line in found:
         typer.echo(line)
 
 
 def explain_lines(lines: Iterable[str], request_id: str) -> Iterator[str]:
-    """The lines of one request in order of time, each node's belief before its first line."""
+    """The lines of one request in order of time, preceded by the known state of each node."""
     documents = sorted(
         read_documents(lines), key=lambda document: str(document.get("timestamp", ""))
     )
--- a/src/milletcourse/cli/limits.py
+++ b/src/milletcourse/cli/limits.py
@@ -1,4 +1,4 @@
-"""`milletcourse limits`: bounds that all gateways keep together, as one of them knows them."""
+"""`milletcourse limits`: limits shared by all gateways, as known to one of them."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 def list_limits(gateway: GatewayOption) -> None:
-    """One JSON line for each limit that a server names, and for each tenant's.
+    """Print one JSON line for each limit announced by a server and for each tenant limit.
 
-    A server's: what it takes, how long ago it said so, which gateway lends it. A tenant's: units a
-    second, what all gateways spend, this one's part, the part of all gateways that it hears.
+    A server limit: its rate, the time since it was announced, the gateway that owns its quota. A
+    tenant limit: units per second, the usage of all gateways, the usage of this gateway, and the
+    share of the gateways whose usage is known.
     """
     body = asyncio.run(call_gateway("GET", gateway, LIMITS_PATH, 200))
     shown = msgspec.json.decode(body, type=ShownLimits)
--- a/src/milletcourse/cli/main.py
+++ b/src/milletcourse/cli/main.py
@@ -28,7 +28,7 @@
 from milletcourse.errors import FailureError, InvalidObject
 
 UsageError: Any = typer.BadParameter.__bases__[0]
-"""Base of all errors in arguments; typer does not export it."""
+"""Base class of all argument errors; typer does not export it."""
 EXIT_REFUSED = 1
 EXIT_USAGE = 2
 
@@ -57,7 +57,7 @@
 
 
 def run() -> None:
-    """Run the command line; failures end with one typed line and a telling exit code."""
+    """Run the command line; a failure prints one typed line and sets a nonzero exit code."""
     try:
         result = app(standalone_mode=False)
     except FailureError as error:
--- a/src/milletcourse/cli/mechanisms.py
+++ b/src/milletcourse/cli/mechanisms.py
@@ -1,4 +1,4 @@
-"""`milletcourse mechanisms`: what a gateway can be run without."""
+"""`milletcourse mechanisms`: optional mechanisms of a gateway."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def list_mechanisms() -> None:
-    """List the mechanisms that `--without=NAME` switches off, with what each of them does."""
+    """List the mechanisms that `--without=NAME` disables, with a description of each."""
     for mechanism in Mechanism:
         typer.echo(f"{mechanism.label:20} {mechanism.description}")
--- a/src/milletcourse/cli/operator_port.py
+++ b/src/milletcourse/cli/operator_port.py
@@ -21,16 +21,16 @@
 
 
 async def call_gateway(method: str, gateway: str, path: str, expected_status: int) -> bytes:
-    """Body of the answer to a call.
+    """Call a gateway's operator port and return the response body.
 
     Args:
         method: HTTP method.
         gateway: `host:port` of the operator port.
-        path: What is asked for.
-        expected_status: Status of a success.
+        path: Path of the request.
+        expected_status: Status of a successful response.
 
     Raises:
-        FailureError: `BackendRefused` for another status, or what the client raises.
+        FailureError: `BackendRefused` for another status, or any failure raised by the client.
     """
     client = AiohttpClient()
     try:
--- a/src/milletcourse/cli/router.py
+++ b/src/milletcourse/cli/router.py
@@ -32,14 +32,15 @@
         list[str] | None, typer.Option(help="HTTP host:port of another router; repeatable.")
     ] = None,
     cluster_key: Annotated[
-        str | None, typer.Option(help="Secret shared by all routers; better set by environment.")
+        str | None,
+        typer.Option(help="Secret shared by all routers; prefer the environment variable."),
     ] = None,
     log_level: Annotated[str | None, typer.Option(help="debug, info, warning or error.")] = None,
 ) -> None:
     """Run one router until SIGTERM.
 
-    Settings come from the file, then MILLETCOURSE_* variables, then flags. One JSON line on
-    standard output says when the router serves, and where.
+    Flags override MILLETCOURSE_* variables, which override the file. One JSON line on standard
+    output reports the addresses once the router is ready.
     """
     flags = {
         "name": name,
--- a/src/milletcourse/cli/signals.py
+++ b/src/milletcourse/cli/signals.py
@@ -1,4 +1,4 @@
-"""`milletcourse signals`: servers that leave or rest by their own word, as a gateway knows them."""
+"""`milletcourse signals`: servers that are draining or backing off, as known to one gateway."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def list_signals(gateway: GatewayOption) -> None:
-    """One JSON line for each server that leaves or rests.
+    """Print one JSON line for each server that reports that it is draining or backing off.
 
-    Who told it, how long ago, until when it holds, and how many requests of this gateway it kept
-    away. Limits of requests are listed by `milletcourse limits`.
+    Shows the source of the signal, its age, the time left, and the number of requests that this
+    gateway did not send because of it. `milletcourse limits` lists request limits.
     """
     body = asyncio.run(call_gateway("GET", gateway, SIGNALS_PATH, 200))
     for item in msgspec.json.decode(body, type=list[ServerSignalState]):
--- a/src/milletcourse/cli/simulate.py
+++ b/src/milletcourse/cli/simulate.py
@@ -22,13 +22,14 @@
     seed: Annotated[int, typer.Option(help="Seed of a single run.")] = 1,
     seeds: Annotated[str, typer.Option(help="Range of seeds FIRST:LAST.")] = "",
     list_scenarios: Annotated[
-        bool, typer.Option("--list", help="Name the scenarios and what each proves.")
+        bool,
+        typer.Option("--list", help="List the scenarios and the invariant that each verifies."),
     ] = False,
     trace: Annotated[bool, typer.Option(help="Print the trace to standard error.")] = False,
 ) -> None:
-    """Run whole clusters on a virtual clock under faults and check the invariants.
+    """Simulate clusters with faults on a virtual clock and check the invariants.
 
-    Prints one JSON line a run; the exit code is 1 when an invariant was broken.
+    Prints one JSON line per run; the exit code is 1 if an invariant was violated.
     """
     if list_scenarios or not scenario:
         for item in SCENARIOS.values():
--- a/src/milletcourse/cli/standin.py
+++ b/src/milletcourse/cli/standin.py
@@ -1,4 +1,4 @@
-"""`milletcourse standin ...`: the outside systems as small deterministic servers."""
+"""`milletcourse standin ...`: deterministic stand-ins of the external systems."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 DEFAULT_LOAD_SECONDS = 0.5
 
 app = typer.Typer(
-    help="Run a stand-in of an outside system until SIGTERM.",
+    help="Run a stand-in of an external system until SIGTERM.",
     no_args_is_help=True,
     rich_markup_mode=None,
 )
@@ -63,7 +63,7 @@
         Path | None, typer.Option(help="TOML file with initial policy objects.")
     ] = None,
 ) -> None:
-    """The object API with versions, watches, leases and the machine list."""
+    """Run the object API with versions, watches, leases and the list of machines."""
     documents = load_objects(objects) if objects is not None else ()
 
     def build() -> PlatformServer:
@@ -84,9 +84,11 @@
     ] = None,
     weight_store: Annotated[str, typer.Option(help="host:port of the weight store.")] = "",
     capacity_blocks: Annotated[int, typer.Option(help="KV blocks of 1,024 tokens.")] = 512,
-    prefill_tokens_per_second: Annotated[float, typer.Option(help="Prompt speed.")] = 12_000.0,
+    prefill_tokens_per_second: Annotated[
+        float, typer.Option(help="Prefill speed in tokens per second.")
+    ] = 12_000.0,
 ) -> None:
-    """A model engine with continuous batching and a prefix cache."""
+    """Run a model engine with continuous batching and a prefix cache."""
     models = dict(_model_version(item) for item in model or [])
     profile = EngineProfile(
         capacity_blocks=capacity_blocks, prefill_tokens_per_second=prefill_tokens_per_second
@@ -103,7 +105,7 @@
 
 @app.command("kv-store")
 def run_kv_store(host: Host = "127.0.0.1", port: Port = 0, name: Name = "kv-store") -> None:
-    """A store of exported KV cache blocks."""
+    """Run a store of exported KV cache blocks."""
     _run("kv-store", name, lambda: KvStoreServer(host, port))
 
 
@@ -113,14 +115,14 @@
     port: Port = 0,
     name: Name = "weight-store",
     load_seconds: Annotated[
-        float, typer.Option(help="Time of one load when the store is not crowded.")
+        float, typer.Option(help="Seconds per load while the store is not rate-limiting.")
     ] = DEFAULT_LOAD_SECONDS,
 ) -> None:
-    """The rate-limited weight store."""
+    """Run the rate-limited weight store."""
     _run("weight-store", name, lambda: WeightStoreServer(host, port, load_seconds))
 
 
 @app.command("app")
 def run_application(host: Host = "127.0.0.1", port: Port = 0, name: Name = "app") -> None:
-    """An application server that counts executions of each operation."""
+    """Run an application server that counts the executions of each operation."""
     _run("app", name, lambda: ApplicationServer(host, port, AppLedger()))
--- a/src/milletcourse/cli/store_state.py
+++ b/src/milletcourse/cli/store_state.py
@@ -1,4 +1,4 @@
-"""`milletcourse store-state`: what a gateway knows, compared with what the object store holds."""
+"""`milletcourse store-state`: a gateway's copy compared with the object store."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 MAX_POLLS = 3
 POLL_INTERVAL_SECONDS = 0.5
-"""A change that is under way differs in one look, and not in the next."""
+"""A change that is still propagating shows as a difference in one poll and not in the next."""
 
 
 def compare_store(gateway: GatewayOption) -> None:
-    """One JSON line for each kind of objects; exit code 1 when a difference stays.
+    """Print one JSON line for each kind of objects; exit code 1 if a difference persists.
 
-    Each look reads all kinds from the store, which counts against the rate of its reading calls.
+    Each poll reads all kinds from the store, which counts against the store's read rate limit.
     """
     state = asyncio.run(_compare(gateway))
     for kind in state.kinds:
--- a/src/milletcourse/edge/__init__.py
+++ b/src/milletcourse/edge/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP applications for callers and operators."""
+"""HTTP API for clients and operators."""
--- a/src/milletcourse/edge/administration.py
+++ b/src/milletcourse/edge/administration.py
@@ -1,7 +1,7 @@
 """Administration API `/admin/v1`: objects, dry runs, explanations, rollouts, members and drains.
 
-Every answer to a change is accepted, refused or unknown, each true. Operators authenticate with a
-bearer key of a tenant that has `operator` set.
+Every change is reported as accepted, refused or unknown, and the report is accurate. Operators
+authenticate with a bearer key of a tenant that has `operator` set.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 
     Attributes:
         spec: The new spec.
-        version: Version that the writer read; 0 for a new object.
-        change_id: Settles a lost answer; chosen by the router when empty.
-        dry_run: Only check and show the effect.
+        version: Version that the change is based on; 0 for a new object.
+        change_id: Idempotency id that resolves a lost answer; the router generates one when empty.
+        dry_run: Whether to only validate the change and report its effect.
     """
 
     spec: dict[str, Any]
@@ -46,15 +46,15 @@
 
 
 class ChangeAnswer(msgspec.Struct, frozen=True):
-    """A change that was accepted, or would be.
+    """A change that was accepted, or that a dry run would accept.
 
     Attributes:
         accepted: False for a dry run.
         kind: Kind of the object.
         name: Name of the object.
         revision: Revision at which the change is in force; 0 for a dry run.
-        change_id: Id under which the platform keeps the change.
-        effect: Which workloads gain or lose which back ends.
+        change_id: Id under which the platform records the change.
+        effect: Workloads that gain or lose back ends.
     """
 
     accepted: bool
@@ -66,7 +66,7 @@
 
 
 class MemberView(msgspec.Struct, frozen=True):
-    """A member as this router sees it."""
+    """A cluster member as seen by this router."""
 
     name: str
     place: str
@@ -79,11 +79,11 @@
     """Where a revision is in force.
 
     Attributes:
-        revision: The asked revision.
+        revision: The requested revision.
         in_force: Names of routers that have it.
         lagging: Names of live routers that have an older one.
         unreachable: Names of members that did not answer.
-        complete: Whether nobody lags or is unreachable.
+        complete: Whether no live router lags or is unreachable.
     """
 
     revision: int
@@ -94,7 +94,7 @@
 
 
 class Administration:
-    """What the administration resources share."""
+    """Dependencies and checks shared by the administration resources."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         return self.context.policy
 
     def check_operator(self, request: falcon.asgi.Request) -> str:
-        """The operator's tenant name; raises FailureError for others."""
+        """Tenant name of the operator; raises FailureError for other callers."""
         self.context.check_serving()
         tenant = bearer_tenant(request, self.policy)
         if not self.policy.tenants[tenant].operator:
@@ -126,14 +126,14 @@
         return tenant
 
     def new_change_id(self) -> str:
-        """A random change id."""
+        """Generate a random change id."""
         return f"{self._random.getrandbits(128):032x}"
 
     async def commit(self, kind: str, name: str, write: PutObject) -> StoredObject:
         """Commit a change at the platform.
 
         Raises:
-            FailureError: Refused or unknown, typed.
+            FailureError: The change was refused, or its outcome is unknown.
         """
         if await self.platform.revision() < self.configuration.store.revision:
             raise FailureError(
@@ -149,7 +149,7 @@
         self._admin = admin
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """All objects in force at this router."""
+        """List the objects in force at this router."""
         self._admin.check_operator(request)
         kind = request.get_param("kind")
         store = self._admin.configuration.store
@@ -182,7 +182,7 @@
     async def on_put(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, kind: str, name: str
     ) -> None:
-        """Compare-and-set one object, or show what that would change."""
+        """Compare-and-set one object, or report the effect of doing so."""
         self._admin.check_operator(request)
         change = decode_json(await request.stream.read(), ChangeBody)
         parsed = parse_spec(kind, name, change.spec)
@@ -201,7 +201,7 @@
     async def on_delete(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, kind: str, name: str
     ) -> None:
-        """Delete an object whose version is given."""
+        """Delete an object if its version matches the given one."""
         self._admin.check_operator(request)
         version = request.get_param_as_int("version", required=True)
         effect = effect_of(self._admin.policy, kind, name, None)
@@ -219,7 +219,7 @@
         self._admin = admin
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """Engine by engine, permitted or why not, and the reuse scope."""
+        """For each engine, whether it is permitted and the reason if not; also the reuse scope."""
         self._admin.check_operator(request)
         facts = RequestFacts(
             request.get_param("tenant", required=True),
@@ -240,7 +240,7 @@
         self._admin = admin
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """The routers as this one sees them."""
+        """List the routers as seen by this one."""
         self._admin.check_operator(request)
         members = [
             MemberView(
@@ -260,7 +260,7 @@
     async def on_get(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, revision: str
     ) -> None:
-        """Where a revision is in force and who lags."""
+        """Report where a revision is in force and which routers lag."""
         self._admin.check_operator(request)
         wanted = int(revision) if revision.isdigit() else 0
         members = self._admin.detector.live()
--- a/src/milletcourse/edge/applications.py
+++ b/src/milletcourse/edge/applications.py
@@ -1,4 +1,4 @@
-"""`/apps/{application}/...`: reads may be retried, writes run at most once."""
+"""`/apps/{application}/...`: reads may be retried; writes run at most once."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 REPLAYED_HEADER = "Idempotency-Replayed"
 
 FINAL_OPERATION_FAILURES = (InvalidIdempotencyKey, IdempotencyKeyReused, OperationNotRun)
-"""Refusals that are true for every attempt with the key."""
+"""Refusals that apply to every attempt with the same idempotency key."""
 
 IsLeaving = Callable[[str], bool]
-"""Whether the platform's list says that a machine is leaving or gone."""
+"""Whether the platform lists a machine as leaving or removed."""
 
 
 class ApplicationsSink:
@@ -56,7 +56,7 @@
     async def __call__(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response | None, **params: str
     ) -> None:
-        """Serve one request."""
+        """Handle one request."""
         assert resp is not None
         try:
             await self._serve(req, resp, **params)
@@ -80,12 +80,12 @@
         elif req.method in WRITE_METHODS:
             await self._write(req, resp, tenant, application, path, servers)
         else:
-            raise FailureError(NotFound(f"no {req.method} at applications"))
+            raise FailureError(NotFound(f"applications do not support {req.method}"))
 
     def _servers(
         self, request: falcon.asgi.Request, tenant: str, application: str
     ) -> tuple[AppServerSpec, ...]:
-        """Permitted servers that are not leaving, near ones first."""
+        """Permitted servers that are not shutting down, those in the local place first."""
         request_class = request.get_header(CLASS_HEADER) or "default"
         facts = RequestFacts(tenant, application=application, request_class=request_class)
         policy = self._context.policy
@@ -144,7 +144,7 @@
         self._render(response, outcome.answer)
 
     async def _run(self, write: Write) -> WriteResult | FailureError:
-        """Runs to its end even when the client has gone, so that the outcome is recorded."""
+        """Runs to completion even if the client disconnects, so that the outcome is recorded."""
         try:
             return await self._context.coordinator.run(write)
         except FailureError as error:
@@ -159,7 +159,7 @@
 
 
 def _as_operation_failure(failure: Failure) -> Failure:
-    """What a refusal before the claim says about an operation whose key the caller chose."""
+    """Failure to report when an operation with a client-chosen key is refused before its claim."""
     if failure.run_state is not RunState.NOT_RUN or isinstance(failure, FINAL_OPERATION_FAILURES):
         return failure
     return OperationNotSent(failure.detail, failure.retry_after_seconds, failure)
--- a/src/milletcourse/edge/asgi.py
+++ b/src/milletcourse/edge/asgi.py
@@ -1,4 +1,4 @@
-"""What all HTTP applications share: request guard, problem rendering and JSON bodies."""
+"""Shared HTTP plumbing: request guard, problem rendering and JSON bodies."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 MAX_HEADER_BYTES = 16 * 1024
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""A prompt of a million tokens; larger ones are refused before they are read."""
+"""Fits a prompt of a million tokens; larger bodies are refused before they are parsed."""
 DISCARD_FACTOR = 4
-"""A body over the limit is read and dropped up to this many limits: a connection that is closed
-while the client still sends loses the answer."""
+"""An oversized body is read and discarded up to this multiple of the limit, because closing a
+connection while the client is still sending loses the response."""
 BODY_TIMEOUT_SECONDS = 20.0
 MAX_JSON_DEPTH = 64
 CLIENT_DISCONNECTED_SCOPE_KEY = "milletcourse.client_gone"
@@ -43,9 +43,9 @@
 
 
 class RequestGuard:
-    """ASGI wrapper that bounds what a client may send and ends work when it disconnects.
+    """ASGI middleware that limits request size and cancels work when the client disconnects.
 
-    The body is read whole before the application runs. When the client disconnects later, the
+    The whole body is read before the application runs. If the client disconnects later, the
     application's task is cancelled, so that back-end work can be cancelled too.
     """
 
@@ -60,7 +60,7 @@
         self._body_timeout_seconds = body_timeout_seconds
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one ASGI event stream."""
+        """Handle one ASGI connection scope."""
         if scope["type"] != "http":
             await self._application(scope, receive, send)
             return
@@ -71,7 +71,7 @@
             async with asyncio.timeout(self._body_timeout_seconds):
                 body = await self._read_body(receive)
         except TimeoutError:
-            await send_problem(send, RequestTimeout("the body did not arrive in time"))
+            await send_problem(send, RequestTimeout("the request body did not arrive in time"))
         except FailureError as error:
             await send_problem(send, error.failure)
         except _ClientDisconnectedError:
@@ -131,7 +131,7 @@
 
 
 async def send_problem(send: Send, failure: Failure) -> None:
-    """Answer with a problem document outside of falcon."""
+    """Send a problem document without falcon."""
     headers = [(b"content-type", PROBLEM_CONTENT_TYPE.encode()), (b"connection", b"close")]
     retry_after = retry_after_header(failure)
     if retry_after is not None:
@@ -181,7 +181,7 @@
     **_: Any,
 ) -> None:
     _log.error("request failed", path=request.path, error=repr(error), exc_info=error)
-    render_failure(response, InternalError("the request met a defect"))
+    render_failure(response, InternalError("unexpected error while handling the request"))
 
 
 def new_application() -> falcon.asgi.App:
@@ -194,7 +194,7 @@
 
 
 def check_json_depth(body: bytes) -> None:
-    """Refuse JSON that is nested too deeply, before it is parsed.
+    """Reject JSON that is nested too deeply, before it is parsed.
 
     Raises:
         FailureError: `MalformedRequest`.
@@ -217,16 +217,18 @@
         elif byte in (0x5B, 0x7B):
             depth += 1
             if depth > MAX_JSON_DEPTH:
-                raise FailureError(MalformedRequest(f"nested deeper than {MAX_JSON_DEPTH}"))
+                raise FailureError(
+                    MalformedRequest(f"JSON is nested deeper than {MAX_JSON_DEPTH} levels")
+                )
         elif byte in (0x5D, 0x7D):
             depth -= 1
 
 
 def decode_json(body: bytes, message_type: type[T]) -> T:
-    """Decode and check a JSON body.
+    """Decode and validate a JSON body.
 
     Raises:
-        FailureError: `MalformedRequest` that names the wrong member.
+        FailureError: `MalformedRequest` that names the invalid member.
     """
     check_json_depth(body)
     try:
--- a/src/milletcourse/edge/context.py
+++ b/src/milletcourse/edge/context.py
@@ -1,4 +1,4 @@
-"""What the edge needs of the router, and authentication."""
+"""Router components used by the HTTP API, and authentication."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgeContext:
-    """Parts of the router that the HTTP applications call."""
+    """Components of the router that the HTTP applications call."""
 
     policy: CompiledPolicy
     answers: AnswerService
@@ -36,7 +36,7 @@
     is_draining: Callable[[], bool]
 
     def check_serving(self) -> None:
-        """Refuse while there is no configuration.
+        """Refuse requests until a configuration is loaded.
 
         Raises:
             FailureError: `NotReady`.
@@ -55,7 +55,7 @@
     """
     scheme, _, key = (request.get_header("Authorization") or "").partition(" ")
     if scheme.lower() != "bearer" or not key:
-        raise FailureError(Unauthenticated("a bearer key is needed"))
+        raise FailureError(Unauthenticated("a bearer key is required"))
     result = policy.authenticate(key.strip())
     if not is_successful(result):
         raise FailureError(result.failure())
--- a/src/milletcourse/edge/health.py
+++ b/src/milletcourse/edge/health.py
@@ -9,7 +9,7 @@
 
 
 class LiveResource:
-    """`GET /livez`: the process runs."""
+    """`GET /livez`: the process is running."""
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         """Always 200."""
@@ -17,13 +17,13 @@
 
 
 class ReadyResource:
-    """`GET /readyz`: the router has a configuration and is not stopping."""
+    """`GET /readyz`: the router has a configuration and is not draining."""
 
     def __init__(self, context: EdgeContext) -> None:
         self._context = context
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        """200 when ready, 503 with the reason otherwise."""
+        """200 when ready, otherwise 503 with the reason."""
         loaded = self._context.is_loaded()
         draining = self._context.is_draining()
         document = {
--- a/src/milletcourse/edge/inference.py
+++ b/src/milletcourse/edge/inference.py
@@ -1,4 +1,4 @@
-"""Inference endpoints in the published OpenAI-compatible form."""
+"""OpenAI-compatible inference endpoints."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 
 
 class ContentPart(msgspec.Struct, frozen=True):
-    """A part of a message's content; only text is understood."""
+    """A part of a message's content; only text is supported."""
 
     type: str
     text: str = ""
 
 
 class ChatMessageBody(msgspec.Struct, frozen=True):
-    """A message as callers write it."""
+    """A message as sent by the client."""
 
     role: str
     content: str | tuple[ContentPart, ...]
 
     def message(self) -> ChatMessage:
-        """The message with its content as one text."""
+        """The message with its content joined into one text."""
         if isinstance(self.content, str):
             return ChatMessage(self.role, self.content)
         return ChatMessage(self.role, "".join(part.text for part in self.content))
 
 
 class StreamOptions(msgspec.Struct, frozen=True):
-    """Options of a streamed answer."""
+    """Options of a streamed response."""
 
     include_usage: bool = False
 
@@ -86,7 +86,7 @@
 
 
 class _ResponseFormat:
-    """Writes one API form: chat or plain completions."""
+    """Encodes responses as chat or plain completions."""
 
     def __init__(self, chat: bool, request_id: str, model: str, created: int) -> None:
         prefix = "chatcmpl" if chat else "cmpl"
@@ -130,7 +130,7 @@
         return events + DONE_EVENT
 
     def complete_response(self, text: str, usage: EngineUsage) -> dict[str, Any]:
-        """The answer that is not streamed."""
+        """The body of a response that is not streamed."""
         choice: dict[str, Any] = {"index": 0, "finish_reason": "length"}
         if self._chat:
             choice["message"] = {"role": "assistant", "content": text}
@@ -140,7 +140,7 @@
 
 
 def usage_document(usage: EngineUsage) -> dict[str, Any]:
-    """Token counts in the published form."""
+    """Token counts in the OpenAI format."""
     return {
         "prompt_tokens": usage.prompt_tokens,
         "completion_tokens": usage.completion_tokens,
@@ -150,7 +150,7 @@
 
 
 def error_event(failure: Failure) -> bytes:
-    """SSE event that ends a stream which could not be completed."""
+    """SSE event that terminates a stream that could not be completed."""
     document = {**problem_document(failure), "message": failure.detail, "code": failure.code}
     return b"event: error\n" + _sse_data({"error": document})
 
@@ -160,7 +160,7 @@
 
 
 class _SseStream:
-    """Answer events; closing it ends the answer's work at the engine."""
+    """Stream of SSE events; closing it cancels the work at the engine."""
 
     def __init__(self, events: AsyncIterator[bytes]) -> None:
         self._events = events
@@ -172,7 +172,7 @@
         return await anext(self._events)
 
     async def close(self) -> None:
-        """Called by falcon when the response ends in whatever way."""
+        """Called by falcon when the response ends, for any reason."""
         await self._events.aclose()  # type: ignore[attr-defined]
 
 
@@ -249,7 +249,7 @@
         response_format: _ResponseFormat,
         body: Body,
     ) -> None:
-        """The first tokens decide the status, so a refusal is a plain problem document."""
+        """Start a stream once the first tokens arrive; a refusal before that is a problem document."""
         started_at = self._context.clock.monotonic()
         first = await self._first_tokens(answer)
         self._context.metrics.first_token_seconds.observe(
@@ -331,7 +331,7 @@
 
 
 class ModelsResource:
-    """`GET /v1/models`: models that some workload lets the tenant use."""
+    """`GET /v1/models`: models that at least one workload permits for the tenant."""
 
     def __init__(self, context: EdgeContext) -> None:
         self._context = context
--- a/src/milletcourse/edge/internal.py
+++ b/src/milletcourse/edge/internal.py
@@ -1,4 +1,4 @@
-"""`POST /internal/v1/message`: messages of other routers."""
+"""`POST /internal/v1/message`: messages from other routers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class InternalResource:
-    """Hands envelopes to the peer server."""
+    """Passes envelopes to the peer server."""
 
     def __init__(self, server: PeerServer) -> None:
         self._server = server
--- a/src/milletcourse/edge/problems.py
+++ b/src/milletcourse/edge/problems.py
@@ -13,7 +13,7 @@
 
 
 def problem_document(failure: Failure) -> dict[str, Any]:
-    """The problem document of a failure, with the run state of the refused work."""
+    """The problem document of a failure, including the run state of the refused work."""
     document: dict[str, Any] = {
         "type": failure.type_uri,
         "title": failure.code.replace("-", " "),
@@ -37,7 +37,7 @@
 
 
 def retry_after_header(failure: Failure) -> str | None:
-    """Value of Retry-After in whole seconds, None when coming back does not help."""
+    """Value of Retry-After in whole seconds; None if a retry cannot succeed."""
     if failure.retry_after_seconds is None:
         return None
     return str(max(1, math.ceil(failure.retry_after_seconds)))
--- a/src/milletcourse/edge/routes.py
+++ b/src/milletcourse/edge/routes.py
@@ -1,4 +1,4 @@
-"""All paths of a router."""
+"""URL routes of a router."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     peers: PeerServer,
     random_source: random.Random,
 ) -> falcon.asgi.App:
-    """The falcon application of a router."""
+    """Build the falcon application of a router."""
     inference = InferenceResource(context, random_source)
     application = new_application()
     application.add_route("/v1/chat/completions", inference, suffix="chat")
--- a/src/milletcourse/logs.py
+++ b/src/milletcourse/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line on standard error.
+"""Structured logs: one JSON object per line on standard error.
 
 Prompt text, keys and tokens are never logged; `request_id`, `tenant` and `attempt` are.
 """
@@ -23,10 +23,10 @@
 
 
 def configure_logs(level: str) -> None:
-    """Set up JSON lines on standard error.
+    """Configure JSON log lines on standard error.
 
     Args:
-        level: Name of the lowest level that is written, e.g. `info`.
+        level: Name of the lowest level to write, e.g. `info`.
     """
     structlog.configure(
         processors=[
@@ -46,5 +46,5 @@
 
 
 def get_logger(component: str) -> Any:
-    """A logger that names its component in each line."""
+    """A logger that adds the component's name to each line."""
     return structlog.get_logger(component=component)
--- a/src/milletcourse/metrics.py
+++ b/src/milletcourse/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a router, in a registry of its own."""
+"""Prometheus metrics of a router, in a registry separate from the global one."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         )
         self.wasted_tokens = Counter(
             "milletcourse_wasted_tokens_total",
-            "Prompt tokens computed although a permitted copy was believed to exist",
+            "Prompt tokens computed although a permitted cached copy was assumed to exist",
             ["tenant"],
             registry=registry,
         )
@@ -51,7 +51,7 @@
             "milletcourse_configuration_revision", "Revision in force", registry=registry
         )
         self.live_members = Gauge(
-            "milletcourse_live_members", "Routers seen alive", registry=registry
+            "milletcourse_live_members", "Routers considered alive", registry=registry
         )
 
     def on_usage(self, tenant: str, usage: EngineUsage | None) -> None:
@@ -62,10 +62,10 @@
         self.cached_tokens.labels(tenant).inc(usage.cached_tokens)
 
     def on_wasted_tokens(self, tenant: str, decision: Decision, usage: EngineUsage) -> None:
-        """Count tokens computed although the decision believed a copy to exist."""
+        """Count tokens computed although the routing decision assumed a cached copy."""
         estimated_tokens = max(decision.held_blocks, decision.import_blocks) * BLOCK_TOKENS
         self.wasted_tokens.labels(tenant).inc(max(estimated_tokens - usage.cached_tokens, 0))
 
     def render(self) -> bytes:
-        """The exposition text."""
+        """Metrics in the Prometheus exposition format."""
         return generate_latest(self.registry)
--- a/src/milletcourse/node.py
+++ b/src/milletcourse/node.py
@@ -1,7 +1,7 @@
-"""One router process: puts the packages together.
+"""Assembly of one router from its components.
 
-The same class runs in a real process and in the simulator; clock, HTTP client, random source and
-datagram endpoint are handed in.
+The same class runs in a real process and in the simulator; the clock, HTTP client, random source
+and datagram endpoint are injected.
 """
 
 from __future__ import annotations
@@ -262,7 +262,7 @@
     # -- life cycle -----------------------------------------------------------------------------
 
     async def start(self, http_address: str, open_datagrams: OpenDatagrams) -> None:
-        """Begin all work; the HTTP server is already listening at `http_address`."""
+        """Start all background work; the HTTP server is already listening at `http_address`."""
         self._endpoint = await open_datagrams(self._on_datagram)
         self.detector.own = replace(
             self.detector.own,
@@ -281,13 +281,13 @@
         self.tasks.spawn(self.member_sync.run(), "join")
 
     async def drain(self) -> None:
-        """Planned stop: not ready, still serving for a while, then finish what runs."""
+        """Report not ready, announce the departure, and keep serving for the drain time."""
         self.draining = True
         self.membership.leave()
         await self.clock.sleep(self.settings.drain_seconds)
 
     async def close(self) -> None:
-        """End all background work; call it when no request runs any more."""
+        """Stop all background work; call it once no requests are running."""
         await self.tasks.close()
         if self._endpoint is not None:
             self._endpoint.close()
@@ -300,7 +300,7 @@
         return self.freshness.is_fresh(self.clock.wall())
 
     def status(self) -> RouterStatus:
-        """What peers and operators see."""
+        """Status reported to peers and operators."""
         return RouterStatus(
             self.settings.name,
             self.incarnation,
@@ -354,7 +354,7 @@
         return self.replica.handle(request, self.clock.wall())
 
     def _is_replica_for(self, request: ClaimRequest) -> bool:
-        """Whether this router is a replica of a key by the router set in force here."""
+        """Whether this router is a replica of the key under the router set in force."""
         router_set = self.policy.router_set
         if router_set is None:
             return False
@@ -367,7 +367,7 @@
         return await self._peers.claim(member.address, request)
 
     async def _watchdog(self) -> None:
-        """Keep the proof of freshness and the gauges current."""
+        """Periodically update the proof of freshness and the gauges."""
         while True:
             self.freshness_watch.look()
             self.metrics.live_members.set(self.detector.live_count())
--- a/src/milletcourse/peers.py
+++ b/src/milletcourse/peers.py
@@ -34,14 +34,14 @@
 
 
 class RouterStatus(msgspec.Struct, frozen=True):
-    """What a router tells others about itself.
+    """Status that a router reports to its peers.
 
     Attributes:
         name: Router name.
         incarnation: Its incarnation.
         revision: Configuration revision in force.
-        fresh: Whether it can prove its configuration fresh.
-        draining: Whether it is stopping.
+        fresh: Whether it can prove that its configuration is up to date.
+        draining: Whether it is shutting down.
     """
 
     name: str
@@ -63,23 +63,23 @@
         self._client = client
 
     async def changes(self, address: str, request: ChangesRequest) -> ChangesPage:
-        """One page of configuration changes; raises FailureError."""
+        """Fetch one page of configuration changes; raises FailureError."""
         body = msgspec.msgpack.encode(request)
         reply = await self._call(address, MessageType.CHANGES_REQUEST, body)
         return msgspec.msgpack.decode(reply.body, type=ChangesPage)
 
     async def claim(self, address: str, request: ClaimRequest) -> ClaimReply:
-        """One step of a claim; raises FailureError."""
+        """Send one step of a claim; raises FailureError."""
         reply = await self._call(address, MessageType.CLAIM, encode_claim(request))
         return decode_claim_reply(reply.body)
 
     async def status(self, address: str) -> RouterStatus:
-        """A router's status; raises FailureError."""
+        """Fetch a router's status; raises FailureError."""
         reply = await self._call(address, MessageType.STATUS_REQUEST, b"")
         return msgspec.msgpack.decode(reply.body, type=RouterStatus)
 
     async def members(self, address: str, own: MemberRecord) -> tuple[MemberRecord, ...]:
-        """Introduce this router and learn the members that a peer knows; raises FailureError."""
+        """Join through a peer and fetch the members that it knows; raises FailureError."""
         message = MembershipMessage(MessageKind.GOSSIP, 0, "", 0, PlatformStamp(), (own,))
         reply = await self._call(address, MessageType.JOIN, encode_membership(message))
         return decode_membership(reply.body).records
@@ -90,12 +90,12 @@
         request = HttpRequest("POST", address, PEER_PATH, payload, headers)
         status, answer = await send_for_body(self._client, request, PEER_TIMEOUT_SECONDS)
         if status != 200:
-            raise FailureError(BackendRefused("the peer refused", None, status))
+            raise FailureError(BackendRefused("the peer refused the message", None, status))
         return self._codec.decode(answer)
 
 
 class PeerServer:
-    """Answers other routers."""
+    """Handles messages from other routers."""
 
     def __init__(
         self,
@@ -116,10 +116,10 @@
         self._on_join = on_join
 
     async def handle(self, payload: bytes) -> bytes:
-        """Answer one message.
+        """Handle one message and return the encoded reply.
 
         Raises:
-            FailureError: `WireError` for messages that are not authentic or not requests.
+            FailureError: `WireError` if the message is not authentic or not a request.
         """
         envelope = self._codec.decode(payload)
         if envelope.message_type is MessageType.CLAIM:
@@ -136,7 +136,7 @@
             known = self._on_join(decode_membership(envelope.body).records)
             answer = MembershipMessage(MessageKind.GOSSIP, 0, "", 0, PlatformStamp(), known)
             return self._reply(MessageType.JOIN, encode_membership(answer))
-        raise FailureError(WireError("not a request"))
+        raise FailureError(WireError("the message is not a request"))
 
     def _reply(self, message_type: MessageType, body: bytes) -> bytes:
         return self._codec.encode(Envelope(message_type, self._name, self._incarnation, body))
--- a/src/milletcourse/router_process.py
+++ b/src/milletcourse/router_process.py
@@ -1,4 +1,4 @@
-"""A router as a server on TCP and UDP."""
+"""A router process that listens on TCP and UDP."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RouterServer:
-    """One router that listens."""
+    """One router with its HTTP server and UDP endpoint."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self._settings = settings
@@ -31,7 +31,7 @@
         return self.node.detector.own.datagram_address
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
         await self.server.start()
         await self.node.start(self.server.address, self._open_datagrams)
 
@@ -39,7 +39,7 @@
         return await UdpEndpoint.open(self._settings.host, self._settings.datagram_port, handler)
 
     async def stop(self) -> None:
-        """Planned stop: no running request is cut."""
+        """Stop gracefully: running requests complete."""
         await self.node.drain()
         await self.server.stop()
         await self.node.close()
--- a/src/milletcourse/settings.py
+++ b/src/milletcourse/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a router process: TOML file, environment and flags, in rising order."""
+"""Settings of a router process: TOML file, environment and flags, in increasing precedence."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RouterSettings(BaseSettings):
-    """Everything a router must know before it has a configuration."""
+    """Bootstrap settings, needed before the router has a configuration."""
 
     model_config = SettingsConfigDict(env_prefix=ENVIRONMENT_PREFIX, extra="forbid", frozen=True)
     toml_path: ClassVar[Path | None] = None
@@ -42,7 +42,7 @@
     clock_skew_seconds: float = Field(default=DEFAULT_SKEW_SECONDS, ge=0)
     max_body_bytes: int = Field(default=4 * 1024 * 1024, ge=1024)
     drain_seconds: float = Field(
-        default=1.0, ge=0, description="Not ready but still serving before a planned stop."
+        default=1.0, ge=0, description="Seconds for which a draining router still serves."
     )
 
     @classmethod
@@ -54,21 +54,21 @@
         dotenv_settings: PydanticBaseSettingsSource,
         file_secret_settings: PydanticBaseSettingsSource,
     ) -> tuple[PydanticBaseSettingsSource, ...]:
-        """Flags over environment over file."""
+        """Precedence: flags, then environment, then file."""
         if cls.toml_path is None:
             return init_settings, env_settings
         return init_settings, env_settings, TomlConfigSettingsSource(settings_cls, cls.toml_path)
 
 
 def load_settings(path: Path | None, flags: dict[str, Any]) -> RouterSettings:
-    """Read and check settings.
+    """Read and validate settings.
 
     Args:
         path: TOML file, None for none.
-        flags: Values from the command line; None values are left out.
+        flags: Values from the command line; None values are ignored.
 
     Raises:
-        FailureError: `InvalidObject` that names the first wrong key.
+        FailureError: `InvalidObject` that names the first invalid key.
     """
     if path is not None:
         _check_readable(path)
--- a/src/milletcourse/streams/__init__.py
+++ b/src/milletcourse/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Relays answer streams complete and in order, and resumes them."""
+"""Complete, in-order relay and resumption of answer streams."""
--- a/src/milletcourse/streams/answer_service.py
+++ b/src/milletcourse/streams/answer_service.py
@@ -1,8 +1,8 @@
 """Answers one inference request: policy, routing, admission, attempts and relay.
 
-`AnswerService.answer` is the one way a request goes. It yields tokens in order and ends either
-with the usage or with a typed failure; a failure after the first token leaves the client with a
-correct prefix.
+`AnswerService.answer` is the only entry point for inference requests. It yields tokens in order and
+ends either with the usage or with a typed failure; a failure after the first token leaves the
+client with a correct prefix.
 """
 
 from __future__ import annotations
@@ -44,10 +44,10 @@
 from milletcourse.streams.resume_token import ResumePoint
 
 MAX_STREAM_RESUMES = 2
-"""Reconnections to the same engine before the answer moves to another one."""
+"""Reconnections to the same engine before the answer fails over to another engine."""
 FIRST_TOKEN_TIMEOUT_SECONDS = 90.0
 TOKEN_TIMEOUT_SECONDS = 15.0
-"""An engine that generates sends several tokens a second; this long a silence is a freeze."""
+"""A generating engine sends several tokens per second; a longer gap means that it hangs."""
 CONNECT_BACKOFF_SECONDS = 0.05
 
 
@@ -83,8 +83,7 @@
         """Serve a request.
 
         Yields:
-            Tokens in order, several at a time when they arrive together. The last one has the
-            token counts.
+            Tokens in order, batched as they arrive. The last one carries the token counts.
 
         Raises:
             FailureError: The final refusal, or `StreamIncomplete` after the first token.
@@ -131,7 +130,7 @@
     async def _open(
         self, request: InferenceRequest, progress: AnswerProgress
     ) -> tuple[Attempt, EngineStream]:
-        """Start the answer at an engine, trying others while nothing came of it."""
+        """Start the answer at an engine; on failure, try others within the retry limits."""
         if request.resume is not None and progress.attempt == request.resume.attempt:
             attached = await self._attach(request, progress, request.resume)
             if attached is not None:
@@ -166,7 +165,7 @@
     async def _attach(
         self, request: InferenceRequest, progress: AnswerProgress, resume: ResumePoint
     ) -> tuple[Attempt, EngineStream] | None:
-        """Continue at the engine that the former router used, if it still keeps the stream."""
+        """Continue at the engine that the previous router used, if it still holds the stream."""
         spec = self._policy.engines.get(resume.engine)
         if spec is None or resume.engine not in self._planner.permit(request).backend_set:
             return None
@@ -202,7 +201,7 @@
         attempt: Attempt,
         stream: EngineStream,
     ) -> AsyncIterator[list[RelayedToken]]:
-        """Pass tokens on; reconnect to the same engine when only the connection failed."""
+        """Relay tokens; reconnect to the same engine when only the connection failed."""
         resumes = 0
         completed = False
         try:
@@ -255,7 +254,7 @@
                     return
         finally:
             idle_timeout.close()
-        raise FailureError(BackendLost("the stream ended before the answer"))
+        raise FailureError(BackendLost("the stream ended before the answer was complete"))
 
     @staticmethod
     def _accept(progress: AnswerProgress, batch: list[EngineToken]) -> list[RelayedToken]:
--- a/src/milletcourse/streams/attempt_planner.py
+++ b/src/milletcourse/streams/attempt_planner.py
@@ -1,6 +1,7 @@
-"""Plans the attempts of an answer: what is permitted now, where it runs, what it reuses.
+"""Plans the attempts of an answer: what policy permits, where it runs and which cache it reuses.
 
-Each attempt asks the policy in force anew, so that a rule that was narrowed meanwhile holds for it.
+Each attempt evaluates the policy in force again, so that a rule that was narrowed in the meantime
+applies to it.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 from milletcourse.streams.resume_token import ResumePoint
 
 MAX_ATTEMPTS = 5
-"""Starts of one answer at engines, across failures."""
+"""Attempts of one answer at engines, across failures."""
 STALE_RETRY_SECONDS = 1.0
 
 
@@ -40,11 +41,11 @@
     """One authenticated inference request.
 
     Attributes:
-        request_id: Unique id chosen by this router, or the former one on a resume.
+        request_id: Unique id chosen by this router, or the original id on a resume.
         facts: Tenant, model and class.
         prompt: Rendered prompt.
         max_tokens: Tokens to generate.
-        resume: Where a former connection of the same request stopped, if any.
+        resume: Where a previous connection of the same request stopped, if any.
     """
 
     request_id: str
@@ -56,11 +57,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerToken:
-    """A token for the client, with what a resume needs.
+    """A token for the client, with the state that a resume needs.
 
     Attributes:
         text: The token's text.
-        point: Where the answer stands after it.
+        point: Resume point after this token.
         usage: Token counts, with the last token only.
     """
 
@@ -71,7 +72,16 @@
 
 @dataclass(slots=True)
 class AnswerProgress:
-    """What has happened to one answer so far."""
+    """State of one answer across its attempts.
+
+    Attributes:
+        relay: Order check of the tokens.
+        weight_version: Weights that must produce the whole answer.
+        attempt: Number of the latest attempt; 0 before the first.
+        sent: Texts sent to the client; None after a resume, when the earlier ones are unknown.
+        excluded: Engines that failed in an earlier attempt.
+        reached_engine: Whether an engine may have started the request.
+    """
 
     relay: OrderedRelay
     weight_version: str
@@ -83,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One start of an answer at an engine."""
+    """One attempt to run an answer at an engine."""
 
     engine: str
     address: str
@@ -94,7 +104,7 @@
 
 
 class AttemptPlanner:
-    """Policy, limits, routing and admission of one router's answers."""
+    """Applies policy, limits, routing and admission to one router's answers."""
 
     def __init__(
         self,
@@ -110,7 +120,7 @@
         self._admission = AdmissionController()
 
     def permit(self, request: InferenceRequest) -> Permission:
-        """What policy grants now; raises FailureError."""
+        """Permission under the policy in force; raises FailureError."""
         result = self._policy.permit(request.facts)
         if not is_successful(result):
             raise FailureError(result.failure())
@@ -137,7 +147,7 @@
     def plan(
         self, request: InferenceRequest, progress: AnswerProgress
     ) -> tuple[Attempt, EngineCompletion]:
-        """Decide where the next attempt runs; the policy in force now decides what is permitted."""
+        """Choose the engine of the next attempt under the policy in force."""
         try:
             permission = self.permit(request)
         except FailureError as error:
@@ -217,11 +227,11 @@
 
     @staticmethod
     def final_failure(progress: AnswerProgress, failure: Failure) -> Failure:
-        """The refusal a client gets; it says "not run" only when no engine was reached."""
+        """Failure reported to the client; it says "not run" only if no engine was reached."""
         if progress.relay.offset > 0:
             return StreamIncomplete("the answer could not be completed", 1.0)
         if progress.reached_engine:
-            return AnswerLost("the engines failed before the answer began", 1.0)
+            return AnswerLost("the engines failed before the first token", 1.0)
         if isinstance(failure, BackendUnreachable | BackendRefused):
             return NoEngineAvailable("every permitted engine failed", 1.0)
         return failure
--- a/src/milletcourse/streams/crash_guard.py
+++ b/src/milletcourse/streams/crash_guard.py
@@ -1,6 +1,6 @@
-"""Keeps one router from sending a request that ends engines to one engine after the other.
+"""Prevents a request that crashes engines from crashing one engine after another.
 
-The evidence and its judgement are the gateways'; here each router keeps its own.
+The evidence and the containment rule are those of the gateways; each router keeps its own evidence.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CrashGuard:
-    """Evidence against the requests of one router."""
+    """Crash evidence about the requests of one router."""
 
     def __init__(self, engines: EngineClient, clock: Clock) -> None:
         self._engines = engines
@@ -23,7 +23,7 @@
         self.evidence = CrashEvidence()
 
     def check(self, request: InferenceRequest) -> None:
-        """Raises FailureError with `RequestContained` for a request that may not be sent."""
+        """Raises FailureError with `RequestContained` if the request is contained."""
         if not self.evidence:
             return
         identity = _identity(request)
@@ -32,11 +32,11 @@
             raise FailureError(containment.failure())
 
     def on_answer(self, request: InferenceRequest) -> None:
-        """An engine answered it in whole."""
+        """An engine completed the answer."""
         self.evidence.on_answer(_identity(request), self._clock.monotonic())
 
     async def on_lost(self, request: InferenceRequest, attempt: Attempt) -> None:
-        """The connection to its engine broke: it counts if the engine can't be reached any more."""
+        """The connection broke; this counts as a crash if the engine is now unreachable."""
         lost_at = self._clock.monotonic()
         try:
             await self._engines.feed(attempt.address, 0)
--- a/src/milletcourse/streams/idle_timeout.py
+++ b/src/milletcourse/streams/idle_timeout.py
@@ -1,7 +1,7 @@
-"""Aborts a stream on which nothing has come for too long.
+"""Aborts a stream that has been idle for too long.
 
-One timer a stream is moved on lazily. `asyncio.timeout` round each read costs several times as
-much, and it may not stay open across the yields of a generator.
+Each stream has one timer, which is rescheduled lazily. `asyncio.timeout` around each read costs
+several times as much, and it must not stay open across the yields of a generator.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class IdleTimeout:
-    """Calls `abort` when the expected next event does not come in time."""
+    """Calls `abort` when the next event does not arrive before the deadline."""
 
     def __init__(self, abort: Callable[[], None], clock: Clock) -> None:
         self._abort = abort
@@ -24,13 +24,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def restart(self, seconds: float) -> None:
-        """The next event must come within this time from now."""
+        """Set the deadline of the next event to this many seconds from now."""
         self._deadline = self._clock.monotonic() + seconds
         if self._timer is None or self._fires_at > self._deadline:
             self._schedule()
 
     def close(self) -> None:
-        """Watch no longer."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/src/milletcourse/streams/ordered_relay.py
+++ b/src/milletcourse/streams/ordered_relay.py
@@ -1,4 +1,4 @@
-"""Lets the tokens of one attempt through in order, each once; no input/output."""
+"""Passes each token of an attempt exactly once and in order; performs no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 @dataclass(slots=True)
 class RelayCounters:
-    """Events that were not relayed."""
+    """Events that were not relayed.
+
+    Attributes:
+        foreign: Events of another request or attempt.
+        repeated: Events whose offset had already been received.
+    """
 
     foreign: int = 0
     repeated: int = 0
@@ -23,7 +28,7 @@
 
     Attributes:
         text: The token's text.
-        next_offset: Offset of the token after it.
+        next_offset: Offset of the following token.
         text_digest: Chained digest up to and including it.
         usage: Token counts, with the last token only.
     """
@@ -39,7 +44,7 @@
 
     Attributes:
         offset: Offset of the next token for the client.
-        text_digest: Chained digest of what the client has.
+        text_digest: Chained digest of the tokens sent to the client.
         usage: Set when the answer is complete.
     """
 
@@ -59,23 +64,23 @@
         self.text_digest = text_digest
 
     def begin_attempt(self, attempt: int, first_offset: int) -> None:
-        """Expect the tokens of an attempt from `first_offset` on.
+        """Expect the tokens of an attempt starting at `first_offset`.
 
-        Tokens before `offset` are not sent again, but are checked against what the client has.
+        Tokens before `offset` are not sent again; they are verified against the text already sent.
         """
         self.attempt = attempt
         self._next_from_engine = first_offset
         self._verifying_digest = b"" if first_offset == 0 and self.offset else None
 
     def accept(self, token: EngineToken) -> RelayedToken | None:
-        """Check one event.
+        """Validate one event.
 
         Returns:
             The token when it is the next one for the client, else None.
 
         Raises:
             FailureError: `BackendLost` on a gap or an error event, `ResumeMismatch` when a
-                regenerated answer differs from what the client has.
+                regenerated answer differs from the text already sent.
         """
         if token.id != self.request_id or token.attempt != self.attempt:
             self.counters.foreign += 1
@@ -101,6 +106,10 @@
             return
         self._verifying_digest = extend_digest(self._verifying_digest, token.text)
         if token.offset + 1 == self.offset and self._verifying_digest != self.text_digest:
-            raise FailureError(ResumeMismatch("the regenerated answer differs"))
+            raise FailureError(
+                ResumeMismatch("the regenerated answer differs from the text already sent")
+            )
         if token.usage is not None:
-            raise FailureError(ResumeMismatch("the regenerated answer is shorter"))
+            raise FailureError(
+                ResumeMismatch("the regenerated answer is shorter than the text already sent")
+            )
--- a/src/milletcourse/streams/resume_token.py
+++ b/src/milletcourse/streams/resume_token.py
@@ -1,7 +1,7 @@
-"""Signed resume tokens: the id of each server-sent event.
+"""Signed resume tokens, used as the id of each server-sent event.
 
 A token lets any router continue an answer: it names the attempt and the offset, and carries a
-digest of the text sent so far, so that a regenerated answer is spliced in only when it is the same.
+digest of the text sent so far. A regenerated answer continues the stream only if it matches.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 class ResumePoint(msgspec.Struct, frozen=True, array_like=True):
-    """Where an answer stands at the client.
+    """Progress of an answer as received by the client.
 
     Attributes:
         request_id: The request.
-        request_digest: Digest of tenant and request body; another request can't use the token.
+        request_digest: Digest of tenant and request body; binds the token to its request.
         engine: Engine that produced the last token.
-        incarnation: Its incarnation.
+        incarnation: Incarnation of that engine.
         weight_version: Weights that produced the answer.
         attempt: Attempt of the last token.
         offset: Offset of the next token.
@@ -45,29 +45,29 @@
 
 
 def extend_digest(digest: bytes, text: str) -> bytes:
-    """Digest after one more token."""
+    """Chained digest extended by one token."""
     return blake3(digest + text.encode()).digest(DIGEST_BYTES)
 
 
 def digest_request(tenant: str, body: bytes) -> bytes:
-    """Binds a token to its tenant and request body."""
+    """Digest that binds a token to its tenant and request body."""
     return blake3(tenant.encode() + b"\0" + body).digest(DIGEST_BYTES)
 
 
 class ResumeTokenCodec:
-    """Signs and checks tokens under the cluster key."""
+    """Signs and verifies tokens with a key derived from the cluster key."""
 
     def __init__(self, cluster_key: str) -> None:
         self._key = blake3(cluster_key.encode(), derive_key_context=KEY_CONTEXT).digest()
 
     def encode(self, point: ResumePoint) -> str:
-        """A token for the client."""
+        """Encode and sign a resume token."""
         payload = msgspec.msgpack.encode(point)
         signed = payload + self._tag(payload)
         return base64.urlsafe_b64encode(signed).decode().rstrip("=")
 
     def decode(self, token: str, request_digest: bytes) -> ResumePoint:
-        """Check a client's token against its request.
+        """Verify a client's token against its request.
 
         Raises:
             FailureError: `ResumeTokenInvalid`.
