--- a/src/milletcourse/edge/inference.py
+++ b/src/milletcourse/edge/inference.py
@@ -249,7 +249,7 @@
         response_format: _ResponseFormat,
         body: Body,
     ) -> None:
-        """Start a stream once the first tokens arrive; a refusal before that is a problem document."""
+        """Start the stream with its first tokens; an earlier refusal is a problem document."""
         started_at = self._context.clock.monotonic()
         first = await self._first_tokens(answer)
         self._context.metrics.first_token_seconds.observe(
--- a/src/milletcourse/experiments/arrivals.py
+++ b/src/milletcourse/experiments/arrivals.py
@@ -29,12 +29,12 @@
     Attributes:
         number: Position in the sequence.
         at_seconds: Arrival time.
-        router: Which router gets it.
-        tenant: Who asks.
-        model: Model.
-        permission: What policy grants.
-        request_class: Its class with the parameters.
-        blocks: Block view of the prompt.
+        router: Index of the router that receives it.
+        tenant: Tenant of the request.
+        model: Requested model.
+        permission: Permission granted by policy.
+        request_class: Request class and its parameters.
+        blocks: Prompt as a chain of blocks.
     """
 
     number: int
@@ -48,7 +48,7 @@
 
 
 class _Zipf:
-    """Draws ranks with Zipf popularity."""
+    """Draws ranks from a Zipf distribution."""
 
     def __init__(self, count: int, exponent: float) -> None:
         weights = [1.0 / (rank + 1) ** exponent for rank in range(count)]
@@ -59,7 +59,7 @@
 
 
 class ArrivalGenerator:
-    """Draws the arrivals of one run; same seed, same arrivals."""
+    """Generates the arrivals of one run, deterministically from the seed."""
 
     def __init__(
         self, policy: CompiledPolicy, parameters: WorkloadParameters, load: float, seed: int
@@ -75,7 +75,7 @@
         self._model = sorted(policy.models)[0]
 
     def generate(self) -> list[Arrival]:
-        """All arrivals in order of time."""
+        """Generate all arrivals in order of time."""
         drawn: list[tuple[float, RequestClass]] = []
         for request_class in self._parameters.classes:
             rate = request_class.requests_per_second * self._load
@@ -112,7 +112,7 @@
         )
 
     def _content(self, level: PrefixLevel, tenant: str, shifted: bool) -> tuple[str, int]:
-        """Name of the drawn content and its number of blocks."""
+        """Draw a content; return its name and number of blocks."""
         zipf = self._zipfs.get((level.variants, level.zipf))
         if zipf is None and level.zipf:
             zipf = self._zipfs[level.variants, level.zipf] = _Zipf(level.variants, level.zipf)
--- a/src/milletcourse/experiments/backoff_model.py
+++ b/src/milletcourse/experiments/backoff_model.py
@@ -1,8 +1,8 @@
-"""Compares what gateways may do while servers ask for rest, in a small model.
+"""Model that compares strategies of gateways while servers request a back-off.
 
-Requests come at random to gateways, which choose a server at random among those that they may ask.
-What a gateway knows of rests is kept by the product's own core; only requests and servers are made
-up. Callers that are refused come back once, when they were told to, if that isn't too late.
+Requests arrive at random gateways, which choose a server at random among the eligible ones. The
+production code tracks the back-offs at each gateway; only requests and servers are simulated. A
+refused client retries once, at the time that it was given, unless that is too late.
 """
 
 from __future__ import annotations
@@ -20,45 +20,45 @@
 
 SERVERS = 8
 USUAL_REQUESTS_PER_SECOND = 12.0
-"""Requests a second to a server on a calm day."""
+"""Usual requests per second to one server."""
 BACKOFF_SECONDS = 3.0
 OVERLOAD_START_SECONDS = 10.0
 OVERLOAD_SECONDS = 8.0
 RUN_SECONDS = 40.0
 MAX_WAIT_SECONDS = 5.0
-"""Callers heed no longer time: a third of a deadline of 15 s."""
+"""Longest retry delay that clients accept: a third of a deadline of 15 s."""
 SHED_FACTOR = 2.0
-"""A server that sheds by load turns requests away above this many times its usual rate."""
+"""A server that sheds load rejects requests above this multiple of its usual rate."""
 USUAL_RETRY_SECONDS = (0.2, 0.6)
 MAX_SERVERS_PER_TRY = 2
-"""Servers that one request is sent to."""
+"""Servers to which one request is sent per try of its client."""
 QUORUM_GATEWAYS = 3
-"""A server that asked so many gateways for rest means all of them."""
+"""A back-off requested from this many gateways applies to all of them."""
 REPORT_DELAY_SECONDS = 0.2
-"""Gateways hear of each other after this time."""
+"""Delay until a report reaches the other gateways."""
 PRIORITY_RANKS = (0, 3, 6)
 MAX_PROBES = 2
 
 
 class BackoffStrategy(Enum):
-    """What gateways do with a rest that a server asked for."""
+    """Reaction of gateways to a back-off requested by a server."""
 
     IGNORE_WHEN_ALL = "others first, then all the same"
-    """As before: a resting server is asked when no other is left."""
+    """A server that backs off is used only if no other is left."""
     HONOUR = "heed"
-    """It isn't asked; callers come back as after any refusal."""
+    """The server is not used; clients retry as after any refusal."""
     PROBE = "heed, two probes"
-    """It is, twice in its rest; an answer ends the rest here."""
+    """The server gets two probes per back-off; an answer ends the back-off at this gateway."""
     SHARED_AS_LOAD = "heed, told as a sign of load"
-    """Other gateways ask it last while its rest lasts."""
+    """Other gateways use the server last during its back-off."""
     SPREAD_RETRIES = "heed, returns spread"
-    """It isn't asked; callers come back over as long as the rest took, the urgent first."""
+    """The server is not used; retries are spread over one back-off time, urgent clients first."""
     SHARED_BAN = "told as a ban, returns spread"
-    """What one gateway was asked for holds for all."""
+    """A back-off requested from one gateway applies to all gateways."""
     QUORUM_BAN = "told by several as a ban, returns spread"
-    """What several gateways were asked for holds for all."""
+    """A back-off requested from several gateways applies to all gateways."""
     STAGGERED = "told by several, gateways return by turns"
-    """The same, and each gateway asks again at a moment of its own after the rest."""
+    """As `QUORUM_BAN`, but each gateway resumes after a delay of its own."""
 
 
 _REPORTS_REQUIRED = {
@@ -67,11 +67,11 @@
     BackoffStrategy.QUORUM_BAN: QUORUM_GATEWAYS,
     BackoffStrategy.STAGGERED: QUORUM_GATEWAYS,
 }
-"""Ways in which gateways tell each other, and how many have to."""
+"""Number of gateways that must report a back-off, for strategies that share reports."""
 
 
 class Overload(Enum):
-    """Which servers turn requests away, and until when."""
+    """Which servers reject requests, and for how long."""
 
     ONE = "one server for 8 s"
     ALL = "all servers for 8 s"
@@ -80,19 +80,19 @@
 
 
 class BackoffFigures(msgspec.Struct, frozen=True):
-    """What one play gave.
+    """Results of one run.
 
     Attributes:
-        way: What gateways did.
-        need: Which servers were in need.
-        gateways: How many.
-        served: Share of callers that were served, at their first or second try.
-        urgent_served: The same of the most urgent ones.
-        at_first: Share that was served at its first try.
-        turned_away: Requests that servers turned away, for each caller.
-        sent_in_a_rest: Most requests of one gateway in one rest.
-        worst_second: Most requests to a server in a second after the need, against the usual rate.
-        second_rests: Rests that servers asked for after the need had ended.
+        way: Strategy of the gateways.
+        need: Which servers were overloaded.
+        gateways: Number of gateways.
+        served: Share of clients that were served at their first or second try.
+        urgent_served: The same share among the most urgent clients.
+        at_first: Share of clients that were served at their first try.
+        turned_away: Requests rejected by servers, per client.
+        sent_in_a_rest: Most requests that one gateway sent during one back-off.
+        worst_second: Peak rate at a server after the overload, relative to the usual rate.
+        second_rests: Back-offs requested after the overload had ended.
     """
 
     way: BackoffStrategy
@@ -119,7 +119,7 @@
         self.max_in_second = 0
 
     def accepts(self, now: float, overload: Overload, is_overloaded: bool) -> bool:
-        """Whether it serves a request that reaches it."""
+        """Record a request and return whether the server accepts it."""
         self.arrivals.append(now)
         while self.arrivals[0] <= now - 1.0:
             self.arrivals.popleft()
@@ -135,18 +135,18 @@
 
 
 class BackoffModel:
-    """Gateways before servers of which some, or all, ask for rest."""
+    """One run: gateways in front of servers, of which some or all request a back-off."""
 
     def __init__(
         self, strategy: BackoffStrategy, overload: Overload, gateways: int, seed: int
     ) -> None:
-        """A play.
+        """Initialise a run.
 
         Args:
-            way: What gateways do.
-            need: Which servers are in need.
-            gateways: How many gateways.
-            seed: Of all that is random; the same callers for each way.
+            strategy: Strategy of the gateways.
+            overload: Which servers are overloaded.
+            gateways: Number of gateways.
+            seed: Seed of all random draws; clients are the same for each strategy.
         """
         self._strategy = strategy
         self._overload = overload
@@ -165,7 +165,7 @@
         self._repeated_back_offs = 0
 
     def run(self) -> BackoffFigures:
-        """Play it."""
+        """Run the simulation."""
         self._draw_callers()
         while self._events:
             now, _, caller = heapq.heappop(self._events)
@@ -235,12 +235,12 @@
         )
 
     def _own_back_off_end(self, gateway: int, server: int) -> float:
-        """End of the latest rest that a server asked a gateway for; minus infinity for none."""
+        """End of the latest back-off requested from a gateway by a server; minus infinity if none."""
         known = self._signals[gateway].record(server)
         return known.back_off_until if known is not None else float("-inf")
 
     def _end_back_off(self, gateway: int, server: int, now: float) -> None:
-        """A probe was answered."""
+        """End a back-off early, because a probe was answered."""
         known = self._signals[gateway].record(server)
         assert known is not None
         known.back_off_until = now
@@ -314,11 +314,11 @@
 
 
 def compare_backoffs(sizes: list[int], seed: int) -> list[BackoffFigures]:
-    """Figures of each way at each need.
+    """Results of each strategy under each overload.
 
     Args:
         sizes: Numbers of gateways.
-        seed: Of all that is random.
+        seed: Seed of all random draws.
     """
     return [
         BackoffModel(strategy, overload, size, seed).run()
--- a/src/milletcourse/experiments/backoff_plot.py
+++ b/src/milletcourse/experiments/backoff_plot.py
@@ -1,4 +1,4 @@
-"""Draws what `rest_model` compared."""
+"""Plots the results of `backoff_model`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def plot_backoffs(figures: list[BackoffFigures], directory: Path) -> Path:
-    """Share of callers that were served, by way and number of gateways; one chart for each need.
+    """Plot the share of served clients by strategy and gateways, one chart per overload.
 
     Raises:
         FailureError: `InvalidObject` when the extra `plots` is not installed.
--- a/src/milletcourse/experiments/baselines.py
+++ b/src/milletcourse/experiments/baselines.py
@@ -1,4 +1,4 @@
-"""Routing policies to compare with: each a known way of the field, and an oracle as a bound."""
+"""Baseline routing policies: established algorithms, and an oracle as a bound."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from milletcourse.standins.engine_core import EngineCore
 
 EVENT_INDEX_MAX_QUEUE_FACTOR = 1.5
-"""The index passes over engines whose queue is this much above the mean."""
+"""The index skips engines whose queue exceeds the mean by this factor."""
 
 ORACLE_OVERTAKING_WEIGHT = 0.1
-"""As the shipped router's `overtaking_weight`."""
+"""Equal to the production router's `overtaking_weight`."""
 
 
 class RoutingPolicy(ABC):
-    """One router's decisions."""
+    """Routing decisions of one router."""
 
     imports_from_store = False
 
@@ -39,10 +39,10 @@
 
     @abstractmethod
     def choose(self, arrival: Arrival, now: float) -> Result[str, Failure]:
-        """Pick an engine, or refuse."""
+        """Choose an engine, or refuse the request."""
 
     def usable(self, arrival: Arrival, now: float) -> list[str]:
-        """Permitted engines that did not refuse a connection lately."""
+        """Permitted engines that have not recently refused a connection."""
         return [
             name
             for name in arrival.permission.backend_set.names
@@ -50,11 +50,11 @@
         ]
 
     def queued(self, engine: str, arrival: Arrival, now: float) -> float:
-        """Estimated tokens before this request at an engine; priorities count for all policies."""
+        """Estimated tokens queued ahead of this request; all policies consider priorities."""
         return self.loads.queued_tokens(engine, now, arrival.permission.rules.priority)
 
     def pick(self, engines: Sequence[str], engine: str | None) -> Result[str, Failure]:
-        """A choice, or the refusal when there is none."""
+        """The chosen engine, or a refusal if there is none."""
         if not engines or engine is None:
             return Err(NoEngineAvailable("no permitted engine is live", 1.0))
         return Success(engine)
@@ -70,11 +70,11 @@
         self.loads.on_dispatched(engine, str(arrival.number), tokens, priority, now)
 
     def on_first_token(self, flight: InFlightRequest, now: float) -> None:
-        """The first token passed."""
+        """The first token reached the router."""
         self.loads.on_first_token(flight.engine, str(flight.arrival.number))
 
     def on_finished(self, flight: InFlightRequest, usage: EngineUsage, now: float) -> None:
-        """The answer ended."""
+        """The answer completed."""
         self.loads.on_finished(flight.engine, str(flight.arrival.number))
 
     def on_load(self, engine: str, load: EngineLoad, now: float) -> None:
@@ -84,12 +84,12 @@
     def on_events(
         self, engine: str, incarnation: str, events: list[CacheEvent], now: float
     ) -> None:
-        """Cache events arrived; most policies don't use them."""
+        """Cache events arrived; most policies ignore them."""
         del engine, incarnation, events, now
 
 
 class RoundRobin(RoutingPolicy):
-    """Permitted engines in turn."""
+    """Permitted engines in rotation."""
 
     def __init__(self, cluster: ClusterModel, source: random.Random) -> None:
         super().__init__(cluster, source)
@@ -129,7 +129,7 @@
 
 
 class PrefixHash(RoutingPolicy):
-    """Consistent hashing of the first blocks, without a bound on load."""
+    """Consistent hashing of the first blocks, without a load bound."""
 
     HASHED_BLOCKS = 4
 
@@ -149,7 +149,7 @@
 
 
 class EventIndex(RoutingPolicy):
-    """A full index fed by cache events; the longest match first, the least loaded among equals."""
+    """Complete index fed by cache events: longest match first, then least loaded."""
 
     def __init__(self, cluster: ClusterModel, source: random.Random) -> None:
         super().__init__(cluster, source)
@@ -173,7 +173,7 @@
     def on_events(
         self, engine: str, incarnation: str, events: list[CacheEvent], now: float
     ) -> None:
-        """Keep the index."""
+        """Update the index."""
         self._index.observe_incarnation(engine, incarnation)
         for event in events:
             stored = [bytes.fromhex(block) for block in event.stored]
@@ -183,7 +183,7 @@
 
 
 class Oracle(RoutingPolicy):
-    """Sees true caches, queues and the store: a bound, not a product."""
+    """Bound for comparison: sees the true caches, queues and store contents."""
 
     imports_from_store = True
 
@@ -198,7 +198,7 @@
         return self.pick(engines, best)
 
     def _cost(self, name: str, arrival: Arrival) -> tuple[float, str]:
-        """Time to first token, and the time of recomputing what exists elsewhere."""
+        """Time to first token, plus the time spent on recomputing blocks that exist elsewhere."""
         core = self.cluster.engines[name].core
         chain = arrival.blocks.hashes
         held = core.pool.cached_prefix(chain)
@@ -212,7 +212,7 @@
         return seconds + (before + ORACLE_OVERTAKING_WEIGHT * overtaken) / rate, name
 
     def _queued(self, core: EngineCore, priority: int) -> tuple[int, int]:
-        """Tokens to compute before a new request, and those that it overtakes."""
+        """Tokens computed before a new request, and tokens that it overtakes."""
         before = overtaken = 0
         for request in core.requests.values():
             chain = request.blocks.hashes
@@ -225,6 +225,6 @@
         return before, overtaken
 
     def on_finished(self, flight: InFlightRequest, usage: EngineUsage, now: float) -> None:
-        """Keep everything in the store at once."""
+        """Export all blocks to the store immediately."""
         super().on_finished(flight, usage, now)
         self.cluster.engines[flight.engine].export(flight.arrival.blocks.hashes)
--- a/src/milletcourse/experiments/change_model.py
+++ b/src/milletcourse/experiments/change_model.py
@@ -1,8 +1,8 @@
-"""Model of how a changed configuration reaches the gateways of one zone over narrow links.
+"""Model of the distribution of configuration changes to the gateways of one zone over slow links.
 
-One gateway reads the store, the others follow it. Links share what they carry evenly between the
-transfers that pass them, in both directions together. Callers' traffic isn't modelled: the links'
-widths are what is left by it.
+One gateway reads the store, and the others follow it. Each link divides its bandwidth evenly among
+its transfers, both directions combined. Client traffic is not modelled: the bandwidths are those
+that it leaves over.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 TICK_SECONDS = 0.01
 STORE_MEGABITS = 1000.0
 EMPTY_ANSWER_BYTES = 300
-"""A question and its answer without content."""
+"""Size of a request and its response without content."""
 HOLD_SECONDS = 0.8
 ANSWER_TIMEOUT_SECONDS = 1.2
-"""A held question, or a watch, was given up after this time, whatever had come of its answer."""
+"""A long-poll request or a watch times out after this time, even with a partial response."""
 MAX_PROOF_AGE_SECONDS = 4.6
-"""A gateway refuses keys when its latest proof is older."""
+"""A gateway refuses API keys when its latest proof of freshness is older."""
 COMPRESSION_RATIO = 15
-"""Of configurations with many routes, as `content_patch` compresses them."""
+"""Compression ratio of `content_patch` for configurations with many routes."""
 TREE_FAN_OUT = 3
 MAX_RUN_SECONDS = 60.0
 STORE, READER = 0, 1
@@ -32,27 +32,27 @@
 
 
 class ChangeStrategy(Enum):
-    """How followers learn a change."""
+    """How a change is distributed to followers."""
 
     COPIES = "copies"
-    """Each gets the whole content within the time of one answer, and asks the store when not."""
+    """Each fetches the whole content within one response timeout, and else asks the store."""
     COMPRESSED = "compressed"
-    """Each gets the whole content, compressed, from the reader, however long that takes."""
+    """Each fetches the whole content, compressed, from the reader, without a timeout."""
     PATCHES = "patches"
-    """Each gets what has changed, from the reader."""
+    """Each fetches the changed parts from the reader."""
     TREE = "tree"
-    """Each gets what has changed, from the reader or from a gateway that has it."""
+    """Each fetches the changed parts from the reader or from a gateway that has them."""
 
 
 class ChangeSetting(msgspec.Struct, frozen=True):
-    """What is compared.
+    """Parameters of a run.
 
     Attributes:
-        gateways: Gateways of the zone.
-        content_bytes: The whole configuration.
-        changed_bytes: What each change replaces of it.
-        reader_megabits: Link of the reader.
-        megabits: Link of each other gateway.
+        gateways: Number of gateways in the zone.
+        content_bytes: Size of the whole configuration.
+        changed_bytes: Bytes replaced by each change.
+        reader_megabits: Bandwidth of the reader's link in Mbit/s.
+        megabits: Bandwidth of each other gateway's link in Mbit/s.
         interval: Seconds between changes.
         changes: Number of changes.
     """
@@ -67,14 +67,14 @@
 
 
 class ChangeFigures(ChangeSetting, frozen=True, kw_only=True):
-    """What some changes in a row cost.
+    """Results for a series of changes.
 
     Attributes:
-        way: How followers learn them.
+        way: Strategy that distributes the changes.
         reader_megabytes: Bytes over the reader's link.
         store_megabytes: Bytes over the store's link.
-        known_after: Seconds until all had the last change, infinite when not all ever did.
-        refused_share: Part of all gateways' time in which their proofs were too old for keys.
+        known_after: Seconds until all gateways have the last change; infinite if some never do.
+        refused_share: Share of gateway time in which the proof was too old to accept API keys.
     """
 
     way: ChangeStrategy
@@ -85,7 +85,7 @@
 
 
 class ChangeModel:
-    """One zone; transfers go from one machine to another, machine 0 is the store."""
+    """One zone; transfers run between machines, of which machine 0 is the store."""
 
     def __init__(self, strategy: ChangeStrategy, setting: ChangeSetting, seed: int) -> None:
         self._strategy = strategy
@@ -100,13 +100,13 @@
         self._remaining_bytes = np.zeros(machines)
         self._deadline = np.full(machines, math.inf)
         self._wanted_version = np.zeros(machines, dtype=int)
-        """Version that a transfer brings."""
+        """Version that a transfer delivers."""
         self._held_version = np.zeros(machines, dtype=int)
         self._proved_at = np.zeros(machines)
         self._transferred_bytes = np.zeros(machines)
 
     def run(self) -> ChangeFigures:
-        """All changes, until everybody has the last one or nobody will."""
+        """Run until all gateways have the last change, or the time limit is reached."""
         setting = self._setting
         now, version, refused, last_at = 0.0, 0, 0.0, 0.0
         while now < MAX_RUN_SECONDS:
@@ -134,7 +134,7 @@
         )
 
     def _start_missing_transfers(self, now: float, version: int) -> None:
-        """Machines without a transfer that lack a version ask for it."""
+        """Start a transfer to each idle machine that lacks the current version."""
         for machine in range(READER, len(self._held_version)):
             if self._source[machine] != NO_SOURCE or self._held_version[machine] >= version:
                 continue
@@ -164,7 +164,7 @@
     def _answer_deadline(self, now: float) -> float:
         if self._strategy is not ChangeStrategy.COPIES:
             return math.inf
-        # The question had been held for some time when the change came.
+        # The long-poll request had already been pending for some time when the change arrived.
         return now + ANSWER_TIMEOUT_SECONDS - HOLD_SECONDS * self._random.random()
 
     def _start(self, machine: int, source: int, version: int, size: float, deadline: float) -> None:
@@ -189,7 +189,7 @@
                 self._held_version[machine] = self._wanted_version[machine]
                 self._source[machine] = NO_SOURCE
             elif now >= self._deadline[machine]:
-                # All that came is thrown away, and the other side is asked.
+                # The partial response is discarded, and the other source is asked.
                 source = STORE if self._source[machine] == READER else READER
                 if self._held_version[READER] <= self._held_version[machine]:
                     source = STORE
@@ -203,7 +203,7 @@
                 )
 
     def _update_proofs(self, now: float, version: int) -> None:
-        """Whoever waits for nothing is proved; with announcements, so is who waits for content."""
+        """Renew the proof of current gateways and, with announcements, of those awaiting content."""
         reader_is_current = self._held_version[READER] == version
         for machine in range(READER, len(self._held_version)):
             has_all = self._held_version[machine] == version
@@ -224,14 +224,14 @@
     ChangeSetting(140, 30_000_000, 30_000_000, 100.0, 100.0, 10.0),
     ChangeSetting(27, 1_000, 1_000, 100.0, 5.0),
 )
-"""Zones of 27 (79 gateways), 65 (195) and 140 (420), and the rig's of twelve."""
+"""Zones of 27 (of 79 gateways), 65 (195) and 140 (420), and the test rig's zone of 12."""
 
 
 def compare_changes(seed: int) -> list[ChangeFigures]:
-    """Figures of each way in each setting.
+    """Results of each strategy in each setting.
 
     Args:
-        seed: Of all that is random.
+        seed: Seed of all random draws.
     """
     return [
         ChangeModel(strategy, setting, seed).run()
@@ -241,7 +241,7 @@
 
 
 def min_transfer_seconds(setting: ChangeSetting) -> float:
-    """The least time over the reader's link, for patches from the reader alone."""
+    """Lower bound of the time over the reader's link, if the reader alone sends patches."""
     patch = setting.changed_bytes / COMPRESSION_RATIO + EMPTY_ANSWER_BYTES
     transferred = setting.content_bytes + patch * (setting.gateways - 1)
     return transferred * 8 / (setting.reader_megabits * 1e6)
--- a/src/milletcourse/experiments/cluster_model.py
+++ b/src/milletcourse/experiments/cluster_model.py
@@ -1,4 +1,4 @@
-"""Discrete-event model of engines and a KV store; the same engine core as everywhere else."""
+"""Discrete-event model of engines and a KV store, using the stand-ins' engine core."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class FarImports(StrEnum):
-    """What an engine does with blocks that a store in another place has.
+    """How an engine imports blocks that only a store in another place holds.
 
-    AWAITED: the request waits for them.
+    AWAITED: the request waits for the blocks.
     CHEAPER: the request waits when that is faster than computing them.
-    UNLIMITED: the request computes at once; the blocks are fetched for later requests.
+    UNLIMITED: the request computes immediately; the blocks are fetched for later requests.
     ONE_IN_FLIGHT: the same, with at most one such fetch an engine at a time, after cluster-aware
         random stealing (van Nieuwpoort, Kielmann and Bal, PPoPP 2001).
-    NONE: nothing is fetched from afar.
+    NONE: nothing is fetched from another place.
     """
 
     AWAITED = "awaited"
@@ -42,7 +42,7 @@
 
 
 class Timeline:
-    """Event queue of the model."""
+    """Event queue with virtual time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -50,11 +50,11 @@
         self._counter = itertools.count()
 
     def at(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action at a time."""
+        """Schedule an action at a time."""
         heapq.heappush(self._queue, (seconds, next(self._counter), action))
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action after a delay."""
+        """Schedule an action after a delay."""
         self.at(self.now + seconds, action)
 
     def run(self, until: float) -> None:
@@ -66,14 +66,14 @@
 
 @dataclass(slots=True)
 class InFlightRequest:
-    """One request on its way.
+    """One request in flight.
 
     Attributes:
         arrival: The request.
         engine: Name of the engine.
         live_copy_tokens: Ground truth: computed although a permitted, live copy existed.
         recomputed_tokens: Ground truth: computed although the same block was computed before.
-        first_token_at: Time of the first token, None before.
+        first_token_at: Time of the first token; None until then.
         cached_tokens: Tokens found cached.
     """
 
@@ -88,14 +88,14 @@
 
 @dataclass(slots=True)
 class StoreModel:
-    """KV store contents."""
+    """Contents of the KV store."""
 
     blocks: dict[BlockHash, None] = field(default_factory=dict)
     down: bool = False
     capacity_blocks: int = 20_000
 
     def held_prefix(self, chain: Sequence[BlockHash]) -> int:
-        """Number of leading blocks that are kept."""
+        """Number of leading blocks of a chain that the store holds."""
         if self.down:
             return 0
         for index, block in enumerate(chain):
@@ -104,7 +104,7 @@
         return len(chain)
 
     def put(self, blocks: Sequence[BlockHash]) -> None:
-        """Keep blocks, dropping the oldest."""
+        """Store blocks, evicting the oldest."""
         if self.down:
             return
         for block in blocks:
@@ -135,7 +135,7 @@
         self._published = 1
 
     def submit(self, flight: InFlightRequest, import_from_store: bool) -> None:
-        """A request arrives at the engine."""
+        """Submit a request to the engine."""
         arrival = flight.arrival
         request = EngineRequest(
             request_id=str(arrival.number),
@@ -155,12 +155,12 @@
         self._start_step()
 
     def _missing_in_store(self, arrival: Arrival) -> int:
-        """Blocks that the store has and the engine lacks."""
+        """Number of blocks that the store holds and the engine lacks."""
         chain = arrival.blocks.hashes
         return self._cluster.store.held_prefix(chain) - self.core.pool.cached_prefix(chain)
 
     def _seconds_per_block(self) -> float:
-        """Time to import one block; from afar each block is a round trip of its own."""
+        """Time to import one block; from another place, each block takes a separate round trip."""
         return self.core.profile.import_seconds_per_block + self.store_latency_seconds
 
     def _awaits_import(self) -> bool:
@@ -210,7 +210,7 @@
         self._cluster.timeline.after(duration, lambda: self._finish(core))
 
     def _note_started(self, before: set[str]) -> None:
-        """Ground truth of waste, at the moment a request's computation starts."""
+        """Record the ground truth of wasted tokens when a request's computation starts."""
         for request in self.core._step:
             flight = self.flights[request.request_id]
             if request.request_id not in before or flight.started:
@@ -239,7 +239,7 @@
         self._start_step()
 
     def export(self, chain: Sequence[BlockHash]) -> None:
-        """Send cached blocks to the store; takes the link like an import."""
+        """Export cached blocks to the store; takes as long per block as an import."""
         held = chain[: self.core.pool.cached_prefix(chain)]
         new = [block for block in held if block not in self._cluster.store.blocks]
         if not new:
@@ -254,7 +254,7 @@
         self._cluster.timeline.after(seconds, done)
 
     def crash(self) -> list[InFlightRequest]:
-        """The engine dies; returns the requests it had."""
+        """Crash the engine and return the requests that it was running."""
         lost = list(self.flights.values())
         self.flights.clear()
         self.up = False
@@ -268,7 +268,7 @@
         return lost
 
     def restart(self) -> None:
-        """It is back, empty."""
+        """Restart the engine with an empty cache."""
         self.up = True
 
     def new_events(self) -> list[CacheEvent]:
@@ -280,7 +280,7 @@
 
 
 class ClusterModel:
-    """Engines and store with the hooks that a policy listens to."""
+    """Engines and a store, with events for one listener."""
 
     def __init__(
         self,
@@ -313,18 +313,18 @@
         return best
 
     def on_first_token(self, flight: InFlightRequest) -> None:
-        """Pass on."""
+        """Forward the event to the listener."""
         if self.listener is not None:
             self.listener.on_first_token(flight)
 
     def on_finished(self, flight: InFlightRequest, usage: EngineUsage) -> None:
-        """Note and pass on."""
+        """Record the request and forward the event to the listener."""
         self.finished.append((flight, usage, self.timeline.now))
         if self.listener is not None:
             self.listener.on_finished(flight, usage)
 
     def start_publishing(self) -> None:
-        """Engines publish events and load reports from now on."""
+        """Start publishing cache events and load reports."""
         self._publish()
 
     def _publish(self) -> None:
@@ -358,13 +358,13 @@
 
 
 class ClusterListener:
-    """What a routing policy may hear of the cluster."""
+    """Events of the cluster that routing policies can observe."""
 
     def on_first_token(self, flight: InFlightRequest) -> None:
-        """A request's first token passed its router."""
+        """A request's first token reached its router."""
 
     def on_finished(self, flight: InFlightRequest, usage: EngineUsage) -> None:
-        """A request's answer ended."""
+        """A request's answer completed."""
 
     def on_load(self, engine: str, load: EngineLoad) -> None:
         """A load report arrived."""
--- a/src/milletcourse/experiments/containment_model.py
+++ b/src/milletcourse/experiments/containment_model.py
@@ -1,8 +1,9 @@
-"""Compares ways to contain requests that end servers, in a small model of a fleet.
+"""Model of a fleet that compares strategies for containing requests that crash servers.
 
-Each gateway runs the product's own evidence and messages; servers, callers and the network are made
-up. Innocent work runs beside: streams of a caller's own content, and popular requests that many
-callers share. It is cut by each end of a server, and half of it comes again.
+Each gateway runs the production evidence and messages; servers, clients and the network are
+simulated. Unrelated requests run at the same time: streams with content of their own, and popular
+requests that many clients share. Each crash of a server interrupts them, and half of them are
+retried.
 """
 
 from __future__ import annotations
@@ -22,39 +23,39 @@
 
 ZONES = 3
 GATEWAYS_PER_SERVER = 1.6
-"""As in the fleets that run today: 79 gateways before 45 servers."""
+"""As in production fleets: 79 gateways for 45 servers."""
 SERVER_DOWN_SECONDS = 3.5
 CRASH_DELAY_SECONDS = 0.1
-"""From the begin of a request to the end of its server."""
+"""From the start of a request to the crash of its server."""
 RUNNING_PER_SERVER = 6
 STREAM_SECONDS = 2.0
-"""Mean time of an innocent stream."""
+"""Mean duration of an unrelated stream."""
 POPULAR_SHARE = 0.2
 POPULAR_REQUESTS = 5
 RETRY_SHARE = 0.5
-"""Innocent work that was cut and is sent again."""
+"""Share of interrupted unrelated requests that are retried."""
 RETRY_DELAY_SECONDS = 0.3
 LATE_SEND_SECONDS = 4.0
-"""Sends count as late this long after the third end."""
+"""A send counts as late this long after the third crash."""
 REPEAT_DELAY_SECONDS = (0.3, 2.0)
-"""A caller whose request ended a server comes again after so long."""
+"""Range of the delay after which a client repeats a request that crashed a server."""
 IMMEDIATE_REPEAT_DELAY_SECONDS = (0.02, 0.1)
-"""Some callers repeat at once."""
+"""Range of the delay for clients that repeat immediately."""
 WARM_UP_SECONDS = 2.0
 RUN_SECONDS = 20.0
 EVENT_TIMES_SECONDS = (5.0, 7.0, 9.0)
-"""When crashes that nobody caused, cuts or restarts happen."""
+"""Times of spontaneous crashes, partitions and restarts."""
 EVENT_CRASH_SHARE = 0.2
 PARTITION_SECONDS = 4.0
 RATE_WINDOW_SECONDS = 10.0
-"""The rate of all ends is taken over this time."""
+"""The rate of all crashes is measured over this time."""
 MAX_ATTEMPTS = 4
-"""Servers that an innocent request is sent to, its client's own repeats included."""
+"""Attempts of an unrelated request, including the retries of its client."""
 FIRST_UNRELATED_IDENTITY = 1_000
 
 
 class Trouble(Enum):
-    """What happens beside."""
+    """Disturbance during the run."""
 
     CALM = "calm"
     AT_ONCE = "repeated at once"
@@ -65,18 +66,18 @@
 
 
 class ContainmentFigures(msgspec.Struct, frozen=True):
-    """What one play gave.
+    """Results of one run.
 
     Attributes:
-        way: How requests were judged.
-        trouble: What happened beside.
-        gateways: How many.
-        crashing: Requests that end servers.
-        most_ends: Most servers that ended under one of them.
-        most_late: Most sends of one of them later than `LATE_SEND_SECONDS` after its third end.
-        innocent_cut: Innocent requests that a server's end cut, in 1,000.
-        innocent_refused: Innocent requests that were refused, in 1,000.
-        seconds_to_know: Longest time from a third end until all gateways refuse; -1 for never.
+        way: Strategy that judged the requests.
+        trouble: Injected disturbance.
+        gateways: Number of gateways.
+        crashing: Number of requests that crash servers.
+        most_ends: Most servers crashed by one of them.
+        most_late: Most sends of one of them later than `LATE_SEND_SECONDS` after its third crash.
+        innocent_cut: Unrelated requests interrupted by a crash, per 1,000.
+        innocent_refused: Unrelated requests that were refused, per 1,000.
+        seconds_to_know: Longest time from a third crash until all gateways refuse; -1 for never.
     """
 
     way: Strategy
@@ -119,19 +120,19 @@
 
 
 class ContainmentModel:
-    """One play of one way."""
+    """One run of one strategy."""
 
     def __init__(
         self, strategy: Strategy, trouble: Trouble, gateways: int, crashing: int, seed: int
     ) -> None:
-        """A play.
+        """Initialise a run.
 
         Args:
-            way: How requests are judged.
-            trouble: What happens beside.
-            gateways: How many gateways.
-            crashing: How many requests end servers, each with one caller.
-            seed: Of all that is random.
+            strategy: Strategy that judges the requests.
+            trouble: Injected disturbance.
+            gateways: Number of gateways.
+            crashing: Number of requests that crash servers, each sent by one client.
+            seed: Seed of all random draws.
         """
         self._strategy = strategy
         self._trouble = trouble
@@ -151,7 +152,7 @@
         self._callers = [_Caller(number, repeat_delay) for number in range(crashing)]
 
     def run(self) -> ContainmentFigures:
-        """Play it."""
+        """Run the simulation."""
         started_at = self._now
         for name in self._names:
             self._start(name)
@@ -174,7 +175,7 @@
         heapq.heappush(self._queue, (self._now + seconds, next(self._order), action))
 
     def _advance(self) -> None:
-        """One tick of all gateways, and what comes due before it."""
+        """Run the events due before the next tick, then tick all gateways."""
         until = self._now + TICK_SECONDS
         while self._queue and self._queue[0][0] <= until:
             self._now, _, action = heapq.heappop(self._queue)
@@ -201,7 +202,7 @@
         exchange.set_gateways(others, [other for other in self._names[:ZONES] if other != name])
 
     def _crashes_per_second(self) -> float:
-        """Ends of one server in a second, of late."""
+        """Recent crash rate of one server."""
         recent = [at for at in self._crash_times if self._now - at < RATE_WINDOW_SECONDS]
         return len(recent) / RATE_WINDOW_SECONDS / len(self._servers)
 
@@ -212,7 +213,7 @@
             if all(self._is_contained(name, caller.identity) for name in self._names):
                 caller.contained_at = self._now
 
-    # -- what happens beside --------------------------------------------------------------------
+    # -- disturbances ---------------------------------------------------------------------------
 
     def _apply_trouble(self) -> None:
         if self._trouble is Trouble.CRASHES:
@@ -235,7 +236,7 @@
         return self._exchanges[gateway].evidence.containment(identity, self._now) is not None
 
     def _choose(self, gateway: str, identity: int) -> _Server | None:
-        """A server for a request; None when there is none that it may go to."""
+        """Choose a server for a request; None if no server may run it."""
         servers = self._servers
         if self._strategy is Strategy.ISOLATION:
             suspected = self._exchanges[gateway].evidence.crash_count(identity) > 0
@@ -246,7 +247,7 @@
         return self._random.choice(live) if live else None
 
     def _send_crashing_request(self, caller: _Caller) -> None:
-        """A caller's request that ends servers."""
+        """Send a client's request that crashes servers."""
         gateway = self._random.choice(self._names)
         repeat_after = self._random.uniform(*caller.repeat_delay_seconds)
         server = None
@@ -272,7 +273,7 @@
         self._crash(server)
 
     def _crash(self, server: _Server) -> None:
-        """A server ends with all that it has."""
+        """Crash a server with all of its requests."""
         if server.down_until > self._now:
             return
         self._crash_times.append(self._now)
@@ -296,7 +297,7 @@
         self._schedule(RETRY_DELAY_SECONDS, lambda: self._send(work.identity, work.attempts + 1))
 
     def _send_new_request(self) -> None:
-        """A new innocent request."""
+        """Send a new unrelated request."""
         self._unrelated += 1
         identity = next(self._identities)
         if self._random.random() < POPULAR_SHARE:
@@ -352,12 +353,12 @@
 def compare_containment(
     sizes: list[int], crashing: list[int], seed: int
 ) -> list[ContainmentFigures]:
-    """Each way under each trouble, on the same seeds.
+    """Results of each strategy under each disturbance, with the same seeds.
 
     Args:
         sizes: Numbers of gateways.
-        crashing: Numbers of requests that end servers.
-        seed: Of all that is random.
+        crashing: Numbers of requests that crash servers.
+        seed: Seed of all random draws.
     """
     return [
         ContainmentModel(strategy, trouble, size, count, seed).run()
--- a/src/milletcourse/experiments/containment_strategies.py
+++ b/src/milletcourse/experiments/containment_strategies.py
@@ -1,4 +1,4 @@
-"""Ways to tell requests that end servers from those beside them, for `containment_model`."""
+"""Strategies that identify requests which crash servers, compared by `containment_model`."""
 
 from __future__ import annotations
 
@@ -14,38 +14,39 @@
 )
 
 PRIOR_CRASHES_PER_SECOND = 1 / 600
-"""Rate at which a server ends by itself, before any was seen to."""
+"""Assumed rate of spontaneous crashes of a server before any has been observed."""
 MIN_RUN_SECONDS = 0.05
-"""Shorter runs are taken for this long: messages take some time."""
+"""Shorter runs count as this long, because messages take some time."""
 CONTAINMENT_LOG_LIKELIHOOD = math.log(1e4)
-"""Evidence at which a request is taken to end servers: ten thousand to one."""
+"""Evidence at which a request is contained: odds of ten thousand to one."""
 CERTAIN_CRASHES = 6
-"""With this many ends in a row no rate of crashes is an excuse."""
+"""This many consecutive crashes suffice, whatever the rate of all crashes."""
 
 
 class Strategy(Enum):
-    """How gateways take what ran on servers that ended."""
+    """How gateways judge requests that ran on crashed servers."""
 
     NONE = "none"
-    """Nothing is remembered."""
+    """No evidence is kept."""
     COUNT = "count of ends"
-    """Three servers that ended under it, whatever was answered in between."""
+    """Three crashes while running the request, regardless of answers in between."""
     CONSECUTIVE = "in turn"
-    """What the product does: three without an answer in between, two begun after the first."""
+    """The production rule: three crashes without an answer in between, at least two of them in
+    runs that started after the first crash."""
     LIKELIHOOD = "likelihood ratio"
-    """Ends in a row against those expected from the rate of all crashes and the time it ran."""
+    """Consecutive crashes against those expected from the rate of all crashes and the run time."""
     ISOLATION = "isolation"
-    """As in turn, but after a first end it runs at one server only, until it is cleared."""
+    """As `CONSECUTIVE`, but after its first crash a request runs on one server until cleared."""
 
 
 def containment_rule(
     strategy: Strategy, crashes_per_second: Callable[[], float]
 ) -> ContainmentRule:
-    """The rule of a way.
+    """Containment rule of a strategy.
 
     Args:
-        way: The way.
-        ends_a_second: Tells the rate at which a server ends, as it was seen of late.
+        strategy: The strategy.
+        crashes_per_second: Returns the recently observed crash rate of a server.
     """
     if strategy is Strategy.COUNT:
         return lambda crashes, _: len(crashes) >= CONTAINMENT_CRASHES
@@ -61,7 +62,7 @@
 def _is_unlikely(
     crashes: Collection[ServerCrash], was_answered: bool, crashes_per_second: float
 ) -> bool:
-    """Whether the ends are too many for a request that has nothing to do with them."""
+    """Whether an unrelated request is unlikely to have seen so many crashes."""
     if not sequential_crashes(crashes, was_answered):
         return False
     if len(crashes) >= CERTAIN_CRASHES:
--- a/src/milletcourse/experiments/faults.py
+++ b/src/milletcourse/experiments/faults.py
@@ -1,4 +1,4 @@
-"""Faults as a second axis of the experiments."""
+"""Fault plans, the second axis of the routing experiments."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPlan:
-    """What goes wrong in one run.
+    """Faults injected in one run.
 
     Attributes:
-        event_delay_seconds: Events are this late.
-        event_loss: Share of events lost.
+        event_delay_seconds: Delay of cache events.
+        event_loss: Share of lost cache events.
         shift: Whether hot prefixes shift.
         crash: Whether an engine crashes, twice.
         store_down: Whether the KV store is down for the middle third.
-        zone_cut: Whether a zone's engines can't be reached for the middle third.
+        zone_cut: Whether one zone's engines are unreachable for the middle third.
     """
 
     event_delay_seconds: float = 0.3
--- a/src/milletcourse/experiments/limit_model.py
+++ b/src/milletcourse/experiments/limit_model.py
@@ -1,8 +1,8 @@
-"""Compares ways in which many gateways keep one tenant within its limit, in a small model.
+"""Model that compares strategies with which many gateways enforce one tenant's limit.
 
-The model runs the product's own accounts and load messages for each gateway, on a clock of its own;
-only the requests and the network are made up. Requests reach gateways unevenly, as clients that are
-spread by hashing do.
+The model runs the production accounting and load messages for each gateway on a virtual clock; only
+the requests and the network are simulated. Requests are spread unevenly over the gateways, like
+clients that are distributed by hashing.
 """
 
 from __future__ import annotations
@@ -29,34 +29,34 @@
 TENANT = "tenant-1"
 ZONES = 3
 LIMIT_PER_SECOND = 300_000.0
-"""Tokens a second, with as much again as burst: a large tenant of a fleet of eighty gateways."""
+"""Tokens per second, and an equal burst: a large tenant of a fleet of eighty gateways."""
 USUAL_SHARE = 1 / 1.8
-"""What the tenant usually sends, as a share of its limit."""
+"""Usual rate of the tenant, as a share of its limit."""
 HOT_FACTOR = 5.0
-"""What it sends when it is hot, against the usual."""
+"""Rate of a hot tenant, relative to the usual rate."""
 MEAN_TOKENS = 9_000
 TOKENS_SIGMA = 0.8
-"""Spread of the requests' sizes: the standard deviation of their logarithm."""
+"""Standard deviation of the logarithm of the request size."""
 WINDOW_SECONDS = 8.0
-"""What is admitted is judged in each window of this length."""
+"""Admitted tokens are evaluated in each window of this length."""
 TOLERANCE = LimitTolerance(WINDOW_SECONDS, 0.1, LIMIT_PER_SECOND / 3)
-"""What may be admitted beyond the limit: 1.137 of a window in all."""
+"""Permitted excess over the limit: 1.137 of a window in total."""
 CLIENTS_PER_GATEWAY = 3
-"""Clients are spread by hashing, so gateways have uneven numbers of them."""
+"""Clients are distributed by hashing, so their number per gateway varies."""
 START_UP_SECONDS = 2.0
-"""Gateways are up and know each other when the first requests come."""
+"""The gateways have discovered each other before the first requests arrive."""
 WARM_UP_SECONDS = 4.0
-"""A hot tenant is hot from here on."""
+"""A hot tenant is hot from this time on."""
 RUN_SECONDS = 24.0
 EVENT_SECONDS = 8.0
-"""When cuts, restarts and changes of the limit happen."""
+"""Time of partitions, restarts and limit changes."""
 PARTITION_SECONDS = 8.0
 DOWN_SECONDS = 0.6
-"""A killed gateway is back after this time."""
+"""Time for which a killed gateway is down."""
 
 
 class Trouble(Enum):
-    """What happens to the gateways."""
+    """Disturbance of the gateways or of the limit."""
 
     USUAL = "usual load"
     HOT = "hot"
@@ -66,15 +66,15 @@
 
 
 class LimitFigures(msgspec.Struct, frozen=True):
-    """What one play gave.
+    """Results of one run.
 
     Attributes:
-        way: How the limit was shared.
-        trouble: What happened.
-        gateways: How many.
+        way: Strategy that shared the limit.
+        trouble: Injected disturbance.
+        gateways: Number of gateways.
         over: Most tokens admitted in a window, as a share of rate x window + burst.
-        admitted: Tokens admitted, as a share of what one bucket for all would have admitted.
-        bytes_a_second: Sent by a gateway on the mean.
+        admitted: Tokens admitted, as a share of those that one global bucket would admit.
+        bytes_a_second: Mean bytes per second sent by a gateway.
     """
 
     way: Strategy
@@ -86,7 +86,7 @@
 
 
 class _IdealBucket:
-    """One bucket for all gateways, which knows everything at once."""
+    """One global bucket for all gateways, updated without delay."""
 
     def __init__(self, limit: TenantLimit, now: float) -> None:
         self.limit = limit
@@ -103,16 +103,16 @@
 
 
 class LimitModel:
-    """One tenant's requests at many gateways."""
+    """One run: requests of one tenant at many gateways."""
 
     def __init__(self, strategy: Strategy, trouble: Trouble, gateways: int, seed: int) -> None:
-        """A play.
+        """Initialise a run.
 
         Args:
-            way: How the limit is shared.
-            trouble: What happens.
-            gateways: How many gateways.
-            seed: Of all that is random.
+            strategy: Strategy that shares the limit.
+            trouble: Injected disturbance.
+            gateways: Number of gateways.
+            seed: Seed of all random draws.
         """
         self._strategy = strategy
         self._trouble = trouble
@@ -151,7 +151,7 @@
         return TenantRecord(TENANT, limit=self._limit)
 
     def run(self) -> LimitFigures:
-        """Play it, and judge what was admitted."""
+        """Run the simulation and evaluate the tokens that were admitted."""
         now = 0.0
         while now < RUN_SECONDS:
             now += TICK_SECONDS
@@ -230,10 +230,10 @@
                         self._loads[receiver].on_message(outgoing.message, now)
 
     def _max_tokens_in_window(self) -> float:
-        """Most tokens in a window; after a lower limit, as a share that counts against it."""
+        """Most tokens in a window; once the limit is lowered, scaled to the original limit."""
         times = [at for at, _ in self._admitted]
         lowered = self._trouble is Trouble.LOWERED
-        # A lower limit binds one window later.
+        # A lowered limit is enforced one window after the change.
         first = bisect_left(times, EVENT_SECONDS + WINDOW_SECONDS) if lowered else 0
         maximum = max(window_sums(self._admitted[first:], WINDOW_SECONDS), default=0.0)
         return maximum * (3.0 if lowered else 1.0)
@@ -244,11 +244,11 @@
 
 
 def compare_limit_strategies(sizes: list[int], seed: int) -> list[LimitFigures]:
-    """Figures of each way under each trouble.
+    """Results of each strategy under each disturbance.
 
     Args:
         sizes: Numbers of gateways.
-        seed: Of all that is random; the same requests for each way.
+        seed: Seed of all random draws; requests are the same for each strategy.
     """
     return [
         LimitModel(strategy, trouble, size, seed).run()
--- a/src/milletcourse/experiments/limit_strategies.py
+++ b/src/milletcourse/experiments/limit_strategies.py
@@ -1,4 +1,4 @@
-"""Ways in which gateways can share a tenant's limit, for `limit_model` to compare."""
+"""Strategies with which gateways share a tenant's limit, compared by `limit_model`."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from milletcourse.exchange.load.load_exchange import LoadExchange
 
 UNLIMITED_PER_SECOND = 1e9
-"""What comes into a bucket that is full at each tick: a thousand times what a tenant sends here."""
+"""Refill rate that keeps a bucket full: a thousand times what a tenant sends in this model."""
 
 
 class Strategy(Enum):
     """How gateways share a limit."""
 
     NONE = "none"
-    """Nobody keeps it."""
+    """The limit is not enforced."""
     EQUAL_SHARES = "equal parts"
-    """Each gateway keeps an equal part of it, and needs no messages."""
+    """Each gateway enforces an equal share and needs no messages."""
     DEMAND_SHARES = "parts by demand"
-    """Parts follow what gateways spent lately (flow proportional share, in Raghavan's terms)."""
+    """Shares follow recent usage (flow proportional share in Raghavan's terms)."""
     SUMMED_USAGE = "summed use"
-    """What the product does: each drains a copy of the whole bucket by what all tell."""
+    """The production strategy: each drains a copy of the whole bucket by all reported usage."""
 
 
 class NoLimit:
-    """Nobody keeps the limit."""
+    """Usage source that disables the limit."""
 
     def peer_usage(self, key: int, own_per_second: float, now: float) -> PeerUsage:
         """See `UsageSource`."""
@@ -34,7 +34,7 @@
 
 
 class EqualShares:
-    """Each gateway has the same part, and knows nothing of the others."""
+    """Each gateway has the same share and no information about the others."""
 
     def __init__(self, gateways: int) -> None:
         self._gateways = gateways
@@ -45,7 +45,7 @@
 
 
 class DemandShares:
-    """A gateway's part follows what it spent of late, against the others."""
+    """A gateway's share follows its recent usage relative to the others."""
 
     def __init__(self, loads: LoadExchange, gateways: int) -> None:
         self._loads = loads
@@ -68,4 +68,4 @@
     Strategy.DEMAND_SHARES: DemandShares,
     Strategy.SUMMED_USAGE: lambda loads, gateways: SummedPeerUsage(loads, lambda: gateways),
 }
-"""What a gateway knows in each way, by its load messages and the number of gateways."""
+"""Usage source of each strategy, built from the load exchange and the number of gateways."""
--- a/src/milletcourse/experiments/parameters.py
+++ b/src/milletcourse/experiments/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters of the experiments, read from the files in `examples/`."""
+"""Parameters of the experiments, loaded from the files in `examples/`."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     Attributes:
         name: Name of the level.
         blocks: Blocks that it adds.
-        variants: Number of different contents.
+        variants: Number of distinct contents.
         per: `group` when all tenants of a sharing group have the same contents, else `tenant`.
-        zipf: Skew of the variants' popularity; 0 for even.
+        zipf: Zipf exponent of the variants' popularity; 0 for uniform.
         shifts: Whether its contents are replaced at the shift.
         grows: Whether each request adds a block to its variant.
     """
@@ -39,7 +39,7 @@
 
 
 class RequestClass(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind of request with its arrivals.
+    """A class of requests and its arrival rate.
 
     Attributes:
         name: Request class, as workloads match it.
@@ -47,7 +47,7 @@
         levels: Nested prefix, outermost first.
         tail_tokens: Prompt tokens after the last block.
         output_tokens: Tokens to generate.
-        goodput_seconds: A first token within this time counts as good.
+        goodput_seconds: Bound of the time to first token for goodput.
     """
 
     name: str
@@ -70,12 +70,12 @@
     classes: tuple[RequestClass, ...]
 
     def profile(self) -> EngineProfile:
-        """Speeds of the engines."""
+        """Performance profile of the engines."""
         return msgspec.convert(self.engine, EngineProfile)
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """Policy objects and arrivals of one deployment."""
+    """Policy objects and workload of one deployment."""
 
     name: str
     objects: tuple[ObjectDocument, ...]
@@ -83,7 +83,7 @@
 
 
 def load_deployment(name: str) -> Deployment:
-    """Read a deployment's files.
+    """Load the files of a deployment.
 
     Raises:
         FailureError: `InvalidObject`.
--- a/src/milletcourse/experiments/production_policy.py
+++ b/src/milletcourse/experiments/production_policy.py
@@ -1,4 +1,4 @@
-"""The shipped router's decisions as a routing policy of the experiments."""
+"""The production router's decisions as a routing policy of the experiments."""
 
 from __future__ import annotations
 
@@ -118,7 +118,7 @@
             self._resynchronise(engine, incarnation)
 
     def _resynchronise(self, engine: str, incarnation: str) -> None:
-        """What `EngineFollower` does after a gap: ask the engine for its list."""
+        """Fetch the engine's list of blocks after a gap, as `EngineFollower` does."""
         core = self.cluster.engines[engine].core
         if core.incarnation != incarnation:
             return
--- a/src/milletcourse/experiments/report.py
+++ b/src/milletcourse/experiments/report.py
@@ -14,7 +14,7 @@
 
 
 def summarize(results: list[RunResult]) -> SummaryRow:
-    """Medians over the runs of one policy."""
+    """Summarise the runs of one policy by medians over seeds."""
     return {
         "hit_rate": round(statistics.median(item.hit_rate for item in results), 4),
         "wasted_tokens": int(statistics.median(item.wasted_tokens for item in results)),
@@ -35,10 +35,10 @@
 
 
 def least_share(result: RunResult) -> float:
-    """The worst-off tenant's served tokens by its weighted fair share; 1 is fair.
+    """Lowest ratio of served tokens to weighted fair share over all tenants; 1 is fair.
 
-    The fair share fills up what was served in proportion to the weights, and gives no tenant more
-    than it asked for.
+    Fair shares divide all served tokens in proportion to the weights, and give no tenant more than
+    it requested.
     """
     fair = fair_shares(
         sum(result.tenant_tokens.values()), result.tenant_demand, result.tenant_weights
@@ -63,7 +63,7 @@
 
 
 def table(rows: dict[str, SummaryRow]) -> str:
-    """A Markdown table, one policy a line."""
+    """Render a Markdown table with one policy per line."""
     classes = sorted({name for row in rows.values() for name in row["ttft_p99_seconds"]})
     head = ["policy", "hit rate", "wasted", "live copy", "goodput/s"]
     head += [f"{name} p50" for name in classes] + [f"{name} p99" for name in classes]
@@ -85,7 +85,7 @@
 
 
 def plot(rows: dict[str, SummaryRow], title: str, directory: Path) -> list[Path]:
-    """Bar charts of waste, hit rate and tail time to first token.
+    """Write bar charts of wasted tokens, hit rate and tail time to first token.
 
     Raises:
         FailureError: `InvalidObject` when the extra `plots` is not installed.
--- a/src/milletcourse/experiments/run.py
+++ b/src/milletcourse/experiments/run.py
@@ -1,4 +1,4 @@
-"""One run of one routing policy on the model cluster."""
+"""One run of one routing policy on the cluster model."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 from milletcourse.routing.parameters import RoutingParameters
 
 DRAIN_SECONDS = 120.0
-"""After the last arrival, for what is queued."""
+"""Time after the last arrival in which queued requests complete."""
 MAX_RETRIES = 3
 
 PolicyFactory = Callable[[ClusterModel, random.Random, CompiledPolicy], RoutingPolicy]
@@ -50,7 +50,7 @@
 
 
 def production(parameters: RoutingParameters) -> PolicyFactory:
-    """The shipped router with given tunables."""
+    """The production router with the given parameters."""
     return lambda cluster, source, policy: ProductionPolicy(cluster, source, policy, parameters)
 
 
@@ -71,21 +71,21 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """Figures of one run, over the requests that arrived after the warm-up.
+    """Results of one run, for the requests that arrived after the warm-up.
 
     Attributes:
-        hit_rate: Cached by all prompt tokens, imports included.
+        hit_rate: Cached prompt tokens, imports included, divided by all prompt tokens.
         wasted_tokens: Prompt tokens of blocks that had been computed before in the same scope.
-        wasted_live_copy_tokens: The part of it for which a permitted, live copy existed.
+        wasted_live_copy_tokens: Wasted tokens for which a permitted, live copy existed.
         ttft_p50_seconds: Median time to first token by class.
         ttft_p99_seconds: 99th percentile by class.
-        goodput_per_second: Answers whose first token came within the class's bound.
+        goodput_per_second: Answers per second whose first token met the bound of its class.
         refused: Refusals by type.
         violations: Requests sent to an engine that policy forbids.
-        retries: Attempts after the first.
-        served: Finished requests.
+        retries: Number of attempts after the first ones.
+        served: Completed requests.
         tenant_tokens: Prompt tokens served by tenant.
-        tenant_demand: Prompt tokens asked for by tenant.
+        tenant_demand: Prompt tokens requested by tenant.
         tenant_weights: Weight by tenant.
     """
 
@@ -105,7 +105,7 @@
 
 
 def compile_objects(deployment: Deployment) -> CompiledPolicy:
-    """The deployment's policy."""
+    """Compile the deployment's policy."""
     policy = CompiledPolicy()
     for item in deployment.objects:
         spec = parse_spec(item.kind, item.name, item.spec).unwrap()
@@ -114,7 +114,7 @@
 
 
 class ExperimentRun(ClusterListener):
-    """Feeds arrivals to routers and routers' choices to engines."""
+    """Passes arrivals to routers, and the requests that they route to engines."""
 
     def __init__(
         self,
@@ -151,7 +151,7 @@
         self._violations = 0
 
     def run(self) -> RunResult:
-        """Run to the end."""
+        """Run to completion."""
         timeline = self.cluster.timeline
         for arrival in self._arrivals:
             timeline.at(arrival.at_seconds, functools.partial(self._on_arrival, arrival, 0))
@@ -161,7 +161,7 @@
         return self._result()
 
     def place_store(self, latency_seconds: float, far_imports: FarImports) -> None:
-        """Put the store in its own place, with a latency to the engines of the others."""
+        """Set the latency between the store and the engines of other places."""
         store = self._policy.kv_stores[sorted(self._policy.kv_stores)[0]]
         self.cluster.far_imports = far_imports
         for name, spec in self._policy.engines.items():
@@ -241,21 +241,21 @@
     # -- events of the cluster --------------------------------------------------------------------
 
     def on_first_token(self, flight: InFlightRequest) -> None:
-        """Only the router of the request sees it."""
+        """Notify only the router of the request."""
         self._routers[flight.arrival.router].on_first_token(flight, self.cluster.timeline.now)
 
     def on_finished(self, flight: InFlightRequest, usage: EngineUsage) -> None:
-        """Only the router of the request sees it."""
+        """Notify only the router of the request."""
         router = self._routers[flight.arrival.router]
         router.on_finished(flight, usage, self.cluster.timeline.now)
 
     def on_load(self, engine: str, load: EngineLoad) -> None:
-        """All routers follow all engines at these sizes."""
+        """Notify all routers: at these sizes, each router follows all engines."""
         for router in self._routers:
             router.on_load(engine, load, self.cluster.timeline.now)
 
     def on_events(self, engine: str, incarnation: str, events: list[CacheEvent]) -> None:
-        """All routers follow all engines at these sizes."""
+        """Notify all routers: at these sizes, each router follows all engines."""
         for router in self._routers:
             router.on_events(engine, incarnation, events, self.cluster.timeline.now)
 
--- a/src/milletcourse/experiments/server_quota_model.py
+++ b/src/milletcourse/experiments/server_quota_model.py
@@ -1,7 +1,7 @@
-"""Compares ways in which many gateways keep to the limit that a server names, in a small model.
+"""Model that compares strategies with which many gateways enforce a limit announced by a server.
 
-Requests come at random to gateways that have uneven parts of them. What is lent is decided by the
-product's own cores; only requests, delays and troubles are made up.
+Requests arrive at random and are spread unevenly over the gateways. Permits are granted by the
+production code; only requests, delays and disturbances are simulated.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 WINDOW_SECONDS = 4.0
 TOLERATED_SHARE = 1.5
 TOLERATED_EXTRA_REQUESTS = 5.0
-"""A server bears one and a half times its limit in a window, and this many requests beside."""
+"""A server tolerates one and a half times its limit in a window, plus this many requests."""
 RUN_SECONDS = 60.0
 EVENT_SECONDS = 20.0
-"""When a trouble begins."""
+"""Start of a disturbance."""
 TROUBLE_SECONDS = 15.0
 USUAL_DEMAND_SHARE = 1.5
-"""Requests that want to go to the server, against its limit."""
+"""Requests intended for the server, relative to its limit."""
 HOT_DEMAND_SHARE = 20.0
 
 
 class Trouble(Enum):
-    """What happens to the gateways."""
+    """Disturbance of the gateways."""
 
     USUAL = "demand of 1.5"
     HOT = "demand of 20"
@@ -49,17 +49,17 @@
 
 
 class ServerQuotaFigures(msgspec.Struct, frozen=True):
-    """What one play gave.
+    """Results of one run.
 
     Attributes:
-        way: How the limit was shared.
-        trouble: What happened.
-        gateways: How many.
-        per_second: The limit.
-        most_of_borne: Most requests in a window, as a share of what the server bears.
-        windows_over: Requests whose window held more than that.
+        way: Strategy that shared the limit.
+        trouble: Injected disturbance.
+        gateways: Number of gateways.
+        per_second: The limit in requests per second.
+        most_of_borne: Most requests in a window, as a share of those that the server tolerates.
+        windows_over: Number of windows with more requests than the server tolerates.
         used: Requests sent, as a share of the limit.
-        messages_a_second: Sent by all gateways together.
+        messages_a_second: Messages per second sent by all gateways together.
     """
 
     way: Strategy
@@ -73,19 +73,19 @@
 
 
 class ServerQuotaModel:
-    """One server's limit at many gateways."""
+    """One run: a limit of one server, enforced by many gateways."""
 
     def __init__(
         self, strategy: Strategy, trouble: Trouble, gateways: int, per_second: float, seed: int
     ) -> None:
-        """A play.
+        """Initialise a run.
 
         Args:
-            way: How the limit is shared.
-            trouble: What happens.
-            gateways: How many gateways.
-            per_second: The limit.
-            seed: Of all that is random; the same requests for each way.
+            strategy: Strategy that shares the limit.
+            trouble: Injected disturbance.
+            gateways: Number of gateways.
+            per_second: The limit in requests per second.
+            seed: Seed of all random draws; requests are the same for each strategy.
         """
         self._strategy = strategy
         self._trouble = trouble
@@ -104,7 +104,7 @@
         self._messages += sum(
             gateway_quota.messages for gateway_quota in self._gateway_quotas.values()
         )
-        # Of its own, so that each way gets the same requests.
+        # A separate random source, so that each strategy gets the same requests.
         source = random.Random(len(self._names))
         for number, name in enumerate(self._names):
             self._gateway_quotas[name] = self._start(number, name, now, source)
@@ -132,7 +132,7 @@
         return (sender in self._partitioned) == (receiver in self._partitioned)
 
     def run(self) -> ServerQuotaFigures:
-        """Play it, and judge what was sent."""
+        """Run the simulation and evaluate the requests that were sent."""
         weights = self._weights()
         now = 0.0
         has_restarted = False
@@ -191,19 +191,19 @@
 
 
 def tolerated_in_window(per_second: float) -> float:
-    """Requests that a server with a limit bears in a window."""
+    """Requests that a server with this limit tolerates in a window."""
     return TOLERATED_SHARE * per_second * WINDOW_SECONDS + TOLERATED_EXTRA_REQUESTS
 
 
 def compare_server_quotas(
     sizes: list[int], limits: list[int], seed: int
 ) -> list[ServerQuotaFigures]:
-    """Figures of each way under each trouble.
+    """Results of each strategy under each disturbance.
 
     Args:
         sizes: Numbers of gateways.
-        limits: Requests a second that the server takes.
-        seed: Of all that is random.
+        limits: Limits of the server in requests per second.
+        seed: Seed of all random draws.
     """
     return [
         ServerQuotaModel(strategy, trouble, size, float(limit), seed).run()
--- a/src/milletcourse/experiments/server_quota_strategies.py
+++ b/src/milletcourse/experiments/server_quota_strategies.py
@@ -1,4 +1,4 @@
-"""Ways in which gateways can spend a server's limit together, for `allowance_model` to compare."""
+"""Strategies with which gateways share a server's limit, compared by `server_quota_model`."""
 
 from __future__ import annotations
 
@@ -20,44 +20,44 @@
 
 KEY = 1
 REPORT_DELAY_SECONDS = 0.2
-"""Gateways hear of each other's sends after this time: two messages of sums."""
+"""Delay until gateways receive each other's usage: two messages with usage totals."""
 Reachability = Callable[[str, str], bool]
-"""Whether a message gets from one gateway to another now."""
+"""Whether a message from one gateway currently reaches another."""
 
 
 class Strategy(Enum):
     """How gateways share a limit."""
 
     EQUAL_SHARES = "parts by members"
-    """Each gateway has an equal part, and needs no messages."""
+    """Each gateway has an equal share and needs no messages."""
     REPORTED_USAGE = "told use"
-    """Each drains a copy of the whole by what all tell, as limits of tenants are kept."""
+    """Each drains a copy of the whole bucket by all reported usage, as for tenant limits."""
     FEW_GATEWAYS = "a few spenders"
-    """Few enough gateways that each has a whole request a second, by rendezvous hashing."""
+    """Rendezvous hashing selects so few gateways that each has at least one request per second."""
     GRANTED_PERMITS = "lent units"
-    """What the product does: one lends a unit for each request."""
+    """The production strategy: the quota owner grants a permit for each request."""
 
 
 class GatewayQuota(Protocol):
-    """One gateway's part in a way.
+    """One gateway's side of a strategy.
 
     Attributes:
-        messages: Sent so far.
+        messages: Messages sent so far.
     """
 
     messages: int
 
     def may_send(self, now: float) -> bool:
-        """A request wants to go to the server: whether it does."""
+        """Whether a request may be sent to the server now."""
         ...
 
     def on_peer_send(self, now: float) -> None:
-        """Another gateway tells that it sent one."""
+        """Another gateway reported that it sent a request."""
         ...
 
 
 class _Bucket:
-    """Tokens that come in at a rate; it starts empty."""
+    """Token bucket that starts empty."""
 
     def __init__(self, per_second: float, burst: float, now: float) -> None:
         self.per_second = per_second
@@ -78,7 +78,7 @@
 
 
 class EqualShare:
-    """An equal part of the limit, or none."""
+    """A fixed share of the limit, possibly zero."""
 
     def __init__(self, per_second: float, burst: float, now: float) -> None:
         self.messages = 0
@@ -93,7 +93,7 @@
 
 
 class ReportedUsage:
-    """A copy of the whole bucket."""
+    """A copy of the whole bucket, drained by reported usage."""
 
     def __init__(self, per_second: float, report: Callable[[float], None], now: float) -> None:
         self.messages = 0
@@ -115,7 +115,10 @@
 
 
 class PermitRequester:
-    """Asks the lender for each request, and lends to the others; the product's own cores."""
+    """Requests a permit from the quota owner for each request, and grants permits to others.
+
+    Uses the production code for both.
+    """
 
     def __init__(
         self,
@@ -163,11 +166,11 @@
         return owner.grant(self._name, owner.own_role(), now)
 
     def own_role(self) -> OwnerRole:
-        """As what it lends to others."""
+        """Role in which this gateway grants permits to others."""
         return self._owner_selector.own_role(KEY)
 
     def grant(self, requester: str, role: OwnerRole, now: float) -> PermitReply:
-        """Reply to an ask."""
+        """Reply to a permit request."""
         return self._owner.request_permit(
             KEY, self._per_second, role, self._count, requester, 0, now
         )
@@ -177,12 +180,12 @@
 
 
 def admitting_gateways(per_second: float, gateways: int) -> int:
-    """How many gateways share a limit so that each has a whole request a second."""
+    """Number of gateways that share a limit so that each has at least one request per second."""
     return min(max(math.ceil(per_second), 1), gateways)
 
 
 class DelayedReports:
-    """Sends that the others hear of a little later."""
+    """Usage reports that reach the other gateways after a delay."""
 
     def __init__(self) -> None:
         self._pending: deque[tuple[float, str]] = deque()
@@ -192,7 +195,7 @@
         self._pending.append((now + REPORT_DELAY_SECONDS, sender))
 
     def due(self, now: float) -> list[tuple[float, str]]:
-        """What is heard by now: when, and from whom."""
+        """Reports delivered by now: delivery time and sender."""
         due = []
         while self._pending and self._pending[0][0] <= now:
             due.append(self._pending.popleft())
--- a/src/milletcourse/experiments/sliding_window.py
+++ b/src/milletcourse/experiments/sliding_window.py
@@ -7,10 +7,10 @@
 
 
 def window_sums(events: Iterable[tuple[float, float]], seconds: float) -> Iterator[float]:
-    """Sum of the units in the window that ends at each event, both ends included.
+    """Sum of the units in the window that ends at each event, including both boundaries.
 
     Args:
-        events: Time and units of each, in the order of time.
+        events: Time and units of each event, in order of time.
         seconds: Length of the window.
     """
     window: deque[tuple[float, float]] = deque()
@@ -24,5 +24,5 @@
 
 
 def most_in_window(times: Iterable[float], seconds: float) -> int:
-    """Most events in a window; 0 when there is none."""
+    """Largest number of events in a window; 0 if there are no events."""
     return int(max(window_sums(((at, 1.0) for at in times), seconds), default=0.0))
--- a/src/milletcourse/experiments/store_restore_model.py
+++ b/src/milletcourse/experiments/store_restore_model.py
@@ -1,8 +1,9 @@
-"""What a return of the object store costs, in a small model: calls, and time until all is right.
+"""Model of the calls and the recovery time after a restore of the object store.
 
-Readers find out by their own next call, list each kind anew, and tell their followers. Gateways
-whose entries the store has lost write them again. What is listed and told goes through the
-product's own mirrors; only calls and their times are made up.
+The store was restored from an older snapshot. Readers detect this at their next call, list each
+kind again, and replicate the result to their followers. Gateways whose entries the store has lost
+register again. Replicated data goes through the production mirrors; only calls and their times are
+simulated.
 """
 
 from __future__ import annotations
@@ -40,38 +41,38 @@
 READS_PER_SECOND = 2000
 CALL_SECONDS = 0.004
 REPLICATION_DELAY_SECONDS = 0.02
-"""A follower hears from its reader after this time."""
+"""Delay until a follower receives an update from its reader."""
 RUN_SECONDS = 30.0
 WINDOW_SECONDS = 1.0
 
 
 class RestoreStrategy(Enum):
-    """Who reads the store after a return, and when lost entries are written again."""
+    """Which gateways read the store after a restore, and when lost entries are written again."""
 
     ALL_READ = "all read, written at once"
-    """As if nobody could vouch for a store of a new era."""
+    """All gateways read, as if no reader could attest the state of a new era."""
     AT_ONCE = "readers read, written at once"
     AT_NEXT_CHECK = "readers read, written at the next look"
-    """The looks of gateways that started together are spread."""
+    """The checks of gateways that started together are spread over time."""
 
 
 class StoreRestoreFigures(msgspec.Struct, frozen=True):
-    """What one return, or two in a row, cost.
+    """Results of one restore, or of two in succession.
 
     Attributes:
-        way: Who reads and writes when.
-        gateways: How many there are.
-        away: Seconds for which the store was away.
-        lost_entries: Gateways whose entries it lost.
-        returns: Returns in a row.
-        reads: Reading calls after the first return.
-        writes: Writing calls after it.
-        worst_reads: Most reading calls in a second.
-        worst_writes: Most writing calls in a second.
-        refused: Calls beyond the store's rate.
-        known_after: Seconds from the last return until all gateways know what the store holds.
-        listed_after: Seconds from the last return until all are listed.
-        told_bytes: Bytes that followers were told of servers and gateways.
+        way: Strategy for reads and writes.
+        gateways: Number of gateways.
+        away: Duration of the store's outage in seconds.
+        lost_entries: Number of gateways whose entries the store lost.
+        returns: Number of successive restores.
+        reads: Read calls after the first restore.
+        writes: Write calls after the first restore.
+        worst_reads: Most read calls in a second.
+        worst_writes: Most write calls in a second.
+        refused: Calls refused because of the store's rate limits.
+        known_after: Seconds from the last restore until all gateways have the store's state.
+        listed_after: Seconds from the last restore until the store lists all gateways.
+        told_bytes: Bytes replicated to followers.
     """
 
     way: RestoreStrategy
@@ -90,7 +91,7 @@
 
 
 class _RateLimit:
-    """Calls a second that the store bears; the others are refused."""
+    """Rate limit of the store; calls beyond it are refused."""
 
     def __init__(self, per_second: int) -> None:
         self._per_second = per_second
@@ -99,7 +100,7 @@
         self.refused = 0
 
     def try_call(self, now: float) -> bool:
-        """Whether a call is done."""
+        """Record a call and return whether the store accepts it."""
         self.times.append(now)
         if self._taken[math.floor(now)] >= self._per_second:
             self.refused += 1
@@ -108,7 +109,7 @@
         return True
 
     def max_per_second(self) -> int:
-        """Most calls in a second, wherever it begins."""
+        """Most calls in any interval of one second."""
         times = sorted(self.times)
         most = 0
         first = 0
@@ -120,7 +121,7 @@
 
 
 class StoreRestoreModel:
-    """One run."""
+    """One run of one strategy."""
 
     def __init__(
         self,
@@ -131,15 +132,15 @@
         restores: int,
         seed: int,
     ) -> None:
-        """Everything known and listed before the store goes away.
+        """Initialise a run in which all entries are known and listed before the outage.
 
         Args:
-            way: Who reads and writes when.
-            gateways: How many there are.
-            away: Seconds for which the store is away, each time.
-            lost_share: Share of the gateways whose entries it loses.
-            returns: Returns in a row.
-            seed: Of all that is random.
+            strategy: Strategy for reads and writes.
+            gateways: Number of gateways.
+            outage_seconds: Duration of each outage of the store.
+            lost_share: Share of the gateways whose entries the store loses.
+            restores: Number of successive restores.
+            seed: Seed of all random draws.
         """
         self._strategy = strategy
         self._gateways = gateways
@@ -158,7 +159,7 @@
         self._readers = {min(zone, gateways - 1) for zone in range(ZONES)}
 
     def run(self) -> StoreRestoreFigures:
-        """Play it."""
+        """Run the simulation."""
         last = self._outage_seconds * self._restores
         for gateway in range(self._gateways):
             if gateway in self._readers or self._strategy is RestoreStrategy.ALL_READ:
@@ -172,12 +173,12 @@
         heapq.heappush(self._events, (at, next(self._order), gateway, kind))
 
     def _first_call(self, gateway: int) -> float:
-        """Time from the return until a gateway's next call: it was pausing after a failed one."""
+        """Time from the restore until a gateway's next call; it backs off after a failed call."""
         pause = min(max(self._outage_seconds, INITIAL_BACKOFF_SECONDS), MAX_BACKOFF_SECONDS)
         return pause * self._random.random() + RESUME_SPREAD_SECONDS * self._random.random()
 
     def _list(self, gateway: int, now: float) -> None:
-        """All kinds; a page that is refused is asked for again."""
+        """List all kinds; if the store refuses a page, list again after a back-off."""
         pages = KINDS - 2 + sum(math.ceil(size / PAGE_OBJECTS) for size in self._sizes())
         done = sum(self._reads.try_call(now + page * CALL_SECONDS) for page in range(pages))
         if done < pages:
@@ -199,7 +200,7 @@
         return None if gateway in self._readers else gateway % len(self._readers)
 
     def _bytes_per_follower(self) -> int:
-        """What one follower is told of the gateways' list, of which some entries are lost."""
+        """Size of the update that one follower receives for a gateway list with lost entries."""
         mirror = KindMirror("gateways", NoOpEventHandler())
         before, after = StorePosition(1, 900), StorePosition(2, 500)
         spec = b'{"address":"10.0.0.1:9000","zone":"zone-1","feed":"10.0.0.1:9000"}'
@@ -217,7 +218,7 @@
             return
         wait = 0.0
         if self._strategy is RestoreStrategy.AT_NEXT_CHECK:
-            # It is somewhere within the time between two looks.
+            # The gateway is at a random point between two checks.
             wait = self._check_interval_seconds() * self._random.random()
         self._push(now + wait, gateway, "write")
 
@@ -257,11 +258,11 @@
 
 
 def compare_store_restores(sizes: list[int], seed: int) -> list[StoreRestoreFigures]:
-    """Figures of each way, for short and long absences, one return and two.
+    """Results of each strategy for short and long outages, with one restore and with two.
 
     Args:
         sizes: Numbers of gateways.
-        seed: Of all that is random.
+        seed: Seed of all random draws.
     """
     return [
         StoreRestoreModel(strategy, size, outage_seconds, lost_share, restores, seed).run()
--- a/tests/local_processes.py
+++ b/tests/local_processes.py
@@ -22,7 +22,7 @@
 
 @dataclass
 class LocalProcess:
-    """One started program with its readiness line."""
+    """One started program with the address from its readiness line."""
 
     name: str
     process: subprocess.Popen[str]
@@ -39,16 +39,16 @@
         )
         assert process.stdout is not None
         line = process.stdout.readline()
-        assert line, f"{name} ended before it was ready"
+        assert line, f"{name} exited before it was ready"
         return cls(name, process, json.loads(line)["http"])
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL and wait for the process."""
         self.process.kill()
         self.process.wait()
 
     def terminate(self) -> None:
-        """SIGTERM without waiting."""
+        """Send SIGTERM without waiting."""
         self.process.send_signal(signal.SIGTERM)
 
 
@@ -87,7 +87,7 @@
             self.wait_fresh(router, len(documents))
 
     def start_router(self, index: int) -> LocalProcess:
-        """Start one router with the former ones as peers."""
+        """Start one router with the previously started ones as peers."""
         assert self.platform is not None
         peers = [item for router in self.routers for item in ("--peer", router.http)]
         router = self._start(
@@ -135,7 +135,7 @@
         raise AssertionError(f"{router.name} did not become ready")
 
     def stop(self) -> None:
-        """End every process that was started here."""
+        """Kill every process started by this deployment."""
         for process in self.processes:
             if process.process.poll() is None:
                 process.process.kill()
--- a/tests/test_change_model.py
+++ b/tests/test_change_model.py
@@ -1,4 +1,4 @@
-"""The model of how a changed configuration reaches the gateways of a zone."""
+"""Model of the distribution of configuration changes to the gateways of a zone."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 @pytest.mark.parametrize("gateways", [2, 27, 65, 140])
-def test_patches_reach_everybody_within_the_arithmetic_of_the_readers_link(gateways: int) -> None:
-    """Zones of 79, 195 and 420 gateways in all."""
+def test_patches_reach_all_gateways_within_the_minimum_transfer_time(gateways: int) -> None:
+    """Zones of fleets with 79, 195 and 420 gateways, and a zone of two."""
     setting = ChangeSetting(gateways, LARGE, LARGE, 100.0, 5.0)
     figures = ChangeModel(ChangeStrategy.PATCHES, setting, 1).run()
     assert figures.known_after <= SLACK_SHARE * min_transfer_seconds(setting) + SLACK_SECONDS
     assert figures.refused_share == 0.0
 
 
-def test_copies_that_are_given_up_keep_links_full() -> None:
-    """Where a copy takes longer than the time of an answer, nobody ever has it."""
+def test_copies_that_time_out_saturate_the_links() -> None:
+    """If a copy takes longer than the response timeout, no gateway ever receives it."""
     setting = ChangeSetting(12, 1_670_000, 300, 10.0, 10.0)
     figures = ChangeModel(ChangeStrategy.COPIES, setting, 1).run()
     assert figures.known_after == math.inf and figures.refused_share > 0.5
@@ -36,8 +36,8 @@
     assert patches.known_after < 2.0 and patches.refused_share == 0.0
 
 
-def test_a_tree_spares_a_narrow_reader() -> None:
-    """And costs a wide one nothing but hops."""
+def test_a_tree_reduces_the_load_on_a_slow_reader_link() -> None:
+    """A tree of gateways carries fewer bytes over the reader's link and finishes earlier."""
     setting = ChangeSetting(12, LARGE, LARGE, 5.0, 5.0)
     star = ChangeModel(ChangeStrategy.PATCHES, setting, 1).run()
     tree = ChangeModel(ChangeStrategy.TREE, setting, 1).run()
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""Bad input, limits and refusals at the edge of an embedded deployment over loopback."""
+"""Invalid input, limits and refusals at the HTTP API of an embedded deployment over loopback."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def with_cluster(
     work: Callable[[EmbeddedCluster, aiohttp.ClientSession], Awaitable[None]],
 ) -> None:
-    """Run work against a started deployment."""
+    """Run a coroutine against a started deployment."""
 
     async def body() -> None:
         cluster = EmbeddedCluster()
@@ -83,7 +83,7 @@
 
 
 def test_bad_input_gets_typed_answers_and_disturbs_nothing() -> None:
-    """Each case has its status, type and run state; a good request still works afterwards."""
+    """Each case returns its status, type and run state; a valid request still succeeds afterwards."""
 
     async def work(cluster: EmbeddedCluster, session: aiohttp.ClientSession) -> None:
         for name, data, headers, status, code in BAD_INPUT:
@@ -101,8 +101,8 @@
     with_cluster(work)
 
 
-def test_slow_body_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client that does not send its body is answered and disconnected."""
+def test_slow_body_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client that does not send its whole body receives a 408 response."""
 
     async def work(cluster: EmbeddedCluster, session: aiohttp.ClientSession) -> None:
         guard = cluster.routers[0].node.application
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes on loopback, under kills and a planned stop."""
+"""End-to-end tests with separate processes on loopback, with kills and a planned stop."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class StreamResult:
-    """What a client got."""
+    """Result of one streamed request at a client."""
 
     text: str = ""
     last_event_id: str = ""
@@ -34,7 +34,7 @@
     result: StreamResult,
     started: asyncio.Event | None = None,
 ) -> None:
-    """Read one streamed completion into a result; stops where the connection stops."""
+    """Read one streamed completion into a result until the connection ends."""
     headers = dict(NURSE)
     if result.last_event_id:
         headers["Last-Event-ID"] = result.last_event_id
@@ -64,22 +64,22 @@
         return
 
 
-def body_of(index: int, tokens: int) -> dict[str, object]:
+def streaming_body(index: int, tokens: int) -> dict[str, object]:
     """A streamed request with a shared prefix."""
     prompt = f"{RULES_TEXT} question {index}"
     return {"model": MODEL, "prompt": prompt, "max_tokens": tokens, "stream": True}
 
 
 def expected(body: dict[str, object]) -> str:
-    """The whole answer that the prompt determines."""
+    """Complete answer to a request; the stand-in engines are deterministic."""
     return answer_text(MODEL, "1", str(body["prompt"]), int(str(body["max_tokens"])))
 
 
 async def stream_and_resume(
     deployment: LocalDeployment, index: int, started: asyncio.Event
 ) -> tuple[dict[str, object], StreamResult]:
-    """Stream through one router; when it dies, resume at the other one."""
-    body = body_of(index, 150)
+    """Stream through one router; if it fails, resume at the other one."""
+    body = streaming_body(index, 150)
     result = StreamResult()
     async with aiohttp.ClientSession() as session:
         for turn in range(4):
@@ -115,11 +115,11 @@
     assert complete >= 6
 
 
-def test_planned_stop_of_a_router_cuts_no_request(deployment: LocalDeployment) -> None:
+def test_planned_stop_of_a_router_interrupts_no_request(deployment: LocalDeployment) -> None:
     """SIGTERM under load: requests in flight finish, new connections go to the other router."""
 
     async def one(index: int, started: asyncio.Event) -> tuple[dict[str, object], StreamResult]:
-        body = body_of(index, 120)
+        body = streaming_body(index, 120)
         result = StreamResult()
         async with aiohttp.ClientSession() as session:
             await read_stream(session, deployment.routers[0].http, body, result, started)
@@ -139,7 +139,7 @@
 
 
 def test_stock_client_streams_and_gets_typed_errors(deployment: LocalDeployment) -> None:
-    """The published client library works unchanged."""
+    """The unmodified OpenAI client library works."""
     client = openai.OpenAI(
         base_url=f"http://{deployment.routers[0].http}/v1",
         api_key=TENANT_KEYS["nurses"],
@@ -164,29 +164,29 @@
         raise AssertionError("an unknown key was accepted")
 
 
-def test_client_gone_cancels_engine_work(deployment: LocalDeployment) -> None:
-    """A client that disconnects in mid-stream frees the engine."""
+def test_client_disconnect_cancels_engine_work(deployment: LocalDeployment) -> None:
+    """A client that disconnects mid-stream releases the engine."""
 
     async def scenario() -> None:
         async with aiohttp.ClientSession() as session:
             response = await session.post(
                 f"http://{deployment.routers[0].http}/v1/completions",
-                json=body_of(0, 5000),
+                json=streaming_body(0, 5000),
                 headers=NURSE,
             )
             await response.content.readany()
             response.close()
 
     asyncio.run(scenario())
-    give_up = 200
-    while running(deployment.engines) and give_up:
-        give_up -= 1
+    polls_left = 200
+    while running(deployment.engines) and polls_left:
+        polls_left -= 1
         asyncio.run(asyncio.sleep(0.05))
     assert running(deployment.engines) == 0
 
 
 def running(engines: list[LocalProcess]) -> int:
-    """Requests in all engines."""
+    """Number of requests running at all engines."""
     total = 0
     for engine in engines:
         stats = LocalDeployment().get(engine.http, "/standin/stats")
--- a/tests/test_store_restore_model.py
+++ b/tests/test_store_restore_model.py
@@ -1,4 +1,4 @@
-"""The model of what a return of the object store costs."""
+"""Model of the calls and the recovery time after a restore of the object store."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @pytest.mark.parametrize("gateways", [1, 5, 79, 420])
 @pytest.mark.parametrize("returns", [1, 2])
-def test_readers_alone_read_and_all_are_listed_within_two_seconds(
+def test_only_readers_read_and_all_are_listed_within_two_seconds(
     gateways: int, returns: int
 ) -> None:
-    """Also when the store has lost all entries of more gateways than it takes writes a second."""
+    """This holds even if the store lost all entries and all gateways register again."""
     figures = StoreRestoreModel(RestoreStrategy.AT_NEXT_CHECK, gateways, 1.5, 1.0, returns, 1).run()
     assert figures.listed_after < LISTED_SECONDS
     assert figures.known_after < LISTED_SECONDS
@@ -26,8 +26,8 @@
     assert figures.writes == figures.lost_entries == gateways
 
 
-def test_writing_at_once_is_refused_where_gateways_are_many() -> None:
-    """The other ways cost more calls, and the refused ones come back later."""
+def test_immediate_writes_of_many_gateways_are_refused() -> None:
+    """The other strategies need more calls, and refused calls are repeated later."""
     at_once = StoreRestoreModel(
         RestoreStrategy.AT_ONCE, WRITES_PER_SECOND + 20, 1.5, 1.0, 1, 1
     ).run()
