--- a/src/milletcourse/experiments/backoff_model.py
+++ b/src/milletcourse/experiments/backoff_model.py
@@ -235,7 +235,7 @@
         )
 
     def _own_back_off_end(self, gateway: int, server: int) -> float:
-        """End of the latest back-off requested from a gateway by a server; minus infinity if none."""
+        """End of the latest back-off that a server requested; minus infinity if none."""
         known = self._signals[gateway].record(server)
         return known.back_off_until if known is not None else float("-inf")
 
--- a/src/milletcourse/experiments/change_model.py
+++ b/src/milletcourse/experiments/change_model.py
@@ -203,7 +203,7 @@
                 )
 
     def _update_proofs(self, now: float, version: int) -> None:
-        """Renew the proof of current gateways and, with announcements, of those awaiting content."""
+        """Renew proofs of current gateways and, with announcements, of those awaiting content."""
         reader_is_current = self._held_version[READER] == version
         for machine in range(READER, len(self._held_version)):
             has_all = self._held_version[machine] == version
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -83,7 +83,7 @@
 
 
 def test_bad_input_gets_typed_answers_and_disturbs_nothing() -> None:
-    """Each case returns its status, type and run state; a valid request still succeeds afterwards."""
+    """Each case returns its status, type and run state; a valid request then succeeds."""
 
     async def work(cluster: EmbeddedCluster, session: aiohttp.ClientSession) -> None:
         for name, data, headers, status, code in BAD_INPUT:
