--- a/src/milletcourse/cli/configuration.py
+++ b/src/milletcourse/cli/configuration.py
@@ -73,10 +73,10 @@
 def diff(file: FileArgument, router: RouterOption = "", key: KeyOption = "") -> None:
     """Show which objects of a file differ from those in force; exit 1 when any does."""
     documents = load_objects(file)
-    present = with_admin(router, key, _present)
-    changed = [item for item in documents if _differs(item, present)]
+    in_force = with_admin(router, key, _objects_in_force)
+    changed = [item for item in documents if _differs(item, in_force)]
     for item in changed:
-        verb = "change" if (item.kind, item.name) in present else "add"
+        verb = "change" if (item.kind, item.name) in in_force else "add"
         sys.stdout.write(f"{verb} {item.kind} {item.name}\n")
     if changed:
         raise typer.Exit(1)
@@ -88,10 +88,11 @@
     router: RouterOption = "",
     key: KeyOption = "",
     wait: Annotated[
-        bool, typer.Option("--wait", help="Return when the change is in force everywhere.")
+        bool, typer.Option("--wait", help="Wait until the change is in force at all routers.")
     ] = False,
     dry_run: Annotated[
-        bool, typer.Option("--dry-run", help="Only show which back ends workloads gain or lose.")
+        bool,
+        typer.Option("--dry-run", help="Only show which back ends each workload gains or loses."),
     ] = False,
 ) -> None:
     """Compare-and-set the objects of a file that differ from those in force."""
@@ -99,25 +100,25 @@
     with_admin(router, key, lambda admin: _apply(admin, documents, wait, dry_run))
 
 
-async def _present(admin: AdminClient) -> dict[tuple[str, str], dict[str, Any]]:
+async def _objects_in_force(admin: AdminClient) -> dict[tuple[str, str], dict[str, Any]]:
     answer = await admin.expect("GET", "/admin/v1/objects")
     return {(item["kind"], item["name"]): item for item in answer["objects"]}
 
 
-def _differs(document: ObjectDocument, present: dict[tuple[str, str], dict[str, Any]]) -> bool:
-    found = present.get((document.kind, document.name))
+def _differs(document: ObjectDocument, in_force: dict[tuple[str, str], dict[str, Any]]) -> bool:
+    found = in_force.get((document.kind, document.name))
     return found is None or found["spec"] != document.spec
 
 
 async def _apply(
     admin: AdminClient, documents: tuple[ObjectDocument, ...], wait: bool, dry_run: bool
 ) -> None:
-    present = await _present(admin)
+    in_force = await _objects_in_force(admin)
     revision = 0
     for document in documents:
-        if not _differs(document, present):
+        if not _differs(document, in_force):
             continue
-        found = present.get((document.kind, document.name))
+        found = in_force.get((document.kind, document.name))
         version = found["version"] if found else 0
         answer = await _put(admin, document, version, dry_run)
         revision = max(revision, answer["revision"])
@@ -129,7 +130,7 @@
 async def _put(
     admin: AdminClient, document: ObjectDocument, version: int, dry_run: bool
 ) -> dict[str, Any]:
-    """One change; the same change id is sent again when its answer is unknown."""
+    """Submit one change; its change id stays the same if the request is sent again."""
     body = {
         "spec": document.spec,
         "version": version,
@@ -153,4 +154,6 @@
         await asyncio.sleep(WAIT_POLL_SECONDS)
         waited_seconds += WAIT_POLL_SECONDS
     lagging = ", ".join(rollout["lagging"] + rollout["unreachable"])
-    raise FailureError(ChangeUnknown(f"revision {revision} is accepted but lags at {lagging}"))
+    raise FailureError(
+        ChangeUnknown(f"revision {revision} is accepted but not yet in force at {lagging}")
+    )
--- a/src/milletcourse/cli/operator_port.py
+++ b/src/milletcourse/cli/operator_port.py
@@ -10,7 +10,7 @@
 from milletcourse.runtime.aiohttp_client import AiohttpClient
 from milletcourse.runtime.http import json_request, send_for_body
 
-TIMEOUT_SECONDS = 10.0
+CALL_TIMEOUT_SECONDS = 10.0
 
 GatewayOption = Annotated[
     str,
@@ -21,21 +21,21 @@
 
 
 async def call_gateway(method: str, gateway: str, path: str, expected_status: int) -> bytes:
-    """Body of the answer to a call.
+    """Call a gateway's operator port and return the response body.
 
     Args:
         method: HTTP method.
         gateway: `host:port` of the operator port.
-        path: What is asked for.
-        expected_status: Status of a success.
+        path: Path of the request.
+        expected_status: Status of a successful response.
 
     Raises:
-        FailureError: `BackendRefused` for another status, or what the client raises.
+        FailureError: `BackendRefused` for another status, or any failure raised by the client.
     """
     client = AiohttpClient()
     try:
         request = json_request(method, gateway, path)
-        status, body = await send_for_body(client, request, TIMEOUT_SECONDS)
+        status, body = await send_for_body(client, request, CALL_TIMEOUT_SECONDS)
     finally:
         await client.close()
     if status != expected_status:
--- a/src/milletcourse/edge/asgi.py
+++ b/src/milletcourse/edge/asgi.py
@@ -1,4 +1,4 @@
-"""What all HTTP applications share: request guard, problem rendering and JSON bodies."""
+"""Shared HTTP plumbing: request guard, problem rendering and JSON bodies."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 
 MAX_HEADER_BYTES = 16 * 1024
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""A prompt of a million tokens; larger ones are refused before they are read."""
+"""Fits a prompt of a million tokens; larger bodies are refused before they are parsed."""
 DISCARD_FACTOR = 4
-"""A body over the limit is read and dropped up to this many limits: a connection that is closed
-while the client still sends loses the answer."""
+"""An oversized body is read and discarded up to this multiple of the limit, because closing a
+connection while the client is still sending loses the response."""
 BODY_TIMEOUT_SECONDS = 20.0
 MAX_JSON_DEPTH = 64
-CLIENT_GONE_SCOPE_KEY = "milletcourse.client_gone"
+CLIENT_DISCONNECTED_SCOPE_KEY = "milletcourse.client_gone"
 
 Message = MutableMapping[str, Any]
 T = TypeVar("T")
 _log = get_logger("edge")
 
 
-class _ClientGoneError(Exception):
+class _ClientDisconnectedError(Exception):
     """The client closed the connection before its request was complete."""
 
 
 class RequestGuard:
-    """ASGI wrapper that bounds what a client may send and ends work when it disconnects.
+    """ASGI middleware that limits request size and cancels work when the client disconnects.
 
-    The body is read whole before the application runs. When the client disconnects later, the
+    The whole body is read before the application runs. If the client disconnects later, the
     application's task is cancelled, so that back-end work can be cancelled too.
     """
 
@@ -60,7 +60,7 @@
         self._body_timeout_seconds = body_timeout_seconds
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one ASGI event stream."""
+        """Handle one ASGI connection scope."""
         if scope["type"] != "http":
             await self._application(scope, receive, send)
             return
@@ -71,10 +71,10 @@
             async with asyncio.timeout(self._body_timeout_seconds):
                 body = await self._read_body(receive)
         except TimeoutError:
-            await send_problem(send, RequestTimeout("the body did not arrive in time"))
+            await send_problem(send, RequestTimeout("the request body did not arrive in time"))
         except FailureError as error:
             await send_problem(send, error.failure)
-        except _ClientGoneError:
+        except _ClientDisconnectedError:
             return
         else:
             await self._run(scope, receive, send, body)
@@ -85,7 +85,7 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise _ClientGoneError
+                raise _ClientDisconnectedError
             part = message.get("body", b"")
             size += len(part)
             ended = not message.get("more_body", False)
@@ -99,27 +99,27 @@
                 return b"".join(parts)
 
     async def _run(self, scope: Scope, receive: Receive, send: Send, body: bytes) -> None:
-        gone = asyncio.Event()
+        disconnected = asyncio.Event()
         delivered = False
 
-        async def replay() -> Message:
+        async def receive_body() -> Message:
             nonlocal delivered
             if not delivered:
                 delivered = True
                 return {"type": "http.request", "body": body, "more_body": False}
-            await gone.wait()
+            await disconnected.wait()
             return {"type": "http.disconnect"}
 
-        async def watch() -> None:
+        async def wait_for_disconnect() -> None:
             while (await receive())["type"] != "http.disconnect":
                 pass
 
-        scope[CLIENT_GONE_SCOPE_KEY] = gone
-        application = asyncio.ensure_future(self._application(scope, replay, send))
-        watcher = asyncio.ensure_future(watch())
+        scope[CLIENT_DISCONNECTED_SCOPE_KEY] = disconnected
+        application = asyncio.ensure_future(self._application(scope, receive_body, send))
+        watcher = asyncio.ensure_future(wait_for_disconnect())
         try:
             await asyncio.wait({application, watcher}, return_when=asyncio.FIRST_COMPLETED)
-            gone.set()
+            disconnected.set()
             if not application.done():
                 application.cancel()
                 await asyncio.wait({application})
@@ -131,7 +131,7 @@
 
 
 async def send_problem(send: Send, failure: Failure) -> None:
-    """Answer with a problem document outside of falcon."""
+    """Send a problem document without falcon."""
     headers = [(b"content-type", PROBLEM_CONTENT_TYPE.encode()), (b"connection", b"close")]
     retry_after = retry_after_header(failure)
     if retry_after is not None:
@@ -173,7 +173,7 @@
     render_failure(response, failure)
 
 
-async def _on_defect(
+async def _on_unexpected_error(
     request: falcon.asgi.Request,
     response: falcon.asgi.Response,
     error: Exception,
@@ -181,20 +181,20 @@
     **_: Any,
 ) -> None:
     _log.error("request failed", path=request.path, error=repr(error), exc_info=error)
-    render_failure(response, InternalError("the request met a defect"))
+    render_failure(response, InternalError("unexpected error while handling the request"))
 
 
 def new_application() -> falcon.asgi.App:
     """A falcon application with this project's error handling."""
     application = falcon.asgi.App(cors_enable=False)
-    application.add_error_handler(Exception, _on_defect)
+    application.add_error_handler(Exception, _on_unexpected_error)
     application.add_error_handler(falcon.HTTPError, _on_http_error)
     application.add_error_handler(FailureError, _on_failure)
     return application
 
 
 def check_json_depth(body: bytes) -> None:
-    """Refuse JSON that is nested too deeply, before it is parsed.
+    """Reject JSON that is nested too deeply, before it is parsed.
 
     Raises:
         FailureError: `MalformedRequest`.
@@ -217,16 +217,18 @@
         elif byte in (0x5B, 0x7B):
             depth += 1
             if depth > MAX_JSON_DEPTH:
-                raise FailureError(MalformedRequest(f"nested deeper than {MAX_JSON_DEPTH}"))
+                raise FailureError(
+                    MalformedRequest(f"JSON is nested deeper than {MAX_JSON_DEPTH} levels")
+                )
         elif byte in (0x5D, 0x7D):
             depth -= 1
 
 
 def decode_json(body: bytes, message_type: type[T]) -> T:
-    """Decode and check a JSON body.
+    """Decode and validate a JSON body.
 
     Raises:
-        FailureError: `MalformedRequest` that names the wrong member.
+        FailureError: `MalformedRequest` that names the invalid member.
     """
     check_json_depth(body)
     try:
--- a/src/milletcourse/experiments/rest_plot.py
+++ b/src/milletcourse/experiments/backoff_plot.py
@@ -1,17 +1,17 @@
-"""Draws what `rest_model` compared."""
+"""Plots the results of `backoff_model`."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
-from milletcourse.experiments.rest_model import Need, RestFigures, RestWay
+from milletcourse.experiments.backoff_model import BackoffFigures, BackoffStrategy, Overload
 from milletcourse.reports.pyplot import load_pyplot
 
 BAR_WIDTH = 0.11
 
 
-def plot_rests(figures: list[RestFigures], directory: Path) -> Path:
-    """Share of callers that were served, by way and number of gateways; one chart for each need.
+def plot_backoffs(figures: list[BackoffFigures], directory: Path) -> Path:
+    """Plot the share of served clients by strategy and gateways, one chart per overload.
 
     Raises:
         FailureError: `InvalidObject` when the extra `plots` is not installed.
@@ -19,9 +19,9 @@
     pyplot = load_pyplot("out", directory)
     directory.mkdir(parents=True, exist_ok=True)
     sizes = sorted({item.gateways for item in figures})
-    drawing, charts = pyplot.subplots(len(Need), figsize=(9, 10), sharex=True)
-    for chart, need in zip(charts, Need, strict=True):
-        for number, way in enumerate(RestWay):
+    drawing, charts = pyplot.subplots(len(Overload), figsize=(9, 10), sharex=True)
+    for chart, need in zip(charts, Overload, strict=True):
+        for number, way in enumerate(BackoffStrategy):
             served = {
                 item.gateways: item.served
                 for item in figures
--- a/src/milletcourse/experiments/cluster_model.py
+++ b/src/milletcourse/experiments/cluster_model.py
@@ -1,4 +1,4 @@
-"""Discrete-event model of engines and a KV store; the same engine core as everywhere else."""
+"""Discrete-event model of engines and a KV store, using the stand-ins' engine core."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class FarImports(StrEnum):
-    """What an engine does with blocks that a store in another place has.
+    """How an engine imports blocks that only a store in another place holds.
 
-    AWAITED: the request waits for them.
+    AWAITED: the request waits for the blocks.
     CHEAPER: the request waits when that is faster than computing them.
-    UNLIMITED: the request computes at once; the blocks are fetched for later requests.
+    UNLIMITED: the request computes immediately; the blocks are fetched for later requests.
     ONE_IN_FLIGHT: the same, with at most one such fetch an engine at a time, after cluster-aware
         random stealing (van Nieuwpoort, Kielmann and Bal, PPoPP 2001).
-    NONE: nothing is fetched from afar.
+    NONE: nothing is fetched from another place.
     """
 
     AWAITED = "awaited"
@@ -42,7 +42,7 @@
 
 
 class Timeline:
-    """Event queue of the model."""
+    """Event queue with virtual time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -50,11 +50,11 @@
         self._counter = itertools.count()
 
     def at(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action at a time."""
+        """Schedule an action at a time."""
         heapq.heappush(self._queue, (seconds, next(self._counter), action))
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Run an action after a delay."""
+        """Schedule an action after a delay."""
         self.at(self.now + seconds, action)
 
     def run(self, until: float) -> None:
@@ -65,15 +65,15 @@
 
 
 @dataclass(slots=True)
-class Flight:
-    """One request on its way.
+class InFlightRequest:
+    """One request in flight.
 
     Attributes:
         arrival: The request.
         engine: Name of the engine.
         live_copy_tokens: Ground truth: computed although a permitted, live copy existed.
         recomputed_tokens: Ground truth: computed although the same block was computed before.
-        first_token_at: Time of the first token, None before.
+        first_token_at: Time of the first token; None until then.
         cached_tokens: Tokens found cached.
     """
 
@@ -88,14 +88,14 @@
 
 @dataclass(slots=True)
 class StoreModel:
-    """KV store contents."""
+    """Contents of the KV store."""
 
     blocks: dict[BlockHash, None] = field(default_factory=dict)
     down: bool = False
     capacity_blocks: int = 20_000
 
-    def leading(self, chain: Sequence[BlockHash]) -> int:
-        """Number of leading blocks that are kept."""
+    def held_prefix(self, chain: Sequence[BlockHash]) -> int:
+        """Number of leading blocks of a chain that the store holds."""
         if self.down:
             return 0
         for index, block in enumerate(chain):
@@ -104,7 +104,7 @@
         return len(chain)
 
     def put(self, blocks: Sequence[BlockHash]) -> None:
-        """Keep blocks, dropping the oldest."""
+        """Store blocks, evicting the oldest."""
         if self.down:
             return
         for block in blocks:
@@ -126,7 +126,7 @@
         self.reachable = True
         self.core = EngineCore(profile, f"{name}/1")
         self.core.loaded = dict(models)
-        self.flights: dict[str, Flight] = {}
+        self.flights: dict[str, InFlightRequest] = {}
         self._cluster = cluster
         self._stepping = False
         self._link_free_at = 0.0
@@ -134,8 +134,8 @@
         self.store_latency_seconds = 0.0
         self._published = 1
 
-    def submit(self, flight: Flight, import_from_store: bool) -> None:
-        """A request arrives at the engine."""
+    def submit(self, flight: InFlightRequest, import_from_store: bool) -> None:
+        """Submit a request to the engine."""
         arrival = flight.arrival
         request = EngineRequest(
             request_id=str(arrival.number),
@@ -148,22 +148,22 @@
         )
         self.flights[request.request_id] = flight
         missing = self._missing_in_store(arrival) if import_from_store else 0
-        awaited = missing > 0 and self._awaits()
+        awaited = missing > 0 and self._awaits_import()
         self.core.submit(request, importing=awaited)
-        if missing > 0 and (awaited or self._fetches_behind()):
+        if missing > 0 and (awaited or self._fetches_in_background()):
             self._fetch(request, missing)
-        self._kick()
+        self._start_step()
 
     def _missing_in_store(self, arrival: Arrival) -> int:
-        """Blocks that the store has and the engine lacks."""
+        """Number of blocks that the store holds and the engine lacks."""
         chain = arrival.blocks.hashes
-        return self._cluster.store.leading(chain) - self.core.pool.cached_prefix(chain)
+        return self._cluster.store.held_prefix(chain) - self.core.pool.cached_prefix(chain)
 
     def _seconds_per_block(self) -> float:
-        """Time to import one block; from afar each block is a round trip of its own."""
+        """Time to import one block; from another place, each block takes a separate round trip."""
         return self.core.profile.import_seconds_per_block + self.store_latency_seconds
 
-    def _awaits(self) -> bool:
+    def _awaits_import(self) -> bool:
         if not self.store_latency_seconds:
             return True
         mode = self._cluster.far_imports
@@ -172,7 +172,7 @@
             return self._seconds_per_block() < compute_seconds
         return mode is FarImports.AWAITED
 
-    def _fetches_behind(self) -> bool:
+    def _fetches_in_background(self) -> bool:
         mode = self._cluster.far_imports
         if mode is FarImports.ONE_IN_FLIGHT:
             return not self._fetches
@@ -191,13 +191,13 @@
             return
         self._fetches -= 1
         chain = request.blocks.hashes
-        kept = self._cluster.store.leading(chain)
+        kept = self._cluster.store.held_prefix(chain)
         provenance = Provenance(request.tenant, "1", "store")
         core.store_imported([(block, provenance) for block in chain[:kept]])
         core.import_finished(request.request_id)
-        self._kick()
+        self._start_step()
 
-    def _kick(self) -> None:
+    def _start_step(self) -> None:
         if self._stepping or not self.up:
             return
         before = {key for key, item in self.core.requests.items() if item.pinned == 0}
@@ -210,7 +210,7 @@
         self._cluster.timeline.after(duration, lambda: self._finish(core))
 
     def _note_started(self, before: set[str]) -> None:
-        """Ground truth of waste, at the moment a request's computation starts."""
+        """Record the ground truth of wasted tokens when a request's computation starts."""
         for request in self.core._step:
             flight = self.flights[request.request_id]
             if request.request_id not in before or flight.started:
@@ -236,10 +236,10 @@
             if emission.usage is not None:
                 del self.flights[emission.request_id]
                 self._cluster.on_finished(flight, emission.usage)
-        self._kick()
+        self._start_step()
 
     def export(self, chain: Sequence[BlockHash]) -> None:
-        """Send cached blocks to the store; takes the link like an import."""
+        """Export cached blocks to the store; takes as long per block as an import."""
         held = chain[: self.core.pool.cached_prefix(chain)]
         new = [block for block in held if block not in self._cluster.store.blocks]
         if not new:
@@ -253,8 +253,8 @@
 
         self._cluster.timeline.after(seconds, done)
 
-    def crash(self) -> list[Flight]:
-        """The engine dies; returns the requests it had."""
+    def crash(self) -> list[InFlightRequest]:
+        """Crash the engine and return the requests that it was running."""
         lost = list(self.flights.values())
         self.flights.clear()
         self.up = False
@@ -268,7 +268,7 @@
         return lost
 
     def restart(self) -> None:
-        """It is back, empty."""
+        """Restart the engine with an empty cache."""
         self.up = True
 
     def new_events(self) -> list[CacheEvent]:
@@ -280,7 +280,7 @@
 
 
 class ClusterModel:
-    """Engines and store with the hooks that a policy listens to."""
+    """Engines and a store, with events for one listener."""
 
     def __init__(
         self,
@@ -296,7 +296,7 @@
         self.engines = {name: EngineModel(name, profile, models, self) for name in names}
         self.far_imports = FarImports.AWAITED
         self.ever_computed: set[BlockHash] = set()
-        self.finished: list[tuple[Flight, EngineUsage, float]] = []
+        self.finished: list[tuple[InFlightRequest, EngineUsage, float]] = []
         self.listener: ClusterListener | None = None
         self._event_delay_seconds = event_delay_seconds
         self._event_loss = event_loss
@@ -305,26 +305,26 @@
     def best_copy(self, arrival: Arrival) -> int:
         """Ground truth: longest permitted, live prefix anywhere, in blocks."""
         chain = arrival.blocks.hashes
-        best = self.store.leading(chain)
+        best = self.store.held_prefix(chain)
         for name in arrival.permission.backend_set.names:
             engine = self.engines[name]
             if engine.up and engine.reachable:
                 best = max(best, engine.core.pool.cached_prefix(chain))
         return best
 
-    def on_first_token(self, flight: Flight) -> None:
-        """Pass on."""
+    def on_first_token(self, flight: InFlightRequest) -> None:
+        """Forward the event to the listener."""
         if self.listener is not None:
             self.listener.on_first_token(flight)
 
-    def on_finished(self, flight: Flight, usage: EngineUsage) -> None:
-        """Note and pass on."""
+    def on_finished(self, flight: InFlightRequest, usage: EngineUsage) -> None:
+        """Record the request and forward the event to the listener."""
         self.finished.append((flight, usage, self.timeline.now))
         if self.listener is not None:
             self.listener.on_finished(flight, usage)
 
     def start_publishing(self) -> None:
-        """Engines publish events and load reports from now on."""
+        """Start publishing cache events and load reports."""
         self._publish()
 
     def _publish(self) -> None:
@@ -336,35 +336,35 @@
                 event for event in engine.new_events() if self._random.random() >= self._event_loss
             ]
             lost = kept and self._event_loss > 0
-            self._later(engine, engine.core.incarnation, kept, bool(lost))
+            self._publish_later(engine, engine.core.incarnation, kept, bool(lost))
         self.timeline.after(EVENT_PUBLISH_SECONDS, self._publish)
 
-    def _later(
+    def _publish_later(
         self, engine: EngineModel, incarnation: str, events: list[CacheEvent], lossy: bool
     ) -> None:
         load = msgspec.structs.replace(engine.core.load(), age_seconds=LOAD_LAG_SECONDS)
 
-        def show_load() -> None:
+        def deliver_load() -> None:
             if self.listener is not None:
                 self.listener.on_load(engine.name, load)
 
-        def show_events() -> None:
+        def deliver_events() -> None:
             if self.listener is not None:
                 self.listener.on_events(engine.name, incarnation, events)
 
-        self.timeline.after(LOAD_LAG_SECONDS, show_load)
+        self.timeline.after(LOAD_LAG_SECONDS, deliver_load)
         if events:
-            self.timeline.after(self._event_delay_seconds, show_events)
+            self.timeline.after(self._event_delay_seconds, deliver_events)
 
 
 class ClusterListener:
-    """What a routing policy may hear of the cluster."""
+    """Events of the cluster that routing policies can observe."""
 
-    def on_first_token(self, flight: Flight) -> None:
-        """A request's first token passed its router."""
+    def on_first_token(self, flight: InFlightRequest) -> None:
+        """A request's first token reached its router."""
 
-    def on_finished(self, flight: Flight, usage: EngineUsage) -> None:
-        """A request's answer ended."""
+    def on_finished(self, flight: InFlightRequest, usage: EngineUsage) -> None:
+        """A request's answer completed."""
 
     def on_load(self, engine: str, load: EngineLoad) -> None:
         """A load report arrived."""
--- a/src/milletcourse/experiments/run.py
+++ b/src/milletcourse/experiments/run.py
@@ -1,4 +1,4 @@
-"""One run of one routing policy on the model cluster."""
+"""One run of one routing policy on the cluster model."""
 
 from __future__ import annotations
 
@@ -29,61 +29,63 @@
     ClusterListener,
     ClusterModel,
     FarImports,
-    Flight,
+    InFlightRequest,
 )
 from milletcourse.experiments.faults import CRASH_SECONDS, FaultPlan
 from milletcourse.experiments.parameters import Deployment
-from milletcourse.experiments.shipped import Shipped
+from milletcourse.experiments.production_policy import ProductionPolicy
 from milletcourse.policy.compiled import CompiledPolicy
 from milletcourse.policy.objects import ObjectKey, parse_spec
 from milletcourse.routing.parameters import RoutingParameters
 
 DRAIN_SECONDS = 120.0
-"""After the last arrival, for what is queued."""
-MAX_TRIES = 3
+"""Time after the last arrival in which queued requests complete."""
+MAX_RETRIES = 3
 
 PolicyFactory = Callable[[ClusterModel, random.Random, CompiledPolicy], RoutingPolicy]
 
 
-def _plain(policy_type: type[RoutingPolicy]) -> PolicyFactory:
+def _baseline(policy_type: type[RoutingPolicy]) -> PolicyFactory:
     return lambda cluster, source, policy: policy_type(cluster, source)
 
 
-def shipped(parameters: RoutingParameters) -> PolicyFactory:
-    """The shipped router with given tunables."""
-    return lambda cluster, source, policy: Shipped(cluster, source, policy, parameters)
+def production(parameters: RoutingParameters) -> PolicyFactory:
+    """The production router with the given parameters."""
+    return lambda cluster, source, policy: ProductionPolicy(cluster, source, policy, parameters)
 
 
 POLICIES: dict[str, PolicyFactory] = {
-    "round_robin": _plain(RoundRobin),
-    "least_loaded": _plain(LeastLoaded),
-    "power_of_two": _plain(PowerOfTwo),
-    "prefix_hash": _plain(PrefixHash),
-    "event_index": _plain(EventIndex),
-    "milletcourse": shipped(RoutingParameters()),
-    "milletcourse_no_store": shipped(RoutingParameters(import_enabled=False, export_enabled=False)),
-    "oracle": _plain(Oracle),
+    "round_robin": _baseline(RoundRobin),
+    "least_loaded": _baseline(LeastLoaded),
+    "power_of_two": _baseline(PowerOfTwo),
+    "prefix_hash": _baseline(PrefixHash),
+    "event_index": _baseline(EventIndex),
+    "milletcourse": production(RoutingParameters()),
+    "milletcourse_no_store": production(
+        RoutingParameters(import_enabled=False, export_enabled=False)
+    ),
+    "oracle": _baseline(Oracle),
 }
 BASELINES = ("round_robin", "least_loaded", "power_of_two", "prefix_hash", "event_index")
 
 
 @dataclass(slots=True)
 class RunResult:
-    """Figures of one run, over the requests that arrived after the warm-up.
+    """Results of one run, for the requests that arrived after the warm-up.
 
     Attributes:
-        hit_rate: Cached by all prompt tokens, imports included.
+        hit_rate: Cached prompt tokens, imports included, divided by all prompt tokens.
         wasted_tokens: Prompt tokens of blocks that had been computed before in the same scope.
-        wasted_live_copy_tokens: The part of it for which a permitted, live copy existed.
+        wasted_live_copy_tokens: Wasted tokens for which a permitted, live copy existed.
         ttft_p50_seconds: Median time to first token by class.
         ttft_p99_seconds: 99th percentile by class.
-        goodput_per_second: Answers whose first token came within the class's bound.
+        goodput_per_second: Answers per second whose first token met the bound of its class.
         refused: Refusals by type.
         violations: Requests sent to an engine that policy forbids.
-        retries: Attempts after the first.
-        served: Finished requests.
+        retries: Number of attempts after the first ones.
+        served: Completed requests.
         tenant_tokens: Prompt tokens served by tenant.
-        tenant_demand: Prompt tokens asked for by tenant.
+        tenant_demand: Prompt tokens requested by tenant.
         tenant_weights: Weight by tenant.
     """
 
@@ -103,7 +105,7 @@
 
 
 def compile_objects(deployment: Deployment) -> CompiledPolicy:
-    """The deployment's policy."""
+    """Compile the deployment's policy."""
     policy = CompiledPolicy()
     for item in deployment.objects:
         spec = parse_spec(item.kind, item.name, item.spec).unwrap()
@@ -112,7 +114,7 @@
 
 
 class ExperimentRun(ClusterListener):
-    """Feeds arrivals to routers and routers' choices to engines."""
+    """Passes arrivals to routers, and the requests that they route to engines."""
 
     def __init__(
         self,
@@ -149,7 +151,7 @@
         self._violations = 0
 
     def run(self) -> RunResult:
-        """Run to the end."""
+        """Run to completion."""
         timeline = self.cluster.timeline
         for arrival in self._arrivals:
             timeline.at(arrival.at_seconds, functools.partial(self._on_arrival, arrival, 0))
@@ -159,7 +161,7 @@
         return self._result()
 
     def place_store(self, latency_seconds: float, far_imports: FarImports) -> None:
-        """Put the store in its own place, with a latency to the engines of the others."""
+        """Set the latency between the store and the engines of other places."""
         store = self._policy.kv_stores[sorted(self._policy.kv_stores)[0]]
         self.cluster.far_imports = far_imports
         for name, spec in self._policy.engines.items():
@@ -200,10 +202,10 @@
 
     # -- requests -------------------------------------------------------------------------------
 
-    def _on_arrival(self, arrival: Arrival, tries: int) -> None:
+    def _on_arrival(self, arrival: Arrival, retry_count: int) -> None:
         now = self.cluster.timeline.now
         router = self._routers[arrival.router]
-        if tries == 0:
+        if retry_count == 0:
             self._budgets[arrival.router].on_request()
         result = router.choose(arrival, now)
         if not is_successful(result):
@@ -215,43 +217,45 @@
             self._violations += 1
         if not (engine.up and engine.reachable):
             router.on_unreachable(name, now)
-            self._retry(arrival, tries)
+            self._retry(arrival, retry_count)
             return
         router.on_dispatched(arrival, name, now)
-        engine.submit(Flight(arrival, name), router.imports_from_store)
+        engine.submit(InFlightRequest(arrival, name), router.imports_from_store)
 
-    def _retry(self, arrival: Arrival, tries: int) -> None:
+    def _retry(self, arrival: Arrival, retry_count: int) -> None:
         now = self.cluster.timeline.now
-        if tries >= MAX_TRIES or not self._budgets[arrival.router].try_retry(now):
-            self._refused["retry-budget"] += self._counts(arrival)
+        if retry_count >= MAX_RETRIES or not self._budgets[arrival.router].try_retry(now):
+            self._refused["retry-budget"] += self._is_counted(arrival)
             return
         self._retries += 1
-        self.cluster.timeline.after(0.05, functools.partial(self._on_arrival, arrival, tries + 1))
+        self.cluster.timeline.after(
+            0.05, functools.partial(self._on_arrival, arrival, retry_count + 1)
+        )
 
     def _refuse(self, arrival: Arrival, failure: Failure) -> None:
-        self._refused[failure.code] += self._counts(arrival)
+        self._refused[failure.code] += self._is_counted(arrival)
 
-    def _counts(self, arrival: Arrival) -> int:
+    def _is_counted(self, arrival: Arrival) -> int:
         return int(arrival.at_seconds >= self._workload.warm_up_seconds)
 
     # -- events of the cluster --------------------------------------------------------------------
 
-    def on_first_token(self, flight: Flight) -> None:
-        """Only the router of the request sees it."""
+    def on_first_token(self, flight: InFlightRequest) -> None:
+        """Notify only the router of the request."""
         self._routers[flight.arrival.router].on_first_token(flight, self.cluster.timeline.now)
 
-    def on_finished(self, flight: Flight, usage: EngineUsage) -> None:
-        """Only the router of the request sees it."""
+    def on_finished(self, flight: InFlightRequest, usage: EngineUsage) -> None:
+        """Notify only the router of the request."""
         router = self._routers[flight.arrival.router]
         router.on_finished(flight, usage, self.cluster.timeline.now)
 
     def on_load(self, engine: str, load: EngineLoad) -> None:
-        """All routers follow all engines at these sizes."""
+        """Notify all routers: at these sizes, each router follows all engines."""
         for router in self._routers:
             router.on_load(engine, load, self.cluster.timeline.now)
 
     def on_events(self, engine: str, incarnation: str, events: list[CacheEvent]) -> None:
-        """All routers follow all engines at these sizes."""
+        """Notify all routers: at these sizes, each router follows all engines."""
         for router in self._routers:
             router.on_events(engine, incarnation, events, self.cluster.timeline.now)
 
@@ -261,7 +265,7 @@
         counted = [
             (flight, usage)
             for flight, usage, _ in self.cluster.finished
-            if self._counts(flight.arrival)
+            if self._is_counted(flight.arrival)
         ]
         prompt = sum(usage.prompt_tokens for _, usage in counted)
         cached = sum(usage.cached_tokens for _, usage in counted)
@@ -278,7 +282,7 @@
             tenant_tokens[flight.arrival.tenant] += usage.prompt_tokens
         demand: Counter[str] = Counter()
         for arrival in self._arrivals:
-            if self._counts(arrival):
+            if self._is_counted(arrival):
                 demand[arrival.tenant] += arrival.blocks.total_tokens
         return RunResult(
             hit_rate=cached / prompt if prompt else 0.0,
--- a/src/milletcourse/node.py
+++ b/src/milletcourse/node.py
@@ -1,7 +1,7 @@
-"""One router process: puts the packages together.
+"""Assembly of one router from its components.
 
-The same class runs in a real process and in the simulator; clock, HTTP client, random source and
-datagram endpoint are handed in.
+The same class runs in a real process and in the simulator; the clock, HTTP client, random source
+and datagram endpoint are injected.
 """
 
 from __future__ import annotations
@@ -107,7 +107,7 @@
         )
         self.detector = FailureDetector(own, self._random)
         self.membership = MembershipService(self.detector, self._codec, self.clock, self.tasks)
-        self.membership.on_peer_update = self._on_peer_news
+        self.membership.on_peer_update = self._on_peer_update
         self.member_sync = MemberSync(
             self.detector, self._peers.members, self.settings.peers, self.clock, self._random
         )
@@ -262,7 +262,7 @@
     # -- life cycle -----------------------------------------------------------------------------
 
     async def start(self, http_address: str, open_datagrams: OpenDatagrams) -> None:
-        """Begin all work; the HTTP server is already listening at `http_address`."""
+        """Start all background work; the HTTP server is already listening at `http_address`."""
         self._endpoint = await open_datagrams(self._on_datagram)
         self.detector.own = replace(
             self.detector.own,
@@ -281,13 +281,13 @@
         self.tasks.spawn(self.member_sync.run(), "join")
 
     async def drain(self) -> None:
-        """Planned stop: not ready, still serving for a while, then finish what runs."""
+        """Report not ready, announce the departure, and keep serving for the drain time."""
         self.draining = True
         self.membership.leave()
         await self.clock.sleep(self.settings.drain_seconds)
 
     async def close(self) -> None:
-        """End all background work; call it when no request runs any more."""
+        """Stop all background work; call it once no requests are running."""
         await self.tasks.close()
         if self._endpoint is not None:
             self._endpoint.close()
@@ -300,7 +300,7 @@
         return self.freshness.is_fresh(self.clock.wall())
 
     def status(self) -> RouterStatus:
-        """What peers and operators see."""
+        """Status reported to peers and operators."""
         return RouterStatus(
             self.settings.name,
             self.incarnation,
@@ -336,7 +336,7 @@
         elif envelope.message_type is MessageType.LOAD_DIGEST:
             self.load_digests.on_envelope(envelope)
 
-    def _on_peer_news(self, record: MemberRecord, revision: int, stamp: PlatformStamp) -> None:
+    def _on_peer_update(self, record: MemberRecord, revision: int, stamp: PlatformStamp) -> None:
         self.freshness.on_stamp(stamp, self.store.revision)
         self.freshness_watch.publish_stamp()
         self.configuration.on_peer_revision(record.http_address, revision)
@@ -349,12 +349,12 @@
 
     async def _on_claim(self, request: ClaimRequest) -> ClaimReply:
         self.freshness_watch.check_for_stall()
-        if not self._keeps_claim(request):
+        if not self._is_replica_for(request):
             return ClaimReply(ClaimVerdict.NOT_REPLICA)
         return self.replica.handle(request, self.clock.wall())
 
-    def _keeps_claim(self, request: ClaimRequest) -> bool:
-        """Whether this router is a replica of a key by the router set in force here."""
+    def _is_replica_for(self, request: ClaimRequest) -> bool:
+        """Whether this router is a replica of the key under the router set in force."""
         router_set = self.policy.router_set
         if router_set is None:
             return False
@@ -367,7 +367,7 @@
         return await self._peers.claim(member.address, request)
 
     async def _watchdog(self) -> None:
-        """Keep the proof of freshness and the gauges current."""
+        """Periodically update the proof of freshness and the gauges."""
         while True:
             self.freshness_watch.check()
             self.metrics.live_members.set(self.detector.live_count())
--- a/src/milletcourse/streams/answer_service.py
+++ b/src/milletcourse/streams/answer_service.py
@@ -1,8 +1,8 @@
 """Answers one inference request: policy, routing, admission, attempts and relay.
 
-`AnswerService.answer` is the one way a request goes. It yields tokens in order and ends either
-with the usage or with a typed failure; a failure after the first token leaves the client with a
-correct prefix.
+`AnswerService.answer` is the only entry point for inference requests. It yields tokens in order and
+ends either with the usage or with a typed failure; a failure after the first token leaves the
+client with a correct prefix.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
     InferenceRequest,
 )
 from milletcourse.streams.crash_guard import CrashGuard
+from milletcourse.streams.idle_timeout import IdleTimeout
 from milletcourse.streams.ordered_relay import OrderedRelay, RelayCounters, RelayedToken
 from milletcourse.streams.resume_token import ResumePoint
-from milletcourse.streams.silence_watch import SilenceWatch
 
 MAX_STREAM_RESUMES = 2
-"""Reconnections to the same engine before the answer moves to another one."""
+"""Reconnections to the same engine before the answer fails over to another engine."""
 FIRST_TOKEN_TIMEOUT_SECONDS = 90.0
 TOKEN_TIMEOUT_SECONDS = 15.0
-"""An engine that generates sends several tokens a second; this long a silence is a freeze."""
+"""A generating engine sends several tokens per second; a longer gap means that it hangs."""
 CONNECT_BACKOFF_SECONDS = 0.05
 
 
@@ -83,8 +83,7 @@
         """Serve a request.
 
         Yields:
-            Tokens in order, several at a time when they arrive together. The last one has the
-            token counts.
+            Tokens in order, batched as they arrive. The last one carries the token counts.
 
         Raises:
             FailureError: The final refusal, or `StreamIncomplete` after the first token.
@@ -131,7 +130,7 @@
     async def _open(
         self, request: InferenceRequest, progress: AnswerProgress
     ) -> tuple[Attempt, EngineStream]:
-        """Start the answer at an engine, trying others while nothing came of it."""
+        """Start the answer at an engine; on failure, try others within the retry limits."""
         if request.resume is not None and progress.attempt == request.resume.attempt:
             attached = await self._attach(request, progress, request.resume)
             if attached is not None:
@@ -140,7 +139,7 @@
             try:
                 self.guard.check(request)
             except FailureError as error:
-                raise FailureError(self._planner.final(progress, error.failure)) from error
+                raise FailureError(self._planner.final_failure(progress, error.failure)) from error
             attempt, completion = self._planner.plan(request, progress)
             try:
                 stream = await self._engines.complete(attempt.address, completion)
@@ -166,7 +165,7 @@
     async def _attach(
         self, request: InferenceRequest, progress: AnswerProgress, resume: ResumePoint
     ) -> tuple[Attempt, EngineStream] | None:
-        """Continue at the engine that the former router used, if it still keeps the stream."""
+        """Continue at the engine that the previous router used, if it still holds the stream."""
         spec = self._policy.engines.get(resume.engine)
         if spec is None or resume.engine not in self._planner.permit(request).backend_set:
             return None
@@ -202,7 +201,7 @@
         attempt: Attempt,
         stream: EngineStream,
     ) -> AsyncIterator[list[RelayedToken]]:
-        """Pass tokens on; reconnect to the same engine when only the connection failed."""
+        """Relay tokens; reconnect to the same engine when only the connection failed."""
         resumes = 0
         completed = False
         try:
@@ -219,10 +218,10 @@
                     if not isinstance(error.failure, BackendLost) or resumes >= MAX_STREAM_RESUMES:
                         raise
                     resumes += 1
-                    again = await self._reconnect(request, progress, attempt)
-                    if again is None:
+                    reconnected = await self._reconnect(request, progress, attempt)
+                    if reconnected is None:
                         raise
-                    stream = again
+                    stream = reconnected
             self._on_completed(request, progress, attempt)
         finally:
             self._selector.loads.on_finished(attempt.engine, request.request_id)
@@ -239,12 +238,12 @@
         stream: EngineStream,
         request: InferenceRequest,
     ) -> AsyncIterator[list[RelayedToken]]:
-        watch = SilenceWatch(stream.abort, self._clock)
-        watch.expect_within(FIRST_TOKEN_TIMEOUT_SECONDS)
+        idle_timeout = IdleTimeout(stream.abort, self._clock)
+        idle_timeout.restart(FIRST_TOKEN_TIMEOUT_SECONDS)
         first = True
         try:
             async for batch in stream.batches():
-                watch.expect_within(TOKEN_TIMEOUT_SECONDS)
+                idle_timeout.restart(TOKEN_TIMEOUT_SECONDS)
                 if first:
                     first = False
                     self._selector.loads.on_first_token(attempt.engine, request.request_id)
@@ -254,8 +253,8 @@
                 if progress.relay.usage is not None:
                     return
         finally:
-            watch.close()
-        raise FailureError(BackendLost("the stream ended before the answer"))
+            idle_timeout.close()
+        raise FailureError(BackendLost("the stream ended before the answer was complete"))
 
     @staticmethod
     def _accept(progress: AnswerProgress, batch: list[EngineToken]) -> list[RelayedToken]:
@@ -301,7 +300,7 @@
             usage.cached_tokens,
             self._clock.monotonic(),
         )
-        self._metrics.on_waste(request.facts.tenant, attempt.decision, usage)
+        self._metrics.on_wasted_tokens(request.facts.tenant, attempt.decision, usage)
         store_name = attempt.decision.import_store
         store = self._policy.kv_stores.get(store_name)
         if store is None:
@@ -346,7 +345,7 @@
         sent = not isinstance(failure, BackendUnreachable | BackendRefused)
         progress.reached_engine = progress.reached_engine or sent
         if not self._may_retry(request, progress) or not self._retries.try_retry(now):
-            raise FailureError(self._planner.final(progress, failure))
+            raise FailureError(self._planner.final_failure(progress, failure))
         self._metrics.retries.inc()
 
     def _may_retry(self, request: InferenceRequest, progress: AnswerProgress) -> bool:
--- a/src/milletcourse/streams/silence_watch.py
+++ b/src/milletcourse/streams/idle_timeout.py
@@ -1,7 +1,7 @@
-"""Aborts a stream on which nothing has come for too long.
+"""Aborts a stream that has been idle for too long.
 
-One timer a stream is moved on lazily. `asyncio.timeout` round each read costs several times as
-much, and it may not stay open across the yields of a generator.
+Each stream has one timer, which is rescheduled lazily. `asyncio.timeout` around each read costs
+several times as much, and it must not stay open across the yields of a generator.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 from milletcourse.runtime.clock import Clock
 
 
-class SilenceWatch:
-    """Calls `abort` when the expected next event does not come in time."""
+class IdleTimeout:
+    """Calls `abort` when the next event does not arrive before the deadline."""
 
     def __init__(self, abort: Callable[[], None], clock: Clock) -> None:
         self._abort = abort
         self._clock = clock
         self._loop = asyncio.get_running_loop()
         self._deadline = 0.0
-        self._rings_at = 0.0
+        self._fires_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
-    def expect_within(self, seconds: float) -> None:
-        """The next event must come within this time from now."""
+    def restart(self, seconds: float) -> None:
+        """Set the deadline of the next event to this many seconds from now."""
         self._deadline = self._clock.monotonic() + seconds
-        if self._timer is None or self._rings_at > self._deadline:
+        if self._timer is None or self._fires_at > self._deadline:
             self._schedule()
 
     def close(self) -> None:
-        """Watch no longer."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
     def _schedule(self) -> None:
         self.close()
-        self._rings_at = self._deadline
+        self._fires_at = self._deadline
         seconds = max(self._deadline - self._clock.monotonic(), 0.0)
         self._timer = self._loop.call_later(seconds, self._check)
 
