--- a/tests/known_bad.py
+++ b/tests/known_bad.py
@@ -123,7 +123,7 @@
     def _peer_addresses(self) -> list[str]:
         return []
 
-    def _on_peer_news(self, record: Any, revision: int, stamp: PlatformStamp) -> None:
+    def _on_peer_update(self, record: Any, revision: int, stamp: PlatformStamp) -> None:
         return
 
 
--- a/tests/test_store_restore_model.py
+++ b/tests/test_store_restore_model.py
@@ -18,7 +18,7 @@
 def test_only_readers_read_and_all_are_listed_within_two_seconds(
     gateways: int, returns: int
 ) -> None:
-    """This holds even if more gateways lost their entries than the store accepts writes a second."""
+    """This holds even if more gateways lost entries than the store accepts writes per second."""
     figures = StoreRestoreModel(RestoreStrategy.AT_NEXT_CHECK, gateways, 1.5, 1.0, returns, 1).run()
     assert figures.listed_after < LISTED_SECONDS
     assert figures.known_after < LISTED_SECONDS
