--- a/tests/gateway/store/test_large_configurations.py
+++ b/tests/gateway/store/test_large_configurations.py
@@ -9,7 +9,7 @@
 from gateway_standin import HOST, answer, configuration, read_request, serve_whole
 from milletcourse.gateway.node import GatewayNode
 from milletcourse.gateway.servers.call_client import Call, CallClient
-from soak.large import many_routes
+from soak.large_configuration import many_routes
 from soak.links import Link
 from soak.proxy import FaultProxy
 
--- a/tests/soak/mixed_builds.py
+++ b/tests/soak/mixed_builds.py
@@ -34,7 +34,7 @@
 from milletcourse.operations.keys import mint_key
 from milletcourse.standins.embedded import OPERATOR_KEY, TENANT_KEYS
 from soak.answers import LOST
-from soak.entry import Entry
+from soak.load_balancer import Entry
 from soak.limits import limit_servers
 from soak.planned import new_client, other_planned_work
 from soak.seeds import Report, play_seeds
--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -26,9 +26,9 @@
 
 from soak.answers import LOST, End
 from soak.clients import SHORT_PROMPT, Habits, SoakClient
-from soak.copies import begin_copies, check_after_returns, store_figures
-from soak.entry import Entry
-from soak.large import (
+from soak.store_restores import begin_copies, check_after_returns, store_figures
+from soak.load_balancer import Entry
+from soak.large_configuration import (
     TARGET_SECONDS,
     change_configuration,
     configuration_figures,
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -21,9 +21,9 @@
 from milletcourse.exchange.evidence.request_identity import identity_text, request_identity
 from soak.answers import LOST
 from soak.clients import CRASHING_BODIES, CrashingCaller, SoakClient
-from soak.copies import begin_copies, check_after_returns, store_figures, watch_store
+from soak.store_restores import begin_copies, check_after_returns, store_figures, watch_store
 from soak.faults import FAULTS
-from soak.large import probe_routes, resize_configuration
+from soak.large_configuration import probe_routes, resize_configuration
 from soak.limits import limit_servers
 from soak.seeds import Report, play_seeds
 from soak.signals import RESTS, leave_servers, replace_leaving_servers, rest_servers
--- a/tests/soak/test_entry_ledger.py
+++ b/tests/soak/test_drain_ledger.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from soak.entry_ledger import DOUBT_SECONDS, KNOWN_SECONDS, EntryLedger
+from soak.drain_ledger import DOUBT_SECONDS, KNOWN_SECONDS, EntryLedger
 from soak.signal_ledger import Arrival
 
 BOUND = 2.0
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -24,7 +24,7 @@
 from gateway_standin import StandinStore, configuration
 from milletcourse.runtime.attended_clock import AttendedClock
 from soak.answers import Asked, Circumstances, Verdict, judge
-from soak.entry_ledger import EntryLedger
+from soak.drain_ledger import EntryLedger
 from soak.ledger import Ledger, name_of
 from soak.links import Link
 from soak.proxy import FaultProxy
