--- a/tests/gateway/store/test_gateway_store.py
+++ b/tests/gateway/store/test_gateway_store.py
@@ -144,7 +144,7 @@
         await harness.start(RevokeMs=1500)
         assert harness.node is not None
         harness.store.silent = True
-        harness.store.cut()
+        harness.store.reset_connections()
         await harness.until(
             lambda: harness.node is not None and not harness.node.context.is_ready()
         )
@@ -187,7 +187,7 @@
         entry = harness.servers["app-1"].entry("app", state="draining")
         harness.store.put_unseen("servers", "app-1", entry)
         harness.store.stale_by = 1
-        harness.store.cut()
+        harness.store.reset_connections()
 
         def is_draining() -> bool:
             instance = instances.get("app-1")
@@ -252,7 +252,7 @@
         assert harness.node is not None
         instances = harness.node.context.instances
         harness.store.unavailable = True
-        harness.store.cut()
+        harness.store.reset_connections()
         await asyncio.sleep(0.2)
         harness.store.remove("servers", "app-1")
         harness.store.unavailable = False
--- a/tests/gateway/store/test_store_eras.py
+++ b/tests/gateway/store/test_store_eras.py
@@ -292,8 +292,8 @@
         await harness.start()
         assert harness.node is not None
         instances = harness.node.context.instances
-        snapshot = harness.store.copy()
-        harness.store.come_back(snapshot, cut=False)
+        snapshot = harness.store.take_snapshot()
+        harness.store.restore(snapshot, resets_connections=False)
         harness.store.put("servers", "app-1", _entry())
         # Only the watch of the configuration ends at once, by a change of its kind.
         harness.store.calls.clear()
--- a/tests/gateway/store/test_store_restores.py
+++ b/tests/gateway/store/test_store_restores.py
@@ -16,7 +16,7 @@
     Client,
     ReceivedRequest,
     StandinServer,
-    StoreCopy,
+    StoreSnapshot,
     answer,
     configuration,
     serve_whole,
@@ -68,9 +68,9 @@
     harness.store.era = first_era
     fleet = SignallingFleet(harness)
     await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
-    snapshot = harness.store.copy()
+    snapshot = harness.store.take_snapshot()
     await _write_all_kinds(fleet)
-    harness.store.come_back(snapshot)
+    harness.store.restore(snapshot)
     await fleet.load(SETTLED_SECONDS)
     return fleet
 
@@ -119,11 +119,11 @@
     """Gateways that know that `key-2` is revoked, with a store that has lost the revocation."""
     fleet = SignallingFleet(harness)
     await fleet.start({"s-1": Mood(), "s-2": Mood()})
-    snapshot = harness.store.copy()
+    snapshot = harness.store.take_snapshot()
     harness.store.put("config", "main", configuration(2, Tenants=ONE_TENANT))
     for node in fleet.nodes:
         await harness.until(lambda node=node: _has_version(node, 2))
-    harness.store.come_back(snapshot, writes_again=False)
+    harness.store.restore(snapshot, rewrites_lost=False)
     await asyncio.sleep(SETTLED_SECONDS)
     return fleet
 
@@ -219,13 +219,13 @@
     nodes.append(harness.node)
     for node in nodes:
         await harness.until(node.context.is_ready)
-    snapshot = store.copy()
+    snapshot = store.take_snapshot()
     store.unavailable = True
-    store.cut()
+    store.reset_connections()
     if restarts:
         for node in nodes:
             node.close()
-    store.come_back(snapshot, writes_again=False)
+    store.restore(snapshot, rewrites_lost=False)
     store.unavailable = False
     if restarts:
         nodes = [await harness.add_gateway(f"front-{number}", **SHORT_BOUNDS) for number in (3, 4)]
@@ -324,11 +324,11 @@
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         harness.store.put("config", "main", configuration())
-        snapshot = harness.store.copy()
+        snapshot = harness.store.take_snapshot()
         await fleet.start({"s-1": Mood(), "s-2": Mood()})
         names = {node.context.settings.name for node in fleet.nodes}
         await harness.until(lambda: set(harness.store.objects[GATEWAYS]) == names)
-        harness.store.come_back(snapshot)
+        harness.store.restore(snapshot)
         await asyncio.sleep(REWRITE_SECONDS)
         assert set(harness.store.objects.get(GATEWAYS, {})) == names
 
@@ -342,10 +342,10 @@
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
         departed = await fleet.most_asked()
-        snapshot = harness.store.copy()
+        snapshot = harness.store.take_snapshot()
         harness.store.remove("servers", departed)
         await fleet.load(PROPAGATION_SECONDS)
-        harness.store.come_back(snapshot, writes_again=False)
+        harness.store.restore(snapshot, rewrites_lost=False)
         since = asyncio.get_running_loop().time()
         await fleet.load(OBSERVATION_SECONDS)
         harness.store.remove("servers", departed)
@@ -381,7 +381,7 @@
         writer.write(answer(200, json.dumps(report).encode()))
 
 
-async def _start_roll_out(harness: Harness, gateways: int) -> tuple[LoadingServer, StoreCopy]:
+async def _start_roll_out(harness: Harness, gateways: int) -> tuple[LoadingServer, StoreSnapshot]:
     """A server that was updated to version 2, and a snapshot of the store from before that."""
     engine = LoadingServer("e-1")
     await harness.add_server("e-1", "engine", engine.behave, 1)
@@ -394,7 +394,7 @@
             f"front-{number + 1}", zone=f"zone-{number + 1}", LeaseMs=1500, VersionMs=3000
         )
         await harness.until(node.context.is_ready)
-    snapshot = harness.store.copy()
+    snapshot = harness.store.take_snapshot()
     harness.store.put("versions", "model-1", {"Model": "model-1", "Version": 2})
     await harness.until(lambda: engine.version == 2)
     return engine, snapshot
@@ -413,7 +413,7 @@
     async def scenario(harness: Harness) -> None:
         harness.store.era = first_era
         engine, snapshot = await _start_roll_out(harness, gateways=2)
-        harness.store.come_back(snapshot)
+        harness.store.restore(snapshot)
         if closes_holder:
             _close(harness, engine.orders[-1]["Holder"])
         await asyncio.sleep(SETTLED_SECONDS)
@@ -452,11 +452,11 @@
             harness.store.remove("config", "main")
         elif found == "unreadable":
             harness.store.put("config", "main", {"Version": "none"})
-        snapshot = harness.store.copy()
+        snapshot = harness.store.take_snapshot()
         harness.store.put("config", "main", configuration(2))
         for node in fleet.nodes:
             await harness.until(lambda node=node: _has_version(node, 2))
-        harness.store.come_back(snapshot, writes_again=False)
+        harness.store.restore(snapshot, rewrites_lost=False)
         await asyncio.sleep(SETTLED_SECONDS)
         for _ in range(CHECKS):
             await asyncio.sleep(CHECK_SECONDS)
@@ -475,9 +475,9 @@
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
         await fleet.start({"s-1": Mood(), "s-2": Mood()})
-        snapshot = harness.store.copy()
+        snapshot = harness.store.take_snapshot()
         await _write_all_kinds(fleet)
-        harness.store.come_back(snapshot, writes_again=False)
+        harness.store.restore(snapshot, rewrites_lost=False)
         await asyncio.sleep(SETTLED_SECONDS)
         assert harness.node is not None
         assert b"store_returns_total 4.0" in harness.metrics.render()
@@ -511,10 +511,10 @@
     async def scenario(harness: Harness) -> None:
         await harness.add_server("s-1", "app", serve_whole)
         harness.store.put("config", "main", configuration())
-        snapshot = harness.store.copy()
+        snapshot = harness.store.take_snapshot()
         harness.store.stale_shows_lost = True
         harness.store.put("servers", "lost", harness.store.objects["servers"]["s-1"]["Spec"])
-        harness.store.come_back(snapshot, writes_again=False)
+        harness.store.restore(snapshot, rewrites_lost=False)
         harness.store.put("config", "main", configuration(2))
         await harness.start_gateway()
         assert harness.node is not None
--- a/tests/gateway/test_suspension.py
+++ b/tests/gateway/test_suspension.py
@@ -70,7 +70,7 @@
         got = await client.ask("/safe/", "after")
         assert (got.status, b"configuration-stale" in got.body) == (503, True)
         harness.store.silent = False
-        harness.store.cut()
+        harness.store.reset_connections()
         await harness.until(harness.is_ready)
         assert (await client.ask("/safe/", "later")).status == 200
 
--- a/tests/gateway_standin.py
+++ b/tests/gateway_standin.py
@@ -71,13 +71,13 @@
 
 
 @dataclass(frozen=True)
-class StoreCopy:
+class StoreSnapshot:
     """What the store held at some moment."""
 
     objects: dict[str, dict[str, dict[str, Any]]]
     revision: int
 
-    def without(self, kind: str, names: Iterable[str]) -> StoreCopy:
+    def without(self, kind: str, names: Iterable[str]) -> StoreSnapshot:
         """The same as if some objects of a kind had been made later."""
         kept = dict(self.objects.get(kind, {}))
         for name in names:
@@ -97,13 +97,13 @@
         self.objects: dict[str, dict[str, dict[str, Any]]] = {}
         self.era: int | None = 0
         self._lost: dict[str, dict[str, dict[str, Any]]] = {}
-        self._returned_at = 0
+        self._restored_revision = 0
         self.stale_shows_lost = False
-        self.cut_at = float("-inf")
+        self.reset_at = float("-inf")
         self.revision = 0
         self.history: list[tuple[int, str, dict[str, Any], bool]] = []
         self.journal: list[tuple[int, str, dict[str, Any], bool]] = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.silent = False
         self.unavailable = False
         self.unavailable_kinds: set[str] = set()
@@ -127,11 +127,11 @@
         """End at once."""
         if self._server is not None:
             self._server.close()
-        self.cut()
+        self.reset_connections()
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Reset all connections, waiting watches among them."""
-        self.cut_at = time.monotonic()
+        self.reset_at = time.monotonic()
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -153,7 +153,7 @@
         stored = {"Metadata": {"Name": name, "Revision": self.revision}, "Spec": spec}
         self.objects[kind][name] = stored
         self.journal.append((self.revision, kind, stored, False))
-        self.forget_history()
+        self.compact_history()
 
     def remove(self, kind: str, name: str) -> None:
         """An object goes; one that the store has lost isn't written again."""
@@ -164,43 +164,47 @@
         self.revision += 1
         self._note(kind, stored, True)
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Watches from before now get 410."""
-        self.forgotten = self.revision
+        self.compacted_revision = self.revision
         self.history.clear()
 
-    def copy(self) -> StoreCopy:
+    def take_snapshot(self) -> StoreSnapshot:
         """A copy that the store may come back from."""
         objects = {kind: dict(items) for kind, items in self.objects.items()}
-        return StoreCopy(objects, self.revision)
+        return StoreSnapshot(objects, self.revision)
 
-    def come_back(self, copy: StoreCopy, cut: bool = True, writes_again: bool = True) -> None:
+    def restore(
+        self, snapshot: StoreSnapshot, resets_connections: bool = True, rewrites_lost: bool = True
+    ) -> None:
         """Lose what came after a copy, and give its revisions out again.
 
         Args:
             copy: What is left.
             cut: Its connections break; without that, watches that wait go on waiting.
             writes_again: The operator and the servers write theirs again at once; otherwise they do
-                with `write_again`.
+                with `rewrite_lost`.
         """
         self._lost = self.objects
-        self.objects = {kind: dict(items) for kind, items in copy.objects.items()}
-        self.revision = self._returned_at = copy.revision
+        self.objects = {kind: dict(items) for kind, items in snapshot.objects.items()}
+        self.revision = self._restored_revision = snapshot.revision
         if not self.stale_shows_lost:
             left = [
-                (kind, stored) for kind, items in copy.objects.items() for stored in items.values()
+                (kind, stored)
+                for kind, items in snapshot.objects.items()
+                for stored in items.values()
             ]
             left.sort(key=lambda item: item[1]["Metadata"]["Revision"])
             self.journal = [(item[1]["Metadata"]["Revision"], *item, False) for item in left]
-        self.history = [entry for entry in self.history if entry[0] <= copy.revision]
-        self.forgotten = min(self.forgotten, copy.revision)
+        self.history = [entry for entry in self.history if entry[0] <= snapshot.revision]
+        self.compacted_revision = min(self.compacted_revision, snapshot.revision)
         self.era = (self.era or 0) + 1
-        if writes_again:
-            self.write_again()
-        if cut:
-            self.cut()
+        if rewrites_lost:
+            self.rewrite_lost()
+        if resets_connections:
+            self.reset_connections()
 
-    def write_again(self) -> None:
+    def rewrite_lost(self) -> None:
         """What the operator and the servers wrote before the latest return is there again.
 
         What they have written since then holds.
@@ -219,7 +223,7 @@
 
     def _is_new(self, stored: dict[str, Any]) -> bool:
         """Whether an object was written since the latest return."""
-        return bool(stored["Metadata"]["Revision"] > self._returned_at)
+        return bool(stored["Metadata"]["Revision"] > self._restored_revision)
 
     def _note(self, kind: str, stored: dict[str, Any], gone: bool) -> None:
         self.journal.append((self.revision, kind, stored, gone))
@@ -305,7 +309,7 @@
     async def _watch(self, kind: str, revision: int, wait_ms: int) -> tuple[int, Any]:
         ends_at = asyncio.get_running_loop().time() + wait_ms / 1000
         while True:
-            if revision < self.forgotten or revision > self.revision:
+            if revision < self.compacted_revision or revision > self.revision:
                 return 410, {}
             events = [
                 {"Gone": gone, "Object": stored}
@@ -324,7 +328,7 @@
 Behaviour = Callable[["StandinServer", ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
-def _reserved_port() -> socket.socket:
+def _reserve_port() -> socket.socket:
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     reservation.bind((HOST, 0))
@@ -349,7 +353,7 @@
         The port stays bound by a socket that doesn't listen, so that nobody else gets it while
         connections to it are refused.
         """
-        self._reservation = predecessor._reservation if predecessor else _reserved_port()
+        self._reservation = predecessor._reservation if predecessor else _reserve_port()
         port = int(self._reservation.getsockname()[1])
         self._server = await asyncio.start_server(self._serve, HOST, port, reuse_port=True)
         self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
@@ -509,7 +513,7 @@
     whole: bool
 
 
-class NoAnswerError(Exception):
+class InvalidAnswerError(Exception):
     """Bytes came in the place of an answer that are none."""
 
 
@@ -568,7 +572,7 @@
             return None
         lines = head.decode("latin-1").split("\r\n")
         if not lines[0].startswith("HTTP/1.1 "):
-            raise NoAnswerError(head)
+            raise InvalidAnswerError(head)
         headers = {}
         for line in lines[1:]:
             name, _, value = line.partition(":")
--- a/tests/soak/answers.py
+++ b/tests/soak/answers.py
@@ -6,20 +6,20 @@
 from enum import Enum
 
 
-class End(Enum):
+class RequestResult(Enum):
     """How a request ended at its client."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     """A complete answer, of whatever status."""
     PARTIAL = "partial"
     """The connection ended in the middle of an answer."""
-    NOTHING = "nothing"
+    NO_ANSWER = "nothing"
     """The connection ended without a byte of an answer."""
     NO_CONNECTION = "no-connection"
     """No connection came up, so nothing was sent."""
-    TOO_LONG = "too-long"
+    CLIENT_TIMEOUT = "too-long"
     """The client stopped waiting."""
-    LEFT = "left"
+    DISCONNECTED = "left"
     """The client left on purpose."""
 
 
@@ -29,23 +29,23 @@
     ANSWERED = "answered"
     UNFINISHED = "unfinished"
     """The soak ended before it."""
-    CUT_BY_SERVER = "cut-by-server"
+    ABORTED_BY_SERVER = "cut-by-server"
     """The answer of a server that misbehaves broke off."""
-    BEHIND_CUT = "behind-cut"
+    BEHIND_ABORTED_ANSWER = "behind-cut"
     """Sent at once behind a request whose answer broke off, and the connection with it."""
     TIMED_OUT = "timed-out"
     """The time of its route was over in the middle of the answer."""
     DISTURBED = "disturbed"
     """Its gateway was killed or frozen meanwhile."""
     NEVER_SENT = "never-sent"
-    CLIENT_LEFT = "client-left"
-    CROSSED_CLOSE = "crossed-close"
+    CLIENT_DISCONNECTED = "client-left"
+    RACED_WITH_CLOSE = "crossed-close"
     """The gateway had closed a connection on which it had answered, while this was on its way."""
     LOST_FIRST = "lost-first"
     """First request on a connection that the gateway's kernel had accepted."""
-    LOST_KEPT = "lost-kept"
+    LOST_ON_KEEP_ALIVE = "lost-kept"
     """Written whole on a kept connection, long before that was closed."""
-    LOST_AHEAD = "lost-ahead"
+    LOST_PIPELINED = "lost-ahead"
     """Sent at once behind a request that was answered."""
     LOST_AT_SERVER = "lost-at-server"
     """It had been passed on to a server."""
@@ -56,22 +56,22 @@
 LOST = frozenset(
     {
         Verdict.LOST_FIRST,
-        Verdict.LOST_KEPT,
-        Verdict.LOST_AHEAD,
+        Verdict.LOST_ON_KEEP_ALIVE,
+        Verdict.LOST_PIPELINED,
         Verdict.LOST_AT_SERVER,
         Verdict.LOST_SILENT,
     }
 )
-ROUTE_SECONDS = 3.0
+ROUTE_TIMEOUT_SECONDS = 3.0
 """Time that the routes of the stand-in's configuration allow; a gateway cuts a stream then."""
 SEND_SLACK_SECONDS = 0.2
 """A gateway's time runs from the first byte, the ledger's from the last one on a late loop."""
-CROSSING_SECONDS = 0.2
+CLOSE_RACE_SECONDS = 0.2
 """A close and a request that meet on the way are apart by no more, in one machine's buffers."""
 
 
 @dataclass
-class Asked:
+class ClientRequest:
     """One request as its client saw it.
 
     Attributes:
@@ -88,17 +88,17 @@
 
     request_id: str
     kind: str
-    was_sent_ahead: bool = False
-    is_behind_cut: bool = False
+    is_pipelined: bool = False
+    follows_aborted_answer: bool = False
     gateway: str = ""
     position: int = 0
     sent_at: float = 0.0
     ended_at: float = 0.0
-    end: End | None = None
+    end: RequestResult | None = None
 
 
 @dataclass(frozen=True)
-class Circumstances:
+class RequestContext:
     """What was true beside a request.
 
     Attributes:
@@ -108,39 +108,42 @@
     """
 
     runs: int = 0
-    servers_are_sound: bool = True
+    servers_are_healthy: bool = True
     gateway_disturbed: bool = False
 
 
 _BY_END = {
     None: Verdict.UNFINISHED,
-    End.WHOLE: Verdict.ANSWERED,
-    End.LEFT: Verdict.CLIENT_LEFT,
-    End.NO_CONNECTION: Verdict.NEVER_SENT,
+    RequestResult.COMPLETE: Verdict.ANSWERED,
+    RequestResult.DISCONNECTED: Verdict.CLIENT_DISCONNECTED,
+    RequestResult.NO_CONNECTION: Verdict.NEVER_SENT,
 }
 
 
-def judge(asked: Asked, beside: Circumstances) -> Verdict:
+def classify(request: ClientRequest, context: RequestContext) -> Verdict:
     """What a request's end says of its gateway."""
-    if asked.end in _BY_END:
-        return _BY_END[asked.end]
-    if beside.gateway_disturbed:
+    if request.end in _BY_END:
+        return _BY_END[request.end]
+    if context.gateway_disturbed:
         return Verdict.DISTURBED
-    if asked.end is End.TOO_LONG:
+    if request.end is RequestResult.CLIENT_TIMEOUT:
         return Verdict.LOST_SILENT
-    if asked.is_behind_cut:
-        return Verdict.BEHIND_CUT
-    seconds = asked.ended_at - asked.sent_at
-    if asked.end is End.PARTIAL and seconds >= ROUTE_SECONDS - SEND_SLACK_SECONDS:
+    if request.follows_aborted_answer:
+        return Verdict.BEHIND_ABORTED_ANSWER
+    seconds = request.ended_at - request.sent_at
+    if (
+        request.end is RequestResult.PARTIAL
+        and seconds >= ROUTE_TIMEOUT_SECONDS - SEND_SLACK_SECONDS
+    ):
         return Verdict.TIMED_OUT
-    if asked.end is End.PARTIAL and not beside.servers_are_sound:
-        return Verdict.CUT_BY_SERVER
-    if beside.runs or asked.end is End.PARTIAL:
+    if request.end is RequestResult.PARTIAL and not context.servers_are_healthy:
+        return Verdict.ABORTED_BY_SERVER
+    if context.runs or request.end is RequestResult.PARTIAL:
         return Verdict.LOST_AT_SERVER
-    if asked.was_sent_ahead:
-        return Verdict.LOST_AHEAD
-    if asked.position == 0:
+    if request.is_pipelined:
+        return Verdict.LOST_PIPELINED
+    if request.position == 0:
         return Verdict.LOST_FIRST
-    if seconds < CROSSING_SECONDS:
-        return Verdict.CROSSED_CLOSE
-    return Verdict.LOST_KEPT
+    if seconds < CLOSE_RACE_SECONDS:
+        return Verdict.RACED_WITH_CLOSE
+    return Verdict.LOST_ON_KEEP_ALIVE
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from gateway_standin import Client, ClientAnswer, NoAnswerError
-from soak.answers import Asked, End
+from gateway_standin import Client, ClientAnswer, InvalidAnswerError
+from soak.answers import ClientRequest, RequestResult
 from soak.ledger import SentRequest
 from soak.server import CRASHING_BODY
 from soak.world import GatewayProcess, SoakWorld
@@ -27,20 +27,20 @@
     "Token_Usage": "900,20",
     "Prompt_Prefix": "5c1e07a2:800,91bd3f06:100",
 }
-CALM_SECONDS = 2.0
-REPEAT_SECONDS = (0.1, 0.8)
+QUIET_SECONDS = 2.0
+REPEAT_DELAY_SECONDS = (0.1, 0.8)
 """Callers whose request ended a server come again after so long."""
 KINDS = ("safe", "unsafe", "stream", "single")
-PATIENCE_SECONDS = 1.0
+TIMEOUT_MARGIN_SECONDS = 1.0
 """Beyond the deadline that a client tells."""
-LEAVE_SECONDS = (0.0, 0.05)
-CRASHING_PATIENCE_SECONDS = 4.0
+DISCONNECT_DELAY_SECONDS = (0.0, 0.05)
+CRASHING_TIMEOUT_SECONDS = 4.0
 """Callers whose request ends servers wait longer than any route allows: one that leaves before its
 server ends leaves no evidence."""
 
 
 @dataclass(frozen=True)
-class Habits:
+class ClientProfile:
     """How a client behaves.
 
     Attributes:
@@ -56,20 +56,20 @@
     prompt: dict[str, str]
     deadline_seconds: float
     pause_seconds: tuple[float, float]
-    last_share: float
-    leave_share: float = 0.0
-    ahead_share: float = 0.0
-    first_seconds: float = 0.0
+    close_share: float
+    disconnect_share: float = 0.0
+    pipelined_share: float = 0.0
+    first_request_delay_seconds: float = 0.0
 
 
-SOAK_HABITS = Habits(
+SOAK_PROFILE = ClientProfile(
     LONG_PROMPT,
     deadline_seconds=3.0,
     pause_seconds=(0.005, 0.05),
-    last_share=0.1,
-    leave_share=0.05,
+    close_share=0.1,
+    disconnect_share=0.05,
 )
-GatewayChoice = Callable[[], GatewayProcess]
+GatewayChooser = Callable[[], GatewayProcess]
 
 
 def is_closed(client: Client) -> bool:
@@ -93,14 +93,14 @@
         number: int,
         world: SoakWorld,
         source: random.Random,
-        choose_gateway: GatewayChoice,
-        habits: Habits = SOAK_HABITS,
+        choose_gateway: GatewayChooser,
+        profile: ClientProfile = SOAK_PROFILE,
     ) -> None:
         self._number = number
         self._world = world
         self._random = source
         self._choose_gateway = choose_gateway
-        self._habits = habits
+        self._profile = profile
         self._sent = 0
         self._connection: Client | None = None
         self._gateway = ""
@@ -109,45 +109,45 @@
     async def run(self) -> None:
         """Until the soak ends."""
         while not self._world.ended:
-            await self._ask()
-            await asyncio.sleep(self._random.uniform(*self._habits.pause_seconds))
-        self._leave()
+            await self._send_request()
+            await asyncio.sleep(self._random.uniform(*self._profile.pause_seconds))
+        self._disconnect()
 
-    async def _ask(self) -> None:
+    async def _send_request(self) -> None:
         """One request, or two at once, up to their ends."""
         asked = [self._new_request()]
-        if self._random.random() < self._habits.ahead_share:
-            asked.append(self._new_request(was_sent_ahead=True))
+        if self._random.random() < self._profile.pipelined_share:
+            asked.append(self._new_request(is_pipelined=True))
         try:
-            async with asyncio.timeout(self._habits.deadline_seconds + PATIENCE_SECONDS):
+            async with asyncio.timeout(self._profile.deadline_seconds + TIMEOUT_MARGIN_SECONDS):
                 await self._exchange(asked)
         except TimeoutError:
-            self._end_unanswered(asked, End.TOO_LONG)
+            self._finish_unanswered(asked, RequestResult.CLIENT_TIMEOUT)
         except OSError:
-            self._end_unanswered(asked, End.NOTHING)
-        except NoAnswerError as error:
+            self._finish_unanswered(asked, RequestResult.NO_ANSWER)
+        except InvalidAnswerError as error:
             self._world.ledger.violate("no-answer", f"{asked[0].request_id} got {error}")
-            self._end_unanswered(asked, End.NOTHING)
+            self._finish_unanswered(asked, RequestResult.NO_ANSWER)
 
-    def _new_request(self, was_sent_ahead: bool = False) -> Asked:
+    def _new_request(self, is_pipelined: bool = False) -> ClientRequest:
         self._sent += 1
         request_id = f"r-{self._number}-{self._sent}"
-        asked = Asked(request_id, self._random.choice(KINDS), was_sent_ahead)
-        self._world.asked.append(asked)
+        asked = ClientRequest(request_id, self._random.choice(KINDS), is_pipelined)
+        self._world.requests.append(asked)
         return asked
 
-    def _end_unanswered(self, asked: list[Asked], end: End) -> None:
+    def _finish_unanswered(self, asked: list[ClientRequest], end: RequestResult) -> None:
         now = time.monotonic()
         for item in asked:
             if item.end is not None:
                 continue
             item.ended_at = now
-            item.end = end if item.sent_at else End.NO_CONNECTION
+            item.end = end if item.sent_at else RequestResult.NO_CONNECTION
             self._count(item.end.value)
-        self._leave()
+        self._disconnect()
 
-    async def _exchange(self, asked: list[Asked]) -> None:
-        client = await self._connected()
+    async def _exchange(self, asked: list[ClientRequest]) -> None:
+        client = await self._ensure_connected()
         for item in asked:
             item.gateway = self._gateway
             item.position = self._position
@@ -158,9 +158,9 @@
         sent_at = time.monotonic()
         for item in asked:
             item.sent_at = sent_at
-        if self._random.random() < self._habits.leave_share:
-            await asyncio.sleep(self._random.uniform(*LEAVE_SECONDS))
-            self._end_unanswered(asked, End.LEFT)
+        if self._random.random() < self._profile.disconnect_share:
+            await asyncio.sleep(self._random.uniform(*DISCONNECT_DELAY_SECONDS))
+            self._finish_unanswered(asked, RequestResult.DISCONNECTED)
             return
         is_last = False
         for item in asked:
@@ -170,39 +170,41 @@
                 is_last = is_last or got.headers.get("connection") == "close"
             if got is None or not got.whole:
                 for later in asked[asked.index(item) + 1 :]:
-                    later.is_behind_cut = got is not None
-                self._end_unanswered(asked, End.NOTHING)
+                    later.follows_aborted_answer = got is not None
+                self._finish_unanswered(asked, RequestResult.NO_ANSWER)
                 return
-        if is_last or self._random.random() < self._habits.last_share:
-            self._leave()
+        if is_last or self._random.random() < self._profile.close_share:
+            self._disconnect()
 
-    def _note_answer(self, asked: Asked, got: ClientAnswer) -> None:
+    def _note_answer(self, asked: ClientRequest, got: ClientAnswer) -> None:
         asked.ended_at = time.monotonic()
-        asked.end = End.WHOLE if got.whole else End.PARTIAL
+        asked.end = RequestResult.COMPLETE if got.whole else RequestResult.PARTIAL
         self._world.ledger.on_answer(asked.request_id, got.status, got.body, got.whole)
 
-    async def _connected(self) -> Client:
+    async def _ensure_connected(self) -> Client:
         """The connection that is kept, unless the gateway has closed it; else a new one."""
         while self._connection is None or is_closed(self._connection):
-            self._leave()
+            self._disconnect()
             gateway = self._choose_gateway()
             self._gateway = gateway.name
             self._position = 0
             self._connection = await Client.connect(gateway.frontend)
-            await asyncio.sleep(self._random.uniform(0.0, self._habits.first_seconds))
+            await asyncio.sleep(
+                self._random.uniform(0.0, self._profile.first_request_delay_seconds)
+            )
         return self._connection
 
-    def _request_bytes(self, asked: Asked) -> bytes:
+    def _request_bytes(self, asked: ClientRequest) -> bytes:
         ledger = self._world.ledger
         key = self._random.choice(self._world.client_keys)
-        more = {"Deadline_Ms": str(int(self._habits.deadline_seconds * 1000))}
+        more = {"Deadline_Ms": str(int(self._profile.deadline_seconds * 1000))}
         if asked.kind in ("stream", "single"):
-            more.update(self._habits.prompt)
+            more.update(self._profile.prompt)
         now = asyncio.get_running_loop().time()
         ledger.on_sent(SentRequest(asked.request_id, now, key, asked.kind, self._gateway))
         return Client.request_bytes(f"/{asked.kind}/", asked.request_id, key=key, **more)
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection.close()
         self._connection = None
@@ -212,7 +214,7 @@
         outcomes[outcome] = outcomes.get(outcome, 0) + 1
 
 
-class CrashingCaller:
+class CrashingClient:
     """Repeats one request that ends servers, each time under a new id and at any gateway."""
 
     def __init__(self, body: bytes, world: SoakWorld) -> None:
@@ -224,20 +226,20 @@
     async def run(self) -> None:
         """Until the soak ends."""
         while not self._world.ended:
-            await self._until_work_was_answered()
+            await self._wait_for_gateways()
             try:
-                async with asyncio.timeout(CRASHING_PATIENCE_SECONDS):
-                    await self._ask()
+                async with asyncio.timeout(CRASHING_TIMEOUT_SECONDS):
+                    await self._send_request()
             except (OSError, TimeoutError, asyncio.IncompleteReadError):
                 pass
-            await asyncio.sleep(self._world.random.uniform(*REPEAT_SECONDS))
+            await asyncio.sleep(self._world.random.uniform(*REPEAT_DELAY_SECONDS))
 
-    async def _until_work_was_answered(self) -> None:
+    async def _wait_for_gateways(self) -> None:
         """Gateways that have all just started know no answer that speaks for ordinary work."""
-        while not self._world.are_all_back(CALM_SECONDS):
+        while not self._world.have_all_listened(QUIET_SECONDS):
             await asyncio.sleep(0.1)
 
-    async def _ask(self) -> None:
+    async def _send_request(self) -> None:
         world = self._world
         self._sent += 1
         request_id = f"c-{self._number}-{self._sent}"
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -8,7 +8,7 @@
 
 from soak.world import SoakWorld
 
-SICK_MOODS = (
+FAULT_NAMES = (
     "shed",
     "fail",
     "reset_before",
@@ -47,28 +47,28 @@
     gateway.send(signal.SIGCONT)
 
 
-async def hang_up_gateway(world: SoakWorld) -> None:
+async def reload_gateway(world: SoakWorld) -> None:
     """SIGHUP."""
     world.random.choice(world.gateways).send(signal.SIGHUP)
 
 
-async def cut_from_store(world: SoakWorld) -> None:
+async def partition_from_store(world: SoakWorld) -> None:
     """One gateway's way to the store is cut; bytes are held up."""
     proxy = world.random.choice(world.gateways).store
-    proxy.cut()
+    proxy.block()
     await asyncio.sleep(world.random.uniform(0.5, 5.0))
-    proxy.heal()
+    proxy.unblock()
 
 
-async def cut_feed(world: SoakWorld) -> None:
+async def disrupt_feed(world: SoakWorld) -> None:
     """What a gateway tells its followers is held up, or comes late."""
     proxy = world.random.choice(world.gateways).feed
     if world.random.random() < 0.5:
         proxy.delay_seconds = world.random.uniform(0.1, 1.0)
     else:
-        proxy.cut()
+        proxy.block()
     await asyncio.sleep(world.random.uniform(0.5, 5.0))
-    proxy.heal()
+    proxy.unblock()
 
 
 async def reset_feed(world: SoakWorld) -> None:
@@ -82,14 +82,14 @@
         gateway.store.delay_seconds = world.random.uniform(0.05, 0.3)
     await asyncio.sleep(world.random.uniform(0.5, 3.0))
     for gateway in world.gateways:
-        gateway.store.heal()
+        gateway.store.unblock()
 
 
 async def store_down(world: SoakWorld) -> None:
     """The store answers 503, or resets its connections."""
     world.store.unavailable = True
     if world.random.random() < 0.5:
-        world.store.cut()
+        world.store.reset_connections()
     await asyncio.sleep(world.random.uniform(0.5, 4.0))
     world.store.unavailable = False
 
@@ -99,22 +99,22 @@
     world.store.silent = True
     await asyncio.sleep(world.random.uniform(0.5, 3.0))
     world.store.silent = False
-    world.store.cut()
+    world.store.reset_connections()
 
 
-async def forget_history(world: SoakWorld) -> None:
+async def compact_history(world: SoakWorld) -> None:
     """Watches from before get 410."""
-    world.store.forget_history()
-    world.store.cut()
+    world.store.compact_history()
+    world.store.reset_connections()
 
 
-async def cut_server(world: SoakWorld) -> None:
+async def partition_server(world: SoakWorld) -> None:
     """The way to a server is cut for all gateways; bytes are held up."""
     name = world.random.choice(list(world.server_proxies))
     proxy = world.server_proxies[name]
-    proxy.cut()
+    proxy.block()
     await asyncio.sleep(world.random.uniform(0.3, 4.0))
-    proxy.heal()
+    proxy.unblock()
 
 
 async def reset_server(world: SoakWorld) -> None:
@@ -137,24 +137,24 @@
     server = world.servers[name]
     await world.add_server(server.service)
     server.draining = True
-    world.enter(server)
+    world.write_entry(server)
     await asyncio.sleep(2.5)
     if name in world.servers:
         await world.remove_server(name)
 
 
-async def sick_server(world: SoakWorld) -> None:
+async def faulty_server(world: SoakWorld) -> None:
     """A server misbehaves in one way for a while."""
     server = world.servers[world.random.choice(list(world.servers))]
-    kind = world.random.choice(SICK_MOODS)
-    setattr(server.mood, kind, world.random.uniform(0.1, 0.7))
+    kind = world.random.choice(FAULT_NAMES)
+    setattr(server.fault_rates, kind, world.random.uniform(0.1, 0.7))
     await asyncio.sleep(world.random.uniform(1.0, 4.0))
-    setattr(server.mood, kind, 0.0)
+    setattr(server.fault_rates, kind, 0.0)
 
 
-async def name_version(world: SoakWorld) -> None:
+async def publish_version(world: SoakWorld) -> None:
     """New weights are named."""
-    world.name_version()
+    world.publish_version()
 
 
 async def change_configuration(world: SoakWorld) -> None:
@@ -175,20 +175,20 @@
     kill_all_gateways,
     stop_gateway,
     freeze_gateway,
-    hang_up_gateway,
-    cut_from_store,
-    cut_feed,
+    reload_gateway,
+    partition_from_store,
+    disrupt_feed,
     reset_feed,
     slow_store,
     store_down,
     store_silent,
-    forget_history,
-    cut_server,
+    compact_history,
+    partition_server,
     reset_server,
     replace_server,
     drain_server,
-    sick_server,
-    name_version,
+    faulty_server,
+    publish_version,
     change_configuration,
     revoke_key,
 )
--- a/tests/soak/large_configuration.py
+++ b/tests/soak/large_configuration.py
@@ -9,17 +9,17 @@
 from pathlib import Path
 from typing import Any
 
-from gateway_standin import Client, NoAnswerError
+from gateway_standin import Client, InvalidAnswerError
 from soak.ledger import SentRequest
 from soak.world import CONFIG_APPLY_SECONDS, STABLE_SECONDS, GatewayProcess, SoakWorld
 
 HOSTS = 20
-MOST_ROUTES = 1400
+MAX_ROUTES = 1400
 RESIZE_SECONDS = (0.3, 4.5)
 LETTERS = "abcdefghijklmnopqrstuvwxyz0123456789"
 PROBE_SECONDS = 0.3
 PROBE_TIMEOUT_SECONDS = 2.0
-TARGET_SECONDS = 2.0
+APPLY_TARGET_SECONDS = 2.0
 """In force everywhere within this time, whatever the size, on the links of the capacity page."""
 NOT_FOUND = 404
 """What only a version without the route says."""
@@ -68,8 +68,8 @@
         await asyncio.sleep(world.random.uniform(*RESIZE_SECONDS))
         drawn = world.random.random()
         if drawn < 0.5:
-            world.routes += many_routes(world.random.randint(1, MOST_ROUTES // 2), world.random)
-            world.routes = world.routes[-MOST_ROUTES:]
+            world.routes += many_routes(world.random.randint(1, MAX_ROUTES // 2), world.random)
+            world.routes = world.routes[-MAX_ROUTES:]
         elif drawn < 0.7:
             world.routes = world.routes[: len(world.routes) // 3]
         elif drawn < 0.9:
@@ -92,7 +92,7 @@
             continue
         number += 1
         request_id = f"probe-{gateway.name}-{number}"
-        status = await _ask(world, gateway, f"/since-{version}/", request_id)
+        status = await _send_probe(world, gateway, f"/since-{version}/", request_id)
         world.probes[status] += 1
         since = acknowledged_at - CONFIG_APPLY_SECONDS
         now = time.monotonic()
@@ -115,7 +115,7 @@
     return (latest_at, version) if now - latest_at > CONFIG_APPLY_SECONDS else (latest_at, 0)
 
 
-async def _ask(world: SoakWorld, gateway: GatewayProcess, path: str, request_id: str) -> int:
+async def _send_probe(world: SoakWorld, gateway: GatewayProcess, path: str, request_id: str) -> int:
     """Status of the answer, 0 without one."""
     key = next(iter(world.keys))
     now = asyncio.get_running_loop().time()
@@ -128,7 +128,7 @@
                 got = await client.read_answer()
             finally:
                 client.close()
-    except (OSError, TimeoutError, NoAnswerError):
+    except (OSError, TimeoutError, InvalidAnswerError):
         return 0
     return got.status if got is not None else 0
 
@@ -144,18 +144,20 @@
     never = 0
     for acknowledged_at, version in world.configurations:
         for gateway in world.gateways:
-            if not _is_served_by(gateway, in_force[gateway.name], acknowledged_at):
+            if not _was_serving(gateway, in_force[gateway.name], acknowledged_at):
                 continue
-            known_at = next((at for at, found in in_force[gateway.name] if found >= version), None)
-            if known_at is not None:
-                delays.append(known_at - acknowledged_at)
-            elif now - acknowledged_at > TARGET_SECONDS:
+            applied_at = next(
+                (at for at, found in in_force[gateway.name] if found >= version), None
+            )
+            if applied_at is not None:
+                delays.append(applied_at - acknowledged_at)
+            elif now - acknowledged_at > APPLY_TARGET_SECONDS:
                 never += 1
     links = [gateway.link.carried_bytes for gateway in world.gateways if gateway.link is not None]
     return {
         "versions": len(world.configurations),
         "worst_seconds": round(max(delays, default=0.0), 2),
-        "late": sum(delay > TARGET_SECONDS for delay in delays),
+        "late": sum(delay > APPLY_TARGET_SECONDS for delay in delays),
         "never": never,
         "readers_lost": _count(world, "reader-lost"),
         "store_read_here": _count(world, "store-read-here"),
@@ -165,9 +167,7 @@
     }
 
 
-def _is_served_by(
-    gateway: GatewayProcess, in_force: list[tuple[float, int]], moment: float
-) -> bool:
+def _was_serving(gateway: GatewayProcess, in_force: list[tuple[float, int]], moment: float) -> bool:
     """Whether it ran with a configuration at a moment; one that is starting isn't late."""
     is_undisturbed = gateway.has_run_undisturbed(moment, moment)
     return is_undisturbed and any(at <= moment for at, _ in in_force)
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 
 from soak.limit_ledger import LimitLedger
-from soak.signal_ledger import Arrival, Rest, SignalLedger, WasDisturbed
+from soak.signal_ledger import Arrival, BackOff, SignalLedger, WasDisturbed
 
-MAX_ENDS = 5
+MAX_CRASHES = 5
 """Servers that may end under one request between two losses of all gateways: three, and two by
 gateways that were frozen or cut off and don't know it yet. Without containment a soak of twenty
 seconds ends twenty and more. What is not contained yet is forgotten with all gateways."""
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Work:
+class StreamExecution:
     """What one server did for a stream, in seconds of the ledger's clock."""
 
     server: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class GivenOrder:
+class ReceivedOrder:
     """An order as a server got it."""
 
     server: str
@@ -70,24 +70,26 @@
     return f"{server}@{born}"
 
 
-def name_of(incarnation_of_server: str) -> str:
+def server_name(incarnation_of_server: str) -> str:
     """The server's name in one of its starts."""
     return incarnation_of_server.partition("@")[0]
 
 
-def piece_count(request_id: str) -> int:
+def stream_event_count(request_id: str) -> int:
     """Number of events of a request's stream."""
     return 3 + zlib.crc32(request_id.encode()) % 6
 
 
-def piece(request_id: str, number: int) -> bytes:
+def stream_event(request_id: str, number: int) -> bytes:
     """One event of a request's stream; the same at every server."""
     return b"id: %d\ndata: %b:%d\n\n" % (number, request_id.encode(), number)
 
 
-def whole_stream(request_id: str) -> bytes:
+def complete_stream(request_id: str) -> bytes:
     """The body of a request's stream."""
-    return b"".join(piece(request_id, n) for n in range(1, piece_count(request_id) + 1))
+    return b"".join(
+        stream_event(request_id, n) for n in range(1, stream_event_count(request_id) + 1)
+    )
 
 
 @dataclass
@@ -100,20 +102,20 @@
     isolated: frozenset[str] = frozenset()
     runs: dict[str, list[Run]] = field(default_factory=dict)
     sent: dict[str, SentRequest] = field(default_factory=dict)
-    orders: list[GivenOrder] = field(default_factory=list)
+    orders: list[ReceivedOrder] = field(default_factory=list)
     revoked_at: dict[str, float] = field(default_factory=dict)
     bodies: dict[str, set[bytes]] = field(default_factory=dict)
     outcomes: dict[str, int] = field(default_factory=dict)
-    promised: dict[str, int] = field(default_factory=dict)
-    ends: dict[tuple[str, bytes], int] = field(default_factory=dict)
-    ends_in_a_life: dict[tuple[str, bytes], int] = field(default_factory=dict)
+    refusals: dict[str, int] = field(default_factory=dict)
+    crashes: dict[tuple[str, bytes], int] = field(default_factory=dict)
+    crashes_since_all_killed: dict[tuple[str, bytes], int] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     pauses: int = 0
     """Streams that stood still midway at their server."""
-    works: dict[str, list[Work]] = field(default_factory=dict)
+    executions: dict[str, list[StreamExecution]] = field(default_factory=dict)
     limits: LimitLedger = field(default_factory=LimitLedger)
     signals: SignalLedger = field(default_factory=SignalLedger)
-    leaving_answers: dict[str, str] = field(default_factory=dict)
+    draining_answers: dict[str, str] = field(default_factory=dict)
     """Requests whose latest answer said that its server leaves, with that server."""
     now: Callable[[], float] = time.monotonic
     """Clock of the servers' work: of the process that they all run in."""
@@ -134,16 +136,16 @@
 
     # -- what servers say -----------------------------------------------------------------------
 
-    def on_rest(self, server: str, request_id: str, seconds: float) -> None:
+    def on_back_off(self, server: str, request_id: str, seconds: float) -> None:
         """A server turns a request away, and asks for rest."""
         sent = self.sent.get(request_id)
         if sent is not None:
-            self.signals.on_rest(Rest(server, sent.gateway, time.monotonic(), seconds))
+            self.signals.on_back_off(BackOff(server, sent.gateway, time.monotonic(), seconds))
 
-    def on_leaving_answer(self, server: str, request_id: str) -> None:
+    def on_draining_answer(self, server: str, request_id: str) -> None:
         """A server writes an answer that says that it leaves."""
-        self.signals.on_leaving_answer(server, time.monotonic())
-        self.leaving_answers[request_id] = server
+        self.signals.on_draining_answer(server, time.monotonic())
+        self.draining_answers[request_id] = server
 
     def check_signals(self, drain_seconds: float, was_disturbed: WasDisturbed) -> None:
         """Servers that leave or rest got no more than they may.
@@ -154,8 +156,8 @@
         """
         for late in self.signals.late_sends(drain_seconds, was_disturbed):
             self.violate("leaving", f"{late}")
-        for rest, count in self.signals.broken_rests(was_disturbed):
-            self.violate("rest", f"{count} requests in {rest}")
+        for back_off, count in self.signals.violated_back_offs(was_disturbed):
+            self.violate("rest", f"{count} requests in {back_off}")
 
     def on_limit(self, server: str, per_second: float | None) -> None:
         """A server names a limit from now on, or none any more."""
@@ -171,17 +173,17 @@
     @contextmanager
     def running(self, request_id: str, server: str) -> Iterator[None]:
         """A server works on a stream meanwhile."""
-        work = Work(server, self.now())
-        self.works.setdefault(request_id, []).append(work)
+        execution = StreamExecution(server, self.now())
+        self.executions.setdefault(request_id, []).append(execution)
         try:
             yield
         finally:
-            work.ended_at = self.now()
+            execution.ended_at = self.now()
 
     def check_overlaps(self) -> None:
         """No stream goes on at a server long while the one before still works on it."""
-        for request_id, works in self.works.items():
-            for before, after in itertools.pairwise(works):
+        for request_id, executions in self.executions.items():
+            for before, after in itertools.pairwise(executions):
                 overlap = min(before.ended_at, after.ended_at) - after.began_at
                 if overlap > MAX_OVERLAP_SECONDS:
                     self.violate("one-run", f"{request_id} ran twice for {overlap:.2f} s")
@@ -210,19 +212,19 @@
         """A server wrote this body as the whole answer of a request."""
         self.bodies.setdefault(request_id, set()).add(body)
 
-    def on_end(self, tenant: str, body: bytes) -> None:
+    def on_crash(self, tenant: str, body: bytes) -> None:
         """A server's process ends under a tenant's request with this body."""
-        self.ends[tenant, body] = self.ends.get((tenant, body), 0) + 1
-        ends = self.ends_in_a_life.get((tenant, body), 0) + 1
-        self.ends_in_a_life[tenant, body] = ends
-        if ends == MAX_ENDS + 1:
-            self.violate("contained", f"{ends} servers ended under {body!r} of {tenant}")
+        self.crashes[tenant, body] = self.crashes.get((tenant, body), 0) + 1
+        crashes = self.crashes_since_all_killed.get((tenant, body), 0) + 1
+        self.crashes_since_all_killed[tenant, body] = crashes
+        if crashes == MAX_CRASHES + 1:
+            self.violate("contained", f"{crashes} servers ended under {body!r} of {tenant}")
 
     def on_all_gateways_killed(self) -> None:
         """What gateways had seen of requests that aren't contained yet is forgotten."""
-        self.ends_in_a_life.clear()
+        self.crashes_since_all_killed.clear()
 
-    def on_order(self, order: GivenOrder) -> None:
+    def on_order(self, order: ReceivedOrder) -> None:
         """A server got an order that its fence let through."""
         for other in self.orders:
             if other.fencing_token == order.fencing_token and other.holder != order.holder:
@@ -246,15 +248,15 @@
         outcome = str(status) if whole else "cut"
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         if status in (408, 421, 429, 503):
-            self.promised[request_id] = status
+            self.refusals[request_id] = status
         if status != 200:
             return
-        if whole and request_id in self.leaving_answers:
+        if whole and request_id in self.draining_answers:
             gateway = self.sent[request_id].gateway
-            server = self.leaving_answers[request_id]
-            self.signals.on_passed_on(server, gateway, time.monotonic())
+            server = self.draining_answers[request_id]
+            self.signals.on_relayed(server, gateway, time.monotonic())
         if kind in ("stream", "single"):
-            expected = whole_stream(request_id)
+            expected = complete_stream(request_id)
             if not expected.startswith(body) or (whole and body != expected):
                 self.violate("stream-order", f"{request_id} got {body[-60:]!r}")
         elif whole and body not in self.bodies.get(request_id, set()):
@@ -262,6 +264,6 @@
 
     def check_late(self) -> None:
         """Looks back when all is over: a refusal stays true, also for what was on its way."""
-        for request_id, status in self.promised.items():
+        for request_id, status in self.refusals.items():
             if self.runs.get(request_id) and self.sent[request_id].kind in ("unsafe", "single"):
                 self.violate("refused-is-true", f"{request_id} got {status} and ran later")
--- a/tests/soak/limits.py
+++ b/tests/soak/limits.py
@@ -8,7 +8,7 @@
 
 LIMITED_SECONDS = (8.0, 14.0)
 UNLIMITED_SECONDS = (0.5, 2.0)
-ALL_LIMITED = 0.3
+ALL_LIMITED_CHANCE = 0.3
 """Chance that all servers limit their requests at once."""
 
 
@@ -18,13 +18,13 @@
         servers = list(world.servers.values())
         count = max(round(share * len(servers)), 1)
         chosen = servers
-        if world.random.random() >= ALL_LIMITED:
+        if world.random.random() >= ALL_LIMITED_CHANCE:
             chosen = world.random.sample(servers, count)
         try:
             for server in chosen:
-                server.name_limit(round(limit * world.random.uniform(0.5, 1.5), 2))
+                server.announce_limit(round(limit * world.random.uniform(0.5, 1.5), 2))
             await asyncio.sleep(world.random.uniform(*LIMITED_SECONDS))
         finally:
             for server in chosen:
-                server.name_limit(None)
+                server.announce_limit(None)
         await asyncio.sleep(world.random.uniform(*UNLIMITED_SECONDS))
--- a/tests/soak/mixed_builds.py
+++ b/tests/soak/mixed_builds.py
@@ -34,11 +34,11 @@
 from milletcourse.operations.keys import mint_key
 from milletcourse.standins.embedded import OPERATOR_KEY, TENANT_KEYS
 from soak.answers import LOST
-from soak.load_balancer import Entry
 from soak.limits import limit_servers
-from soak.planned import new_client, other_planned_work
-from soak.seeds import Report, play_seeds
-from soak.signals import leave_servers, rest_servers
+from soak.load_balancer import LoadBalancer
+from soak.planned import make_planned_changes, new_client
+from soak.seeds import Report, run_seeds
+from soak.signals import back_off_servers, drain_and_replace_servers
 from soak.world import DEFAULT_GATEWAYS, SoakWorld
 from test_processes import StreamResult, body_of, expected, read_stream
 
@@ -46,11 +46,11 @@
 CLIENTS = 24
 READY_SECONDS = 30.0
 REPLACED_PAUSE_SECONDS = (0.3, 1.0)
-KILLED = 0.5
+KILLED_SHARE = 0.5
 """Share of the replaced gateways that are killed; the others get SIGTERM."""
-LIMITED, LIMIT = 0.3, 2.0
-RESTING = 0.2
-LEAVING = 0.2
+LIMITED_SHARE, LIMIT_PER_SECOND = 0.3, 2.0
+BACKING_OFF_SHARE = 0.2
+DRAINING_SHARE = 0.2
 UNDECODED_EVENTS = frozenset(
     {
         "peer-message-refused",
@@ -65,7 +65,7 @@
     }
 )
 """Log events of a gateway that could not decode a message, a stored object or its settings."""
-VOTES_AFTER_SECONDS = 2.0
+VOTE_DELAY_SECONDS = 2.0
 """A router does not vote on operations right after its start."""
 STREAM_TOKENS = 400
 
@@ -78,25 +78,25 @@
     background: list[asyncio.Task[None]] = []
     try:
         await world.start()
-        entry = Entry(world.gateways, world.random)
-        duties = (entry.run(), world.beat(), world.watch_own_pauses())
-        background = [asyncio.create_task(work) for work in duties]
+        balancer = LoadBalancer(world.gateways, world.random)
+        background_work = (balancer.run(), world.send_heartbeats(), world.watch_event_loop())
+        background = [asyncio.create_task(work) for work in background_work]
         async with asyncio.timeout(READY_SECONDS):
-            while not all(entry.is_in(gateway) for gateway in world.gateways):
+            while not all(balancer.is_in_rotation(gateway) for gateway in world.gateways):
                 await asyncio.sleep(0.05)
         callers = [
-            asyncio.create_task(new_client(number, world, entry, direct=False).run())
+            asyncio.create_task(new_client(number, world, balancer, direct=False).run())
             for number in range(CLIENTS)
         ]
-        background.append(asyncio.create_task(world.keep_gateways()))
+        background.append(asyncio.create_task(world.restart_exited_gateways()))
         series = [
             asyncio.create_task(work)
             for work in (
-                replace_gateways(world, entry),
-                other_planned_work(world),
-                limit_servers(world, LIMITED, LIMIT),
-                rest_servers(world, RESTING),
-                leave_servers(world, LEAVING),
+                replace_gateways(world, balancer),
+                make_planned_changes(world),
+                limit_servers(world, LIMITED_SHARE, LIMIT_PER_SECOND),
+                back_off_servers(world, BACKING_OFF_SHARE),
+                drain_and_replace_servers(world, DRAINING_SHARE),
             )
         ]
         await asyncio.sleep(seconds)
@@ -114,15 +114,15 @@
     return _report_of(seed, world)
 
 
-async def replace_gateways(world: SoakWorld, entry: Entry) -> None:
+async def replace_gateways(world: SoakWorld, balancer: LoadBalancer) -> None:
     """Stop or kill one gateway after the other, until cancelled; each starts as the other build."""
     while True:
         for gateway in world.gateways:
             starts = gateway.starts
-            is_killed = world.random.random() < KILLED
+            is_killed = world.random.random() < KILLED_SHARE
             gateway.send(signal.SIGKILL if is_killed else signal.SIGTERM)
             world.stops += 1
-            while gateway.starts == starts or not entry.is_in(gateway):
+            while gateway.starts == starts or not balancer.is_in_rotation(gateway):
                 await asyncio.sleep(0.05)
             await asyncio.sleep(world.random.uniform(*REPLACED_PAUSE_SECONDS))
 
@@ -143,12 +143,12 @@
             if line["event"] in UNDECODED_EVENTS or line["event"] == "task-failed":
                 world.ledger.violate(line["event"], f"{gateway.name}: {line}")
     verdicts = world.verdicts()
-    lost = [item.request_id for item in world.asked if verdicts[item.request_id] in LOST]
+    lost = [item.request_id for item in world.requests if verdicts[item.request_id] in LOST]
     return {
         "seed": seed,
         "starts_by_build": dict(builds),
         "replaced": world.stops,
-        "requests": len(world.asked),
+        "requests": len(world.requests),
         "outcomes": dict(sorted(world.ledger.outcomes.items())),
         "leases_by_build": dict(Counter(source for source, _ in lease_holders)),
         "weight_orders": events["weight-order"],
@@ -195,7 +195,7 @@
     violations: list[str] = []
     try:
         await asyncio.to_thread(deployment.start)
-        await asyncio.sleep(VOTES_AFTER_SECONDS)
+        await asyncio.sleep(VOTE_DELAY_SECONDS)
         violations += await _check_members(deployment)
         violations += await _check_operations(deployment)
         violations += await _check_configuration(deployment)
@@ -292,10 +292,10 @@
     arguments = parser.parse_args()
     sources = [str((arguments.old / "src").resolve()), str((arguments.new / "src").resolve())]
 
-    def play(seed: int, folder: Path) -> Coroutine[Any, Any, Report]:
+    def run_seed(seed: int, folder: Path) -> Coroutine[Any, Any, Report]:
         return mixed_gateways(seed, folder, sources, arguments.gateways, arguments.seconds)
 
-    failed = play_seeds(arguments.seeds, arguments.keep, play)
+    failed = run_seeds(arguments.seeds, arguments.keep, run_seed)
     for order in (sources, sources[::-1]):
         report = asyncio.run(mixed_routers(order))
         failed |= bool(report["violations"])
--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -24,20 +24,20 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from soak.answers import LOST, End
-from soak.clients import SHORT_PROMPT, Habits, SoakClient
-from soak.store_restores import begin_copies, check_after_returns, store_figures
-from soak.load_balancer import Entry
+from soak.answers import LOST, RequestResult
+from soak.clients import SHORT_PROMPT, ClientProfile, SoakClient
 from soak.large_configuration import (
-    TARGET_SECONDS,
+    APPLY_TARGET_SECONDS,
     change_configuration,
     configuration_figures,
     many_routes,
     probe_routes,
 )
 from soak.limits import limit_servers
-from soak.seeds import Report, play_seeds
-from soak.signals import leave_servers, rest_servers
+from soak.load_balancer import LoadBalancer
+from soak.seeds import Report, run_seeds
+from soak.signals import back_off_servers, drain_and_replace_servers
+from soak.store_restores import check_after_restores, start_restores, store_figures
 from soak.world import (
     DEFAULT_GATEWAYS,
     GATEWAY_PROGRAM,
@@ -46,31 +46,35 @@
     SoakWorld,
 )
 
-KEPT = Habits(
+KEEP_ALIVE = ClientProfile(
     SHORT_PROMPT,
     deadline_seconds=6.0,
     pause_seconds=(0.002, 0.04),
-    last_share=0.05,
-    ahead_share=0.1,
+    close_share=0.05,
+    pipelined_share=0.1,
 )
 """Keeps its connection long, and sends ahead on it at times."""
-SINGLE = replace(KEPT, last_share=1.0, ahead_share=0.0, first_seconds=0.2)
+CONNECTION_PER_REQUEST = replace(
+    KEEP_ALIVE, close_share=1.0, pipelined_share=0.0, first_request_delay_seconds=0.2
+)
 """Opens a connection for each request, and sends it a moment later."""
-HABITS = (KEPT, SINGLE)
+PROFILES = (KEEP_ALIVE, CONNECTION_PER_REQUEST)
 """Taken in turn by the clients."""
 DEFAULT_CLIENTS = 40
 READY_SECONDS = 30.0
-CALM_SECONDS = 1.0
-HOLD_PAUSE_SECONDS = 1.0
-MAX_OWN_ABSENCE_SECONDS = 0.3
+QUIET_SECONDS = 1.0
+SUSPEND_INTERVAL_SECONDS = 1.0
+MAX_OWN_STALL_SECONDS = 0.3
 """With less standing still of this process in all, no server in it was silent for a second."""
-JUDGEMENTS = ("left", "instance-ejected", "instance-suspected", "stream-cut")
+COUNTED_EVENTS = ("left", "instance-ejected", "instance-suspected", "stream-cut")
 """What gateways did to servers and streams, counted from their lines."""
 PERCENTILES = {"p50": 0.5, "p99": 0.99}
 MUTANTS_FILE = Path(__file__).parent / "mutants.py"
 
 
-async def roll_gateways(world: SoakWorld, entry: Entry, at_a_time: int) -> None:
+async def restart_gateways_in_turn(
+    world: SoakWorld, balancer: LoadBalancer, at_a_time: int
+) -> None:
     """SIGTERM to gateways in turn; the next ones when these are back in the entry."""
     while True:
         for first in range(0, len(world.gateways), at_a_time):
@@ -80,52 +84,52 @@
                 gateway.send(signal.SIGTERM)
                 world.stops += 1
             while any(
-                gateway.starts == starts[gateway.name] or not entry.is_in(gateway)
+                gateway.starts == starts[gateway.name] or not balancer.is_in_rotation(gateway)
                 for gateway in group
             ):
                 await asyncio.sleep(0.05)
 
 
-async def other_planned_work(world: SoakWorld) -> None:
+async def make_planned_changes(world: SoakWorld) -> None:
     """SIGHUP, configurations and weights at random moments."""
     while True:
         await asyncio.sleep(world.random.uniform(0.3, 1.5))
         drawn = world.random.random()
         if drawn < 0.4:
-            started = [gateway for gateway in world.gateways if entry_has_seen(gateway)]
+            started = [gateway for gateway in world.gateways if has_started(gateway)]
             if started:
                 world.random.choice(started).send(signal.SIGHUP)
         elif drawn < 0.8:
             world.put_configuration()
         else:
-            world.name_version()
+            world.publish_version()
 
 
-def entry_has_seen(gateway: GatewayProcess) -> bool:
+def has_started(gateway: GatewayProcess) -> bool:
     """Whether a process serves by its own word: before that, SIGHUP ends it as any program."""
     return gateway.is_running() and gateway.has_started()
 
 
-async def hold_gateways(world: SoakWorld, seconds: float) -> None:
+async def suspend_gateways(world: SoakWorld, seconds: float) -> None:
     """Processes stand still by turns, as on a machine that others use.
 
     That excuses no end of a request, only what a process that stands can know of the store.
     """
     while True:
-        await asyncio.sleep(HOLD_PAUSE_SECONDS)
+        await asyncio.sleep(SUSPEND_INTERVAL_SECONDS)
         gateway = world.random.choice(world.gateways)
         process = gateway.process
-        if process is None or not entry_has_seen(gateway):
+        if process is None or not has_started(gateway):
             continue
         process.send_signal(signal.SIGSTOP)
-        hold = Disturbance(time.monotonic())
-        gateway.holds.append(hold)
+        suspension = Disturbance(time.monotonic())
+        gateway.suspensions.append(suspension)
         try:
             await asyncio.sleep(seconds)
         finally:
             process.send_signal(signal.SIGCONT)
-            hold.ended_at = time.monotonic()
-        world.holds += 1
+            suspension.ended_at = time.monotonic()
+        world.suspensions += 1
 
 
 @dataclass(frozen=True)
@@ -165,19 +169,19 @@
     mutant: str = ""
     pauses: float = 0.0
     full: float = 0.0
-    hold_seconds: float = 0.0
+    suspend_seconds: float = 0.0
     stops: bool = True
     limited: float = 0.0
     limit: float = 1.0
     descriptors: int = 0
-    resting: float = 0.0
-    leaving: float = 0.0
+    backing_off: float = 0.0
+    draining: float = 0.0
     connections: int = 0
-    copies: bool = False
+    restores_store: bool = False
     link_megabits: float = 0.0
     routes: int = 0
     change_seconds: float = 0.0
-    calm: bool = False
+    changes_only: bool = False
 
     @property
     def is_large(self) -> bool:
@@ -200,50 +204,52 @@
         world.max_connections = run.connections
         world.link_megabits = run.link_megabits
         world.link_callers = bool(run.link_megabits) and not run.stops
-        world.shows_state = run.copies
+        world.serves_state = run.restores_store
         await world.start()
         for server in world.servers.values():
-            server.mood.pause = run.pauses
-            server.mood.shed = run.full
-        entry = Entry(world.gateways, world.random)
-        duties = (entry.run(), world.beat(), world.watch_own_pauses())
-        background = [asyncio.create_task(work) for work in duties]
+            server.fault_rates.pause = run.pauses
+            server.fault_rates.shed = run.full
+        balancer = LoadBalancer(world.gateways, world.random)
+        background_work = (balancer.run(), world.send_heartbeats(), world.watch_event_loop())
+        background = [asyncio.create_task(work) for work in background_work]
         async with asyncio.timeout(READY_SECONDS):
-            while not all(entry.is_in(gateway) for gateway in world.gateways):
+            while not all(balancer.is_in_rotation(gateway) for gateway in world.gateways):
                 await asyncio.sleep(0.05)
         callers = [
-            asyncio.create_task(new_client(number, world, entry, run.direct).run())
+            asyncio.create_task(new_client(number, world, balancer, run.direct).run())
             for number in range(run.clients)
         ]
-        background.append(asyncio.create_task(world.keep_gateways()))
-        await asyncio.sleep(CALM_SECONDS)
+        background.append(asyncio.create_task(world.restart_exited_gateways()))
+        await asyncio.sleep(QUIET_SECONDS)
         work = []
         if run.is_large:
             world.routes = many_routes(run.routes, world.random)
             work.append(asyncio.create_task(probe_routes(world)))
         if run.change_seconds:
             work.append(asyncio.create_task(change_configuration(world, run.change_seconds)))
-        if not run.calm:
-            work.append(asyncio.create_task(other_planned_work(world)))
+        if not run.changes_only:
+            work.append(asyncio.create_task(make_planned_changes(world)))
         if run.stops:
-            work.append(asyncio.create_task(roll_gateways(world, entry, run.at_a_time)))
-        if run.hold_seconds:
-            work.append(asyncio.create_task(hold_gateways(world, run.hold_seconds)))
+            work.append(
+                asyncio.create_task(restart_gateways_in_turn(world, balancer, run.at_a_time))
+            )
+        if run.suspend_seconds:
+            work.append(asyncio.create_task(suspend_gateways(world, run.suspend_seconds)))
         if run.limited:
             work.append(asyncio.create_task(limit_servers(world, run.limited, run.limit)))
-        if run.resting:
-            work.append(asyncio.create_task(rest_servers(world, run.resting)))
-        if run.leaving:
-            work.append(asyncio.create_task(leave_servers(world, run.leaving)))
-        if run.copies:
-            work += begin_copies(world)
+        if run.backing_off:
+            work.append(asyncio.create_task(back_off_servers(world, run.backing_off)))
+        if run.draining:
+            work.append(asyncio.create_task(drain_and_replace_servers(world, run.draining)))
+        if run.restores_store:
+            work += start_restores(world)
         await asyncio.sleep(run.seconds)
         for task in work:
             task.cancel()
-        if run.copies:
-            await check_after_returns(world)
+        if run.restores_store:
+            await check_after_restores(world)
         if run.is_large:
-            await asyncio.sleep(TARGET_SECONDS)
+            await asyncio.sleep(APPLY_TARGET_SECONDS)
             large = configuration_figures(world)
         world.ended = True
         await asyncio.gather(*callers)
@@ -251,7 +257,7 @@
         for task in background:
             task.cancel()
         await world.stop()
-    if not run.hold_seconds:
+    if not run.suspend_seconds:
         # A gateway that stands still can't end a run.
         world.ledger.check_overlaps()
     world.ledger.check_limits()
@@ -260,40 +266,44 @@
     return {**report, "configuration": large} if run.is_large else report
 
 
-def new_client(number: int, world: SoakWorld, entry: Entry, direct: bool) -> SoakClient:
+def new_client(number: int, world: SoakWorld, balancer: LoadBalancer, direct: bool) -> SoakClient:
     """A client that goes through the entry, or to any gateway."""
     source = random.Random(number)
-    habits = HABITS[number % len(HABITS)]
+    profile = PROFILES[number % len(PROFILES)]
 
     def any_gateway() -> GatewayProcess:
         return source.choice(world.gateways)
 
-    return SoakClient(number, world, source, any_gateway if direct else entry.choose, habits)
+    return SoakClient(number, world, source, any_gateway if direct else balancer.choose, profile)
 
 
 def report_of(seed: int, world: SoakWorld, servers_are_silent: bool) -> Report:
     """Counts by verdict, and each lost request."""
-    may_blame = servers_are_silent or world.clock.absent_seconds > MAX_OWN_ABSENCE_SECONDS
+    servers_may_be_silent = servers_are_silent or world.clock.absent_seconds > MAX_OWN_STALL_SECONDS
     verdicts = world.verdicts()
-    lost = [item for item in world.asked if verdicts[item.request_id] in LOST]
+    lost = [item for item in world.requests if verdicts[item.request_id] in LOST]
     events: Counter[str] = Counter()
     for gateway in world.gateways:
         for line in gateway.log_lines():
             if line["event"] == "attempt-failed" and line["loss"] == "aborted":
                 events["left"] += 1
             events[line["event"]] += 1
-            if is_blame(line) and not may_blame and line["instance"] not in world.ended_servers:
+            if (
+                is_silence_verdict(line)
+                and not servers_may_be_silent
+                and line["instance"] not in world.terminated_servers
+            ):
                 world.ledger.violate("blamed", f"a server that was never silent: {line}")
             if line["event"] == "task-failed":
                 world.ledger.violate("defect", f"{gateway.name}: {line}")
     return {
         "seed": seed,
         "stops": world.stops,
-        "requests": len(world.asked),
+        "requests": len(world.requests),
         "pauses": world.ledger.pauses,
-        "holds": world.holds,
+        "holds": world.suspensions,
         "own_absence": round(world.clock.absent_seconds, 2),
-        "judged": {name: events[name] for name in JUDGEMENTS if events[name]},
+        "judged": {name: events[name] for name in COUNTED_EVENTS if events[name]},
         "limits": world.ledger.limits.figures(time.monotonic()),
         "resets": sum(server.resets for server in world.servers.values()),
         "signals": world.ledger.signals.figures(),
@@ -319,13 +329,17 @@
 
 def answer_times(world: SoakWorld) -> dict[str, float]:
     """Median and 99th percentile of the time until an answer was whole."""
-    times = sorted(item.ended_at - item.sent_at for item in world.asked if item.end is End.WHOLE)
+    times = sorted(
+        item.ended_at - item.sent_at
+        for item in world.requests
+        if item.end is RequestResult.COMPLETE
+    )
     if not times:
         return {}
     return {name: round(times[int(len(times) * share)], 3) for name, share in PERCENTILES.items()}
 
 
-def is_blame(line: dict[str, Any]) -> bool:
+def is_silence_verdict(line: dict[str, Any]) -> bool:
     """Whether a gateway left, or judged, a server for its silence."""
     if line["event"] == "instance-ejected":
         return True
@@ -382,7 +396,7 @@
         arguments.changes,
         arguments.calm,
     )
-    return play_seeds(
+    return run_seeds(
         arguments.seeds, arguments.keep, lambda seed, folder: planned_soak(seed, folder, run)
     )
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -30,8 +30,8 @@
         self._far_megabits = far_megabits
         self.delay_seconds = 0.0
         self.address = ""
-        self._cuts: list[tuple[float, float]] = []
-        self._cut_at: float | None = None
+        self._blocks: list[tuple[float, float]] = []
+        self._blocked_since: float | None = None
         self._open = asyncio.Event()
         self._open.set()
         self._writers: set[asyncio.StreamWriter] = set()
@@ -42,24 +42,26 @@
         self._server = await asyncio.start_server(self._accept, HOST, 0)
         self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
-    def cut(self) -> None:
-        """Bytes are held up until `heal`."""
+    def block(self) -> None:
+        """Bytes are held up until `unblock`."""
         self._open.clear()
-        self._cut_at = time.monotonic() if self._cut_at is None else self._cut_at
+        self._blocked_since = (
+            time.monotonic() if self._blocked_since is None else self._blocked_since
+        )
 
-    def heal(self) -> None:
+    def unblock(self) -> None:
         """Bytes flow, and no delay is left."""
         self.delay_seconds = 0.0
         self._open.set()
-        if self._cut_at is not None:
-            self._cuts.append((self._cut_at, time.monotonic()))
-            self._cut_at = None
+        if self._blocked_since is not None:
+            self._blocks.append((self._blocked_since, time.monotonic()))
+            self._blocked_since = None
 
-    def was_cut(self, begin: float, end: float) -> bool:
+    def was_blocked(self, begin: float, end: float) -> bool:
         """Whether bytes were held up at some time of a stretch; in monotonic seconds."""
-        if self._cut_at is not None and self._cut_at <= end:
+        if self._blocked_since is not None and self._blocked_since <= end:
             return True
-        return any(first <= end and last >= begin for first, last in self._cuts)
+        return any(first <= end and last >= begin for first, last in self._blocks)
 
     def reset_all(self) -> None:
         """Break all connections."""
--- a/tests/soak/revocation.py
+++ b/tests/soak/revocation.py
@@ -20,22 +20,24 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from milletcourse.exchange.replication.confirmed_era import OPERATOR_REWRITE_SECONDS
-from soak.clients import SHORT_PROMPT, Habits, SoakClient
-from soak.seeds import Report, play_seeds
+from soak.clients import SHORT_PROMPT, ClientProfile, SoakClient
+from soak.seeds import Report, run_seeds
 from soak.world import DEFAULT_GATEWAYS, SoakWorld
 
 CLIENTS = 12
-HABITS = Habits(SHORT_PROMPT, deadline_seconds=3.0, pause_seconds=(0.02, 0.06), last_share=0.1)
+PROFILE = ClientProfile(
+    SHORT_PROMPT, deadline_seconds=3.0, pause_seconds=(0.02, 0.06), close_share=0.1
+)
 """Nobody is refused for want of room, so that each refusal is for a key that can't be checked."""
 READY_SECONDS = 20.0
-CALM_SECONDS = 1.0
-COPY_AGE_SECONDS = 0.6
+QUIET_SECONDS = 1.0
+SNAPSHOT_AGE_SECONDS = 0.6
 """The copy is so much older than the revocation."""
-KNOWN_SECONDS = 2.0
+SYNCED_SECONDS = 2.0
 """By then each gateway has found the return, and a call has proved its keys again."""
-AFTER_SECONDS = 2.0
+OBSERVATION_SECONDS = 2.0
 """Judged on after the operator has written again."""
-FORMER_RETURN_SECONDS = 7.0
+EARLIER_RESTORE_SECONDS = 7.0
 """Since a former return that is over: whatever it left in doubt is settled."""
 
 
@@ -59,12 +61,12 @@
     gateways: int = DEFAULT_GATEWAYS
     killed: int = 0
     is_planned: bool = False
-    heard_seconds: float = 0.5
-    away_seconds: float = 0.5
-    written_again_seconds: float = 4.0
-    returns: int = 1
+    propagation_seconds: float = 0.5
+    outage_seconds: float = 0.5
+    rewrite_delay_seconds: float = 4.0
+    restores: int = 1
     revokes: bool = True
-    former_return: bool = False
+    earlier_restore: bool = False
 
 
 async def revocation_soak(seed: int, folder: Path, run: RevocationRun) -> Report:
@@ -75,20 +77,20 @@
         background = [
             asyncio.create_task(work)
             for work in (
-                world.beat(),
-                world.keep_gateways(),
+                world.send_heartbeats(),
+                world.restart_exited_gateways(),
                 *(_new_client(number, world).run() for number in range(CLIENTS)),
             )
         ]
         async with asyncio.timeout(READY_SECONDS):
             while not _are_ready(world):
                 await asyncio.sleep(0.05)
-        await asyncio.sleep(CALM_SECONDS)
-        if run.former_return:
-            world.store.come_back(world.store.copy())
-            await asyncio.sleep(FORMER_RETURN_SECONDS)
+        await asyncio.sleep(QUIET_SECONDS)
+        if run.earlier_restore:
+            world.store.restore(world.store.take_snapshot())
+            await asyncio.sleep(EARLIER_RESTORE_SECONDS)
         before = dict(world.ledger.outcomes)
-        await _revoke_and_lose(world, run)
+        await _revoke_and_restore(world, run)
         world.check_own_tasks(background)
     finally:
         await world.stop()
@@ -111,36 +113,36 @@
     return are_started and world.ledger.outcomes.get("200", 0) >= 20 * len(world.gateways)
 
 
-async def _revoke_and_lose(world: SoakWorld, run: RevocationRun) -> None:
-    copy = world.store.copy()
-    await asyncio.sleep(COPY_AGE_SECONDS)
+async def _revoke_and_restore(world: SoakWorld, run: RevocationRun) -> None:
+    snapshot = world.store.take_snapshot()
+    await asyncio.sleep(SNAPSHOT_AGE_SECONDS)
     if run.revokes:
         world.replace_key("key-1", "key-1+1")
     newest = world.store.objects["config"]["main"]["Spec"]
-    await asyncio.sleep(run.heard_seconds)
-    for number in range(run.returns):
+    await asyncio.sleep(run.propagation_seconds)
+    for number in range(run.restores):
         world.store.unavailable = True
-        world.store.cut()
+        world.store.reset_connections()
         if number == 0:
             for gateway in world.gateways[-run.killed :] if run.killed else ():
                 gateway.send(signal.SIGTERM if run.is_planned else signal.SIGKILL)
-        await asyncio.sleep(run.away_seconds)
+        await asyncio.sleep(run.outage_seconds)
         world.store.unavailable = False
-        world.store.come_back(copy, writes_again=False)
-    if run.written_again_seconds >= 0.0:
-        await asyncio.sleep(run.written_again_seconds)
-    if run.revokes and run.written_again_seconds >= 0.0:
+        world.store.restore(snapshot, rewrites_lost=False)
+    if run.rewrite_delay_seconds >= 0.0:
+        await asyncio.sleep(run.rewrite_delay_seconds)
+    if run.revokes and run.rewrite_delay_seconds >= 0.0:
         world.store.put("config", "main", newest)
-    if run.written_again_seconds < 0.0:
-        await asyncio.sleep(OPERATOR_REWRITE_SECONDS + KNOWN_SECONDS)
+    if run.rewrite_delay_seconds < 0.0:
+        await asyncio.sleep(OPERATOR_REWRITE_SECONDS + SYNCED_SECONDS)
         await _check_served(world)
-    await asyncio.sleep(AFTER_SECONDS)
+    await asyncio.sleep(OBSERVATION_SECONDS)
 
 
 async def _check_served(world: SoakWorld) -> None:
     """The operator had the time to write: nobody is refused any more."""
     before = dict(world.ledger.outcomes)
-    await asyncio.sleep(AFTER_SECONDS)
+    await asyncio.sleep(OBSERVATION_SECONDS)
     given = {name: count - before.get(name, 0) for name, count in world.ledger.outcomes.items()}
     if given.get("503", 0) or not given.get("200", 0):
         world.ledger.violate("recovery", f"after the time to write: {given}")
@@ -153,7 +155,7 @@
 
 def _new_client(number: int, world: SoakWorld) -> SoakClient:
     return SoakClient(
-        number, world, world.random, lambda: world.random.choice(world.gateways), HABITS
+        number, world, world.random, lambda: world.random.choice(world.gateways), PROFILE
     )
 
 
@@ -184,10 +186,10 @@
         arguments.former_return,
     )
 
-    def play(seed: int, folder: Path) -> Coroutine[Any, Any, Report]:
+    def run_seed(seed: int, folder: Path) -> Coroutine[Any, Any, Report]:
         return revocation_soak(seed, folder, run)
 
-    return play_seeds(arguments.seeds, arguments.keep, play)
+    return run_seeds(arguments.seeds, arguments.keep, run_seed)
 
 
 if __name__ == "__main__":
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -20,22 +20,27 @@
 
 from milletcourse.exchange.evidence.request_identity import identity_text, request_identity
 from soak.answers import LOST
-from soak.clients import CRASHING_BODIES, CrashingCaller, SoakClient
-from soak.store_restores import begin_copies, check_after_returns, store_figures, watch_store
+from soak.clients import CRASHING_BODIES, CrashingClient, SoakClient
 from soak.faults import FAULTS
 from soak.large_configuration import probe_routes, resize_configuration
 from soak.limits import limit_servers
-from soak.seeds import Report, play_seeds
-from soak.signals import RESTS, leave_servers, replace_leaving_servers, rest_servers
-from soak.world import DEFAULT_GATEWAYS, LISTENS_SECONDS, TENANTS, SoakWorld
+from soak.seeds import Report, run_seeds
+from soak.signals import (
+    BACK_OFF_SECONDS,
+    back_off_servers,
+    drain_and_replace_servers,
+    replace_draining_servers,
+)
+from soak.store_restores import check_after_restores, start_restores, store_figures, watch_store
+from soak.world import DEFAULT_GATEWAYS, LISTEN_TIMEOUT_SECONDS, TENANTS, SoakWorld
 from soak.writers import restart_servers, write_strange_entries
 
 CLIENTS = 12
 LINK_MEGABITS = 10.0
 """Of each gateway, on demand."""
-LIMITED = 0.5
+LIMITED_SHARE = 0.5
 """Share of the servers that limit their requests on demand."""
-LIMIT = 2.0
+LIMIT_PER_SECOND = 2.0
 """Requests a second that they take, more or less."""
 SETTLE_SECONDS = 3.0
 """Calm at the end, before recovery is judged."""
@@ -43,8 +48,8 @@
 JUDGED_SECONDS = 3.0
 RECOVERED_SHARE = 0.7
 """Of the answers after the calm, this share must be served; two of four keys may be revoked."""
-RESTING = 0.3
-LEAVING = 0.2
+BACKING_OFF_SHARE = 0.3
+DRAINING_SHARE = 0.2
 """Shares of the servers that ask for rest, and that leave, by turns."""
 READY_TIMEOUT_SECONDS = 10.0
 
@@ -57,52 +62,56 @@
     writers: bool = False,
     limits: bool = False,
     signals: bool = False,
-    copies: bool = False,
+    restores_store: bool = False,
     large: bool = False,
 ) -> Report:
     """One soak; returns its report."""
     world = SoakWorld(seed, folder, gateways)
     world.link_megabits = LINK_MEGABITS if large else 0.0
-    world.servers_are_sound = False
-    world.shows_state = copies
+    world.servers_are_healthy = False
+    world.serves_state = restores_store
     try:
         await world.start()
         await asyncio.sleep(1.0)
         background = [
             asyncio.create_task(work)
             for work in (
-                world.beat(),
-                world.keep_gateways(),
+                world.send_heartbeats(),
+                world.restart_exited_gateways(),
                 *(new_client(number, world).run() for number in range(CLIENTS)),
-                *(CrashingCaller(body, world).run() for body in CRASHING_BODIES),
+                *(CrashingClient(body, world).run() for body in CRASHING_BODIES),
                 *((restart_servers(world), write_strange_entries(world)) if writers else ()),
             )
         ]
-        speaking = []
+        server_signals = []
         if limits:
-            speaking.append(asyncio.create_task(limit_servers(world, LIMITED, LIMIT)))
+            server_signals.append(
+                asyncio.create_task(limit_servers(world, LIMITED_SHARE, LIMIT_PER_SECOND))
+            )
         if signals:
-            speaking.append(asyncio.create_task(rest_servers(world, RESTING)))
-            speaking.append(asyncio.create_task(leave_servers(world, LEAVING)))
-        if copies:
-            speaking += begin_copies(world)
+            server_signals.append(asyncio.create_task(back_off_servers(world, BACKING_OFF_SHARE)))
+            server_signals.append(
+                asyncio.create_task(drain_and_replace_servers(world, DRAINING_SHARE))
+            )
+        if restores_store:
+            server_signals += start_restores(world)
         if large:
             series = (resize_configuration, probe_routes)
-            speaking += [asyncio.create_task(work(world)) for work in series]
-            if not copies:
-                speaking.append(asyncio.create_task(watch_store(world)))
+            server_signals += [asyncio.create_task(work(world)) for work in series]
+            if not restores_store:
+                server_signals.append(asyncio.create_task(watch_store(world)))
         running = await draw_faults(world, seconds)
         await asyncio.gather(*running)
-        for task in speaking:
+        for task in server_signals:
             task.cancel()
-        await asyncio.gather(*speaking, return_exceptions=True)
+        await asyncio.gather(*server_signals, return_exceptions=True)
         for server in world.servers.values():
-            server.rest_seconds = 0.0
-        await replace_leaving_servers(world)
+            server.back_off_seconds = 0.0
+        await replace_draining_servers(world)
         # Gateways keep to the rests that were asked of them last.
-        await asyncio.sleep(max(RESTS) if signals else 0.0)
+        await asyncio.sleep(max(BACK_OFF_SECONDS) if signals else 0.0)
         await wait_for_gateways(world)
-        if copies:
+        if restores_store:
             # As operators are asked to after a return: without that, keys are refused for 5 s.
             world.put_configuration()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -111,8 +120,8 @@
         check_recovery(world, before)
         check_gateways(world)
         check_contained(world)
-        if copies:
-            await check_after_returns(world)
+        if restores_store:
+            await check_after_restores(world)
         world.ledger.check_late()
         check_lost(world)
         world.ledger.check_limits()
@@ -129,7 +138,7 @@
         "runs": sum(len(runs) for runs in ledger.runs.values()),
         "orders": len(ledger.orders),
         "starts": sum(gateway.starts for gateway in world.gateways),
-        "ends": sorted(ledger.ends.values()),
+        "ends": sorted(ledger.crashes.values()),
         "outcomes": dict(sorted(ledger.outcomes.items())),
         "limits": ledger.limits.figures(time.monotonic()),
         "signals": ledger.signals.figures(),
@@ -151,7 +160,7 @@
 
 async def wait_for_gateways(world: SoakWorld) -> None:
     """The calm begins when each gateway listens; on a busy machine a start takes seconds."""
-    ends_at = time.monotonic() + LISTENS_SECONDS
+    ends_at = time.monotonic() + LISTEN_TIMEOUT_SECONDS
     late = world.gateways
     while late and time.monotonic() < ends_at:
         await asyncio.sleep(POLL_SECONDS)
@@ -197,7 +206,7 @@
 def check_lost(world: SoakWorld) -> None:
     """A request that was sent whole ends with a whole answer, unless a fault explains its end."""
     verdicts = world.verdicts()
-    for asked in world.asked:
+    for asked in world.requests:
         if verdicts[asked.request_id] in LOST:
             world.ledger.violate("lost", f"{verdicts[asked.request_id].value}: {asked}")
 
@@ -233,7 +242,7 @@
     parser.add_argument("--large", action="store_true", help="many routes, on narrow links")
     arguments = parser.parse_args()
 
-    def play(seed: int, folder: Path) -> Coroutine[Any, Any, Report]:
+    def run_seed(seed: int, folder: Path) -> Coroutine[Any, Any, Report]:
         return soak(
             seed,
             arguments.seconds,
@@ -246,7 +255,7 @@
             arguments.large,
         )
 
-    return play_seeds(arguments.seeds, arguments.keep, play)
+    return run_seeds(arguments.seeds, arguments.keep, run_seed)
 
 
 if __name__ == "__main__":
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 Report = dict[str, object]
-Play = Callable[[int, Path], Coroutine[Any, Any, Report]]
-FAULTS = ("lost", "violations")
+SeedRunner = Callable[[int, Path], Coroutine[Any, Any, Report]]
+FAILURE_FIELDS = ("lost", "violations")
 """Fields of a report that are empty when a seed is sound."""
 
 
-def play_seeds(seeds: str, keep: Path | None, play: Play) -> int:
+def run_seeds(seeds: str, keep: Path | None, run_seed: SeedRunner) -> int:
     """Play all seeds; returns the exit code, 1 when one of them was not sound.
 
     Args:
@@ -33,7 +33,7 @@
         with tempfile.TemporaryDirectory() as temporary:
             folder = keep / str(seed) if keep else Path(temporary)
             folder.mkdir(parents=True, exist_ok=True)
-            report = asyncio.run(play(seed, folder))
-        failed += any(report.get(field) for field in FAULTS)
+            report = asyncio.run(run_seed(seed, folder))
+        failed += any(report.get(field) for field in FAILURE_FIELDS)
         print(json.dumps(report), flush=True)
     return 1 if failed else 0
--- a/tests/soak/server.py
+++ b/tests/soak/server.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from gateway_standin import ReceivedRequest, answer, chunk, read_request
-from soak.ledger import GivenOrder, Ledger, Run, incarnation, piece, piece_count
+from soak.ledger import Ledger, ReceivedOrder, Run, incarnation, stream_event, stream_event_count
 
 HOST = "127.0.0.1"
 LOAD_SECONDS = 0.3
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class Mood:
+class FaultRates:
     """Chances of each misbehaviour; 0 in good health."""
 
     shed: float = 0.0
@@ -46,19 +46,19 @@
     ledger: Ledger
     random: random.Random
     version: int | None = None
-    mood: Mood = field(default_factory=Mood)
+    fault_rates: FaultRates = field(default_factory=FaultRates)
     draining: bool = False
     sequence: int = 0
     token: int = 0
     loading: bool = False
     address: str = ""
     born: int = field(default_factory=lambda: int(time.time() * 1000))
-    on_end: Callable[[str], None] = lambda name: None
+    on_crash: Callable[[str], None] = lambda name: None
     limit: float | None = None
     """Requests a second that it names in its answers, None for none."""
-    leaves: bool = False
+    announces_draining: bool = False
     """It says in all its answers that it leaves."""
-    rest_seconds: float = 0.0
+    back_off_seconds: float = 0.0
     """It turns all requests away and wants nothing for so long; 0 when it takes requests."""
     max_connections: int = 0
     """Connections that it takes from all callers; 0 for as many as come."""
@@ -81,7 +81,7 @@
     async def crash(self) -> None:
         """End at once; connections break."""
         if self.limit is not None:
-            self.name_limit(None)
+            self.announce_limit(None)
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
@@ -143,11 +143,11 @@
             writer.write(answer(self._take_order(json.loads(request.body))))
         elif request.headers.get("expected-version", str(self.version)) != str(self.version):
             writer.write(answer(421, b"", fields))
-        elif self.rest_seconds:
-            self.ledger.on_rest(self.incarnation, request.request_id, self.rest_seconds)
-            rest = {"Not-Executed": "1", "Retry-After": f"{self.rest_seconds:g}"}
-            writer.write(answer(503, b"", {**fields, **rest}))
-        elif self.loading or self._happens(self.mood.shed):
+        elif self.back_off_seconds:
+            self.ledger.on_back_off(self.incarnation, request.request_id, self.back_off_seconds)
+            back_off = {"Not-Executed": "1", "Retry-After": f"{self.back_off_seconds:g}"}
+            writer.write(answer(503, b"", {**fields, **back_off}))
+        elif self.loading or self._happens(self.fault_rates.shed):
             writer.write(answer(503, b"", {**fields, "Not-Executed": "1"}))
         else:
             self.requests += 1
@@ -161,17 +161,17 @@
         fields = {}
         if self.limit is not None:
             fields["Server-Limit"] = f"{self.limit:g}"
-        if self.leaves:
+        if self.announces_draining:
             fields["Server-Leaving"] = "1"
-            self.ledger.on_leaving_answer(self.incarnation, request_id)
+            self.ledger.on_draining_answer(self.incarnation, request_id)
         return fields
 
-    def name_limit(self, limit: float | None) -> None:
+    def announce_limit(self, limit: float | None) -> None:
         """Name a limit in all answers from now on, or none any more."""
         self.limit = limit
         self.ledger.on_limit(self.name, limit)
 
-    def _ends_under(self, request: ReceivedRequest) -> bool:
+    def _crashes_on(self, request: ReceivedRequest) -> bool:
         """Whether the request ends the server that runs it."""
         return request.body.startswith(CRASHING_BODY)
 
@@ -189,7 +189,7 @@
             return 412
         self.token = order["FencingToken"]
         now = asyncio.get_running_loop().time()
-        self.ledger.on_order(GivenOrder(self.name, now, order["Holder"], order["FencingToken"]))
+        self.ledger.on_order(ReceivedOrder(self.name, now, order["Holder"], order["FencingToken"]))
         if order["Version"] == self.version:
             return 200
         if self.loading or order.get("ExpectedRev", self.sequence) != self.sequence:
@@ -208,14 +208,14 @@
 
     def _draw_pause(self, first: int, last: int) -> int:
         """Number of the event before which a stream pauses; 0 when it doesn't."""
-        if not self.mood.pause or first > last or not self._happens(self.mood.pause):
+        if not self.fault_rates.pause or first > last or not self._happens(self.fault_rates.pause):
             return 0
         self.ledger.pauses += 1
         return self.random.randint(first, last)
 
     async def _run(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        mood = self.mood
-        if self._happens(mood.reset_before):
+        fault_rates = self.fault_rates
+        if self._happens(fault_rates.reset_before):
             writer.transport.abort()
             return
         resumed_after = int(request.headers.get("last-event-id", "0"))
@@ -230,14 +230,14 @@
                 resumed_after,
             ),
         )
-        if self._ends_under(request):
-            self.ledger.on_end(request.headers.get("tenant", ""), request.body)
-            self.on_end(self.name)
+        if self._crashes_on(request):
+            self.ledger.on_crash(request.headers.get("tenant", ""), request.body)
+            self.on_crash(self.name)
             return
         await asyncio.sleep(self.random.uniform(0.002, 0.03))
-        if self._happens(mood.mute):
+        if self._happens(fault_rates.mute):
             await asyncio.sleep(30)
-        if self._happens(mood.reset_after):
+        if self._happens(fault_rates.reset_after):
             writer.transport.abort()
             return
         fields = {
@@ -245,10 +245,10 @@
             "Server-Signature": f"s-{self.name}",
             **self._signal_fields(request.request_id),
         }
-        if self._happens(mood.garble):
+        if self._happens(fault_rates.garble):
             writer.write(b"HTTP/9.9 garbled\r\n\r\n")
             return
-        if self._happens(mood.fail):
+        if self._happens(fault_rates.fail):
             writer.write(answer(500, b"own failure", fields))
             return
         if request.headers.get("model"):
@@ -258,12 +258,12 @@
         body = f"{request.request_id} at {self.name}".encode()
         self.ledger.on_body(request.request_id, body)
         data = answer(200, body, fields)
-        if self._happens(mood.truncate):
+        if self._happens(fault_rates.truncate):
             writer.write(data[:-7])
             writer.close()
             return
         writer.write(data)
-        if self._happens(mood.surplus):
+        if self._happens(fault_rates.surplus):
             writer.write(answer(200, b"surplus", {**fields, "Request-Id": "surplus"}))
 
     async def _stream(
@@ -275,13 +275,13 @@
     ) -> None:
         head = {**fields, "Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"}
         writer.write(answer(200, b"", head, length=False))
-        last = piece_count(request.request_id)
+        last = stream_event_count(request.request_id)
         pauses_before = self._draw_pause(resumed_after + 2, last)
         for number in range(resumed_after + 1, last + 1):
             if number == pauses_before:
-                await asyncio.sleep(self.random.uniform(*self.mood.pause_seconds))
-            data = piece(request.request_id, number)
-            if self._happens(self.mood.truncate):
+                await asyncio.sleep(self.random.uniform(*self.fault_rates.pause_seconds))
+            data = stream_event(request.request_id, number)
+            if self._happens(self.fault_rates.truncate):
                 writer.write(chunk(data[:9]))
                 await writer.drain()
                 writer.transport.abort()
--- a/tests/soak/signal_ledger.py
+++ b/tests/soak/signal_ledger.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-REST_SLACK_SECONDS = 0.5
+BACK_OFF_SLACK_SECONDS = 0.5
 """What arrives so soon after a server asked for rest may have been on its way."""
-MOST_IN_A_REST = 2
+MAX_SENDS_IN_BACK_OFF = 2
 WasDisturbed = Callable[[str, str, float, float], bool]
 """Whether a gateway was killed, stopped or frozen, or its way to a server was cut: their names, and
 two monotonic times."""
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Rest:
+class BackOff:
     """A server turned a request away, and asked the gateway that sent it for rest."""
 
     server: str
@@ -46,27 +46,27 @@
     """Arrivals at servers, and what these said."""
 
     arrivals: list[Arrival] = field(default_factory=list)
-    rests: list[Rest] = field(default_factory=list)
-    leaving_since: dict[str, float] = field(default_factory=dict)
+    back_offs: list[BackOff] = field(default_factory=list)
+    draining_since: dict[str, float] = field(default_factory=dict)
     """When a server first said that it leaves, to anybody."""
-    told_leaving: dict[tuple[str, str], float] = field(default_factory=dict)
+    draining_relayed_at: dict[tuple[str, str], float] = field(default_factory=dict)
     """When a gateway first passed on an answer that said so, by server and gateway."""
 
     def on_arrival(self, arrival: Arrival) -> None:
         """A request reaches a server."""
         self.arrivals.append(arrival)
 
-    def on_rest(self, rest: Rest) -> None:
+    def on_back_off(self, back_off: BackOff) -> None:
         """A server asks a gateway for rest."""
-        self.rests.append(rest)
+        self.back_offs.append(back_off)
 
-    def on_leaving_answer(self, server: str, at: float) -> None:
+    def on_draining_answer(self, server: str, at: float) -> None:
         """A server writes an answer that says that it leaves."""
-        self.leaving_since.setdefault(server, at)
+        self.draining_since.setdefault(server, at)
 
-    def on_passed_on(self, server: str, gateway: str, at: float) -> None:
+    def on_relayed(self, server: str, gateway: str, at: float) -> None:
         """A client has such an answer."""
-        self.told_leaving.setdefault((server, gateway), at)
+        self.draining_relayed_at.setdefault((server, gateway), at)
 
     def late_sends(self, bound: float, was_disturbed: WasDisturbed) -> list[Arrival]:
         """Requests that clients sent too late and that a leaving server got.
@@ -78,14 +78,14 @@
         return [
             item
             for item in self.arrivals
-            if item.sent_at > self._told_at(item) + bound
-            and not was_disturbed(item.gateway, item.server, self._told_at(item), item.at)
+            if item.sent_at > self._relayed_at(item) + bound
+            and not was_disturbed(item.gateway, item.server, self._relayed_at(item), item.at)
         ]
 
-    def _told_at(self, arrival: Arrival) -> float:
-        return self.told_leaving.get((arrival.server, arrival.gateway), math.inf)
+    def _relayed_at(self, arrival: Arrival) -> float:
+        return self.draining_relayed_at.get((arrival.server, arrival.gateway), math.inf)
 
-    def broken_rests(self, was_disturbed: WasDisturbed) -> list[tuple[Rest, int]]:
+    def violated_back_offs(self, was_disturbed: WasDisturbed) -> list[tuple[BackOff, int]]:
         """Rests in which their gateway sent more than two requests, with how many.
 
         Args:
@@ -95,36 +95,38 @@
         for item in self.arrivals:
             times.setdefault((item.server, item.gateway), []).append(item.at)
         found = []
-        for rest in self.rests:
-            end = rest.at + rest.seconds
-            begin = rest.at + REST_SLACK_SECONDS
-            arrived = times.get((rest.server, rest.gateway), [])
+        for back_off in self.back_offs:
+            end = back_off.at + back_off.seconds
+            begin = back_off.at + BACK_OFF_SLACK_SECONDS
+            arrived = times.get((back_off.server, back_off.gateway), [])
             count = sum(begin < at < end for at in arrived)
-            if count <= MOST_IN_A_REST:
+            if count <= MAX_SENDS_IN_BACK_OFF:
                 continue
-            if not was_disturbed(rest.gateway, rest.server, rest.at, end):
-                found.append((rest, count))
+            if not was_disturbed(back_off.gateway, back_off.server, back_off.at, end):
+                found.append((back_off, count))
         return found
 
     def figures(self) -> dict[str, int]:
         """What there was to keep to, and how much of it could be seen."""
         after = sum(item.at > self._since(item.server) for item in self.arrivals)
-        in_rests = sum(self._is_in_rest(item) for item in self.arrivals) if self.rests else 0
+        in_back_offs = (
+            sum(self._is_in_back_off(item) for item in self.arrivals) if self.back_offs else 0
+        )
         counted = {
-            "leaving": len(self.leaving_since),
-            "rests": len(self.rests),
+            "leaving": len(self.draining_since),
+            "rests": len(self.back_offs),
             "sent_to_leaving": after,
-            "sent_in_rests": in_rests,
+            "sent_in_rests": in_back_offs,
         }
         return {name: count for name, count in counted.items() if count}
 
     def _since(self, server: str) -> float:
-        return self.leaving_since.get(server, math.inf)
+        return self.draining_since.get(server, math.inf)
 
-    def _is_in_rest(self, arrival: Arrival) -> bool:
+    def _is_in_back_off(self, arrival: Arrival) -> bool:
         return any(
-            rest.server == arrival.server
-            and rest.gateway == arrival.gateway
-            and rest.at + REST_SLACK_SECONDS < arrival.at < rest.at + rest.seconds
-            for rest in self.rests
+            back_off.server == arrival.server
+            and back_off.gateway == arrival.gateway
+            and back_off.at + BACK_OFF_SLACK_SECONDS < arrival.at < back_off.at + back_off.seconds
+            for back_off in self.back_offs
         )
--- a/tests/soak/test_soak_checks.py
+++ b/tests/soak/test_soak_checks.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from soak.answers import Asked, Circumstances, End, Verdict, judge
-from soak.ledger import MAX_ENDS, GivenOrder, Ledger, Run, SentRequest, whole_stream
-from soak.world import LISTENS_SECONDS, GatewayProcess
+from soak.answers import ClientRequest, RequestContext, RequestResult, Verdict, classify
+from soak.ledger import MAX_CRASHES, Ledger, ReceivedOrder, Run, SentRequest, complete_stream
+from soak.world import LISTEN_TIMEOUT_SECONDS, GatewayProcess
 
 SILENT_PROGRAM = ("-c", "import time; time.sleep(60)")
 KEYS = {"key-1": "tenant-1", "key-2": "tenant-2"}
@@ -64,8 +64,8 @@
 
 def not_contained(ledger: Ledger) -> None:
     """A request ends one server after the other."""
-    for _ in range(MAX_ENDS + 1):
-        ledger.on_end("tenant-1", b"body")
+    for _ in range(MAX_CRASHES + 1):
+        ledger.on_crash("tenant-1", b"body")
 
 
 def false_promise(ledger: Ledger) -> None:
@@ -82,14 +82,14 @@
 
 def shared_token(ledger: Ledger) -> None:
     """Two holders with one token."""
-    ledger.on_order(GivenOrder("s", 0.0, "a", 1))
-    ledger.on_order(GivenOrder("s", 9.0, "b", 1))
+    ledger.on_order(ReceivedOrder("s", 0.0, "a", 1))
+    ledger.on_order(ReceivedOrder("s", 9.0, "b", 1))
 
 
 def turns(ledger: Ledger) -> None:
     """Holders take turns within the lease."""
     for at, holder, token in ((0.0, "a", 1), (0.5, "b", 2), (1.0, "a", 3)):
-        ledger.on_order(GivenOrder("s", at, holder, token))
+        ledger.on_order(ReceivedOrder("s", at, holder, token))
 
 
 @pytest.mark.parametrize(
@@ -118,48 +118,58 @@
     assert not proper.violations
 
 
-SOUND = Circumstances()
-SICK = Circumstances(servers_are_sound=False)
+SOUND = RequestContext()
+SICK = RequestContext(servers_are_healthy=False)
 
 
-def ended(end: End | None, seconds: float = 0.0, **more: Any) -> Asked:
+def ended(end: RequestResult | None, seconds: float = 0.0, **more: Any) -> ClientRequest:
     """A request that was sent, and ended so after some seconds."""
-    return Asked("r", "stream", sent_at=1.0, ended_at=1.0 + seconds, end=end, **more)
+    return ClientRequest("r", "stream", sent_at=1.0, ended_at=1.0 + seconds, end=end, **more)
 
 
 @pytest.mark.parametrize(
     ("asked", "beside", "verdict"),
     [
-        (ended(End.WHOLE), SOUND, Verdict.ANSWERED),
-        (ended(End.LEFT), SOUND, Verdict.CLIENT_LEFT),
-        (ended(End.NO_CONNECTION), SOUND, Verdict.NEVER_SENT),
+        (ended(RequestResult.COMPLETE), SOUND, Verdict.ANSWERED),
+        (ended(RequestResult.DISCONNECTED), SOUND, Verdict.CLIENT_DISCONNECTED),
+        (ended(RequestResult.NO_CONNECTION), SOUND, Verdict.NEVER_SENT),
         (ended(None), SOUND, Verdict.UNFINISHED),
-        (ended(End.NOTHING), SOUND, Verdict.LOST_FIRST),
-        (ended(End.NOTHING), SICK, Verdict.LOST_FIRST),
-        (ended(End.NOTHING, position=2), SOUND, Verdict.CROSSED_CLOSE),
-        (ended(End.NOTHING, 0.3, position=2), SOUND, Verdict.LOST_KEPT),
-        (ended(End.NOTHING, position=2, was_sent_ahead=True), SOUND, Verdict.LOST_AHEAD),
+        (ended(RequestResult.NO_ANSWER), SOUND, Verdict.LOST_FIRST),
+        (ended(RequestResult.NO_ANSWER), SICK, Verdict.LOST_FIRST),
+        (ended(RequestResult.NO_ANSWER, position=2), SOUND, Verdict.RACED_WITH_CLOSE),
+        (ended(RequestResult.NO_ANSWER, 0.3, position=2), SOUND, Verdict.LOST_ON_KEEP_ALIVE),
         (
-            ended(End.NOTHING, 3.1, was_sent_ahead=True, is_behind_cut=True),
+            ended(RequestResult.NO_ANSWER, position=2, is_pipelined=True),
             SOUND,
-            Verdict.BEHIND_CUT,
+            Verdict.LOST_PIPELINED,
         ),
-        (ended(End.NOTHING, position=2), Circumstances(runs=1), Verdict.LOST_AT_SERVER),
-        (ended(End.NOTHING), Circumstances(gateway_disturbed=True), Verdict.DISTURBED),
-        (ended(End.PARTIAL, 0.5), SOUND, Verdict.LOST_AT_SERVER),
-        (ended(End.PARTIAL, 0.5), SICK, Verdict.CUT_BY_SERVER),
-        (ended(End.PARTIAL, 3.05), SOUND, Verdict.TIMED_OUT),
-        (ended(End.TOO_LONG, 7.0), SOUND, Verdict.LOST_SILENT),
+        (
+            ended(RequestResult.NO_ANSWER, 3.1, is_pipelined=True, follows_aborted_answer=True),
+            SOUND,
+            Verdict.BEHIND_ABORTED_ANSWER,
+        ),
+        (
+            ended(RequestResult.NO_ANSWER, position=2),
+            RequestContext(runs=1),
+            Verdict.LOST_AT_SERVER,
+        ),
+        (ended(RequestResult.NO_ANSWER), RequestContext(gateway_disturbed=True), Verdict.DISTURBED),
+        (ended(RequestResult.PARTIAL, 0.5), SOUND, Verdict.LOST_AT_SERVER),
+        (ended(RequestResult.PARTIAL, 0.5), SICK, Verdict.ABORTED_BY_SERVER),
+        (ended(RequestResult.PARTIAL, 3.05), SOUND, Verdict.TIMED_OUT),
+        (ended(RequestResult.CLIENT_TIMEOUT, 7.0), SOUND, Verdict.LOST_SILENT),
     ],
 )
-def test_each_end_has_its_verdict(asked: Asked, beside: Circumstances, verdict: Verdict) -> None:
+def test_each_end_has_its_verdict(
+    asked: ClientRequest, beside: RequestContext, verdict: Verdict
+) -> None:
     """What excuses a request without an answer, and what doesn't."""
-    assert judge(asked, beside) is verdict
+    assert classify(asked, beside) is verdict
 
 
 def test_streams_with_gaps_are_seen() -> None:
     """A piece that is missing, and a stream that looks complete too early."""
-    body = whole_stream("r")
+    body = complete_stream("r")
     for got, whole in ((body[20:], False), (body[:-10], True), (body + body[-20:], True)):
         ledger = new_ledger("stream")
         ledger.on_answer("r", 200, got, whole)
@@ -178,16 +188,16 @@
     gateway.start()
     assert gateway.process is not None
     try:
-        long_after = time.monotonic() + LISTENS_SECONDS + 1.0
-        assert gateway.was_beginning(long_after - 1.0, long_after)
+        long_after = time.monotonic() + LISTEN_TIMEOUT_SECONDS + 1.0
+        assert gateway.was_starting(long_after - 1.0, long_after)
         assert gateway.is_late(long_after) and not gateway.is_late(time.monotonic())
         log = tmp_path / "front-1.log"
         said_at = datetime.now(UTC).isoformat()
         log.write_text(json.dumps({"event": "started", "timestamp": said_at}) + "\n")
-        assert gateway.was_beginning(time.monotonic() - 1.0, time.monotonic())
-        assert not gateway.was_beginning(long_after - 1.0, long_after)
+        assert gateway.was_starting(time.monotonic() - 1.0, time.monotonic())
+        assert not gateway.was_starting(long_after - 1.0, long_after)
         assert not gateway.is_late(long_after)
     finally:
         gateway.process.kill()
         gateway.process.wait()
-        gateway.give_ports_back()
+        gateway.release_ports()
--- a/tests/soak/test_soak_large.py
+++ b/tests/soak/test_soak_large.py
@@ -22,7 +22,7 @@
     link_megabits=5.0,
     routes=1400,
     change_seconds=3.4,
-    calm=True,
+    changes_only=True,
 )
 
 
--- a/tests/soak/test_soak_mutants.py
+++ b/tests/soak/test_soak_mutants.py
@@ -22,7 +22,7 @@
 SILENT_RUN = PlannedRun(gateways=2, clients=CLIENTS, seconds=SECONDS, stops=False)
 RUNS = {
     "end-the-running-answer-first": replace(SILENT_RUN, pauses=0.3, full=0.5),
-    "take-a-pause-for-silence": replace(SILENT_RUN, hold_seconds=1.6),
+    "take-a-pause-for-silence": replace(SILENT_RUN, suspend_seconds=1.6),
 }
 LIMITED_RUN = PlannedRun(
     gateways=4, clients=CLIENTS, seconds=12.0, stops=False, limited=1.0, limit=1.0
@@ -30,13 +30,13 @@
 
 
 SIGNAL_RUN = PlannedRun(
-    gateways=4, clients=CLIENTS, seconds=12.0, stops=False, resting=0.3, leaving=0.3
+    gateways=4, clients=CLIENTS, seconds=12.0, stops=False, backing_off=0.3, draining=0.3
 )
 
-COPY_RUN = PlannedRun(gateways=4, clients=CLIENTS, seconds=14.0, stops=False, copies=True)
+COPY_RUN = PlannedRun(gateways=4, clients=CLIENTS, seconds=14.0, stops=False, restores_store=True)
 
 
-def play(folder: Path, mutant: str, seed: int) -> Report:
+def run_mutant(folder: Path, mutant: str, seed: int) -> Report:
     """A short run of two gateways that stop in turn."""
     folder.mkdir()
     run = PlannedRun(
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("mutant", MUTANTS)
 def test_a_known_defect_is_found(tmp_path: Path, mutant: str) -> None:
     """Each loses requests in its own way, some only when a client comes in the wrong moment."""
-    assert any(play(tmp_path / str(seed), mutant, seed)["lost"] for seed in SEEDS)
+    assert any(run_mutant(tmp_path / str(seed), mutant, seed)["lost"] for seed in SEEDS)
 
 
 @pytest.mark.parametrize("mutant", SILENCE_MUTANTS)
@@ -130,5 +130,5 @@
 
 def test_a_sound_gateway_loses_nothing(tmp_path: Path) -> None:
     """The same run without a defect."""
-    report = play(tmp_path / "sound", "", 1)
+    report = run_mutant(tmp_path / "sound", "", 1)
     assert report["stops"] and not report["lost"] and not report["violations"]
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -23,9 +23,9 @@
 from child_processes import start_child
 from gateway_standin import StandinStore, configuration
 from milletcourse.runtime.attended_clock import AttendedClock
-from soak.answers import Asked, Circumstances, Verdict, judge
-from soak.drain_ledger import EntryLedger
-from soak.ledger import Ledger, name_of
+from soak.answers import ClientRequest, RequestContext, Verdict, classify
+from soak.drain_ledger import DrainLedger
+from soak.ledger import Ledger, server_name
 from soak.links import Link
 from soak.proxy import FaultProxy
 from soak.server import MODEL, SoakServer
@@ -50,16 +50,16 @@
 }
 CONFIG_APPLY_SECONDS = BOUNDS["ConfigApplyMs"] / 1000
 TENANTS = {"key-1": "tenant-1", "key-2": "tenant-2", "key-3": "tenant-3", "key-4": "tenant-4"}
-TURN_SECONDS = 0.05
-RETIRE_SECONDS = 6.0
-SPENT_KEYS = 3
-LISTENS_SECONDS = 10.0
+LOOP_INTERVAL_SECONDS = 0.05
+RETIRE_TIMEOUT_SECONDS = 6.0
+MAX_REVOKED_CLIENT_KEYS = 3
+LISTEN_TIMEOUT_SECONDS = 10.0
 """A process that was launched says by now that it listens, however busy the machine is."""
-START_SECONDS = 1.0
+STARTUP_SECONDS = 1.0
 """A process may have begun so long before it knows anything."""
 STABLE_SECONDS = 3.0
 """An acknowledgement counts from a store that was well so long before it."""
-ENTRY_SECONDS = 1.0
+STALE_ENTRY_SECONDS = 1.0
 """The entry of a server that crashed stands this long after its successor's came."""
 ISOLATED = frozenset({"tenant-1"})
 
@@ -76,7 +76,7 @@
     }
 
 
-def reserved_port() -> socket.socket:
+def reserve_port() -> socket.socket:
     """Keeps a port for a process that ends and starts again.
 
     Bound and not listening, so that the process may listen there and nobody else gets the port
@@ -115,12 +115,12 @@
         """What the store, followers and, on demand, callers share; None for no bound."""
         links = (self.link,) if self.link is not None else ()
         self.store = FaultProxy(store, links)
-        self._reservations = [reserved_port() for _ in range(4)]
+        self._reservations = [reserve_port() for _ in range(4)]
         ports = [item.getsockname()[1] for item in self._reservations]
         frontend, readiness, internal, operators = ports
         self.operators = f"{HOST}:{operators}"
-        """Where operators ask it, when it was started with `shows_state`."""
-        self.shows_state = False
+        """Where operators ask it, when it was started with `serves_state`."""
+        self.serves_state = False
         self.frontend = f"{HOST}:{frontend}"
         self.readiness = f"{HOST}:{readiness}"
         self.starts = 0
@@ -141,13 +141,13 @@
         self.process: subprocess.Popen[bytes] | None = None
         self.descriptors = 0
         """Most descriptors that the process may have open; 0 for the machine's usual bound."""
-        self.holds: list[Disturbance] = []
+        self.suspensions: list[Disturbance] = []
         """When it was held for a moment, and judged all the same by how requests end."""
         self._disturbances: list[Disturbance] = []
         self._started_at: list[float] = []
-        self._listens_since: float | None = None
+        self._listening_since: float | None = None
 
-    async def open_ways(self) -> None:
+    async def open_proxies(self) -> None:
         """What stands before the store, the followers and, on a bounded link, the callers."""
         await self.store.start()
         await self.feed.start()
@@ -157,7 +157,7 @@
         document = {**self._document, "Platform": {"Address": self.store.address}}
         self._settings.write_text(json.dumps(document))
 
-    async def close_ways(self) -> None:
+    async def close_proxies(self) -> None:
         """Nothing reaches it any more."""
         await self.store.close()
         await self.feed.close()
@@ -168,7 +168,7 @@
         """Start the process."""
         self.starts += 1
         self._started_at.append(time.monotonic())
-        self._listens_since = None
+        self._listening_since = None
         if self._disturbances:
             last = self._disturbances[-1]
             last.ended_at = min(last.ended_at, time.monotonic())
@@ -186,7 +186,7 @@
 
     def _operator_arguments(self) -> list[str]:
         port = self.operators.rpartition(":")[2]
-        return [f"{port}/metrics"] if self.shows_state else []
+        return [f"{port}/metrics"] if self.serves_state else []
 
     def send(self, number: signal.Signals) -> None:
         """Send a signal, if it runs."""
@@ -203,40 +203,40 @@
         """Whether it was killed or frozen at some time of a stretch."""
         return any(item.began_at <= end and item.ended_at >= begin for item in self._disturbances)
 
-    def was_held(self, begin: float, end: float) -> bool:
+    def was_suspended(self, begin: float, end: float) -> bool:
         """Whether it stood still for a moment in a stretch."""
-        return any(item.began_at <= end and item.ended_at >= begin for item in self.holds)
+        return any(item.began_at <= end and item.ended_at >= begin for item in self.suspensions)
 
     def has_run_undisturbed(self, begin: float, end: float) -> bool:
         """Whether it ran and reached the store for a whole stretch, by all that is known of it."""
-        if not self.is_running() or self.was_beginning(begin, end):
+        if not self.is_running() or self.was_starting(begin, end):
             return False
-        if self.was_held(begin, end):
+        if self.was_suspended(begin, end):
             return False
-        ways = (self.store, self.feed)
+        proxies = (self.store, self.feed)
         return not self.was_disturbed(begin, end) and not any(
-            way.was_cut(begin, end) for way in ways
+            proxy.was_blocked(begin, end) for proxy in proxies
         )
 
     def has_started_between(self, begin: float, end: float) -> bool:
         """Whether a process of it started in a stretch, and knew nothing of what was before."""
         return any(begin <= at <= end for at in self._started_at)
 
-    def was_beginning(self, begin: float, end: float) -> bool:
+    def was_starting(self, begin: float, end: float) -> bool:
         """Whether the running process was launched, or said that it listens, in a stretch or later.
 
         On a busy machine seconds go by between the two.
         """
-        began_at = self.listens_since()
+        began_at = self.listening_since()
         return began_at is None or began_at >= begin or self.has_started_between(begin, end)
 
-    def listens_since(self) -> float | None:
+    def listening_since(self) -> float | None:
         """Monotonic time at which the running process said that it listens; None before."""
-        if self._listens_since is None:
-            self._listens_since = self._read_listens_since()
-        return self._listens_since
+        if self._listening_since is None:
+            self._listening_since = self._read_listening_since()
+        return self._listening_since
 
-    def _read_listens_since(self) -> float | None:
+    def _read_listening_since(self) -> float | None:
         said = [line["timestamp"] for line in self.log_lines() if line["event"] == "started"]
         if not said:
             return None
@@ -247,10 +247,10 @@
 
     def is_late(self, now: float) -> bool:
         """Whether the running process should have said that it listens."""
-        if not self.is_running() or self.listens_since() is not None:
+        if not self.is_running() or self.listening_since() is not None:
             return False
         since = self._started_at[-1]
-        return now - since > LISTENS_SECONDS and not self.was_disturbed(since, now)
+        return now - since > LISTEN_TIMEOUT_SECONDS and not self.was_disturbed(since, now)
 
     def is_running(self) -> bool:
         """Whether the process has not ended."""
@@ -258,9 +258,9 @@
 
     def has_started(self) -> bool:
         """Whether the running process has said that it listens."""
-        return self.listens_since() is not None
+        return self.listening_since() is not None
 
-    def give_ports_back(self) -> None:
+    def release_ports(self) -> None:
         """It isn't started again."""
         for reservation in self._reservations:
             reservation.close()
@@ -311,7 +311,7 @@
         )
         self.servers: dict[str, SoakServer] = {}
         self.server_proxies: dict[str, FaultProxy] = {}
-        self._ways: dict[str, list[FaultProxy]] = {}
+        self._all_server_proxies: dict[str, list[FaultProxy]] = {}
         """All proxies that ever stood before a server."""
         self.gateways: list[GatewayProcess] = []
         self.version = 1
@@ -320,41 +320,41 @@
         self.client_keys = list(TENANTS)
         """What clients use: keys that are valid, and some that were taken away."""
         self.ended = False
-        self._are_all_back = False
-        self._all_ended_at = time.monotonic()
-        self.shows_state = False
+        self._have_all_listened = False
+        self._all_killed_at = time.monotonic()
+        self.serves_state = False
         """Whether operators may ask the gateways what they know of the store."""
-        self.store_returned = asyncio.Event()
-        self.returns: list[float] = []
+        self.store_restored = asyncio.Event()
+        self.restores: list[float] = []
         """Monotonic times at which the store came back from a copy."""
-        self.is_returning = False
+        self.is_restoring = False
         """The store is away, or lacks what the operator and the servers write again."""
-        self.own_cut_at = float("-inf")
+        self.own_reset_at = float("-inf")
         """When the store's connections were last broken by a return."""
         self._unacknowledged_keys: set[str] = set()
         """Revoked while the store answered nobody, the operator included."""
         self.store_disturbances: list[float] = []
         """Monotonic times at which the store, or the way to it, was seen away or slow, but for
         returns from copies."""
-        self.ended_servers: set[str] = set()
+        self.terminated_servers: set[str] = set()
         """Their entries may stand for a while, or be back with a copy."""
-        self.entry_words = EntryLedger()
-        self.compared = 0
+        self.drains = DrainLedger()
+        self.matched = 0
         """Gateways that knew what the store held, when they were asked after a return."""
         self.stops = 0
-        self.holds = 0
+        self.suspensions = 0
         self.clock = AttendedClock()
         # A close that waits in this process, which carries it, is not the gateway's delay.
         self.ledger.now = self.clock.seconds
-        self.asked: list[Asked] = []
-        self.servers_are_sound = True
+        self.requests: list[ClientRequest] = []
+        self.servers_are_healthy = True
         self._numbers = 0
         self._restarts: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
         """Everything up and ready."""
         await self.store.start()
-        self.name_version()
+        self.publish_version()
         self.put_configuration()
         for _ in range(ENGINES):
             await self.add_server("engine")
@@ -371,9 +371,9 @@
                 self.link_megabits,
                 self.link_callers,
             )
-            await gateway.open_ways()
+            await gateway.open_proxies()
             gateway.descriptors = self.descriptors
-            gateway.shows_state = self.shows_state
+            gateway.serves_state = self.serves_state
             gateway.start()
             self.gateways.append(gateway)
 
@@ -384,18 +384,18 @@
         # Unlike those of a soak beside this one, whose server may get a port of this one's.
         name = f"{service}-{self._numbers}-{os.getpid()}"
         server = SoakServer(name, service, self.ledger, self.random, version)
-        server.on_end = self._on_end
+        server.on_crash = self._on_crash
         server.max_connections = self.max_connections
         await server.start()
         proxy = FaultProxy(server.address)
         await proxy.start()
         self.servers[name] = server
         self.server_proxies[name] = proxy
-        self._ways.setdefault(name, []).append(proxy)
-        self.enter(server)
+        self._all_server_proxies.setdefault(name, []).append(proxy)
+        self.write_entry(server)
         return server
 
-    def enter(self, server: SoakServer) -> None:
+    def write_entry(self, server: SoakServer) -> None:
         """Write a server's entry."""
         self.store.put(
             "servers", server.name, server.entry(self.server_proxies[server.name].address)
@@ -411,7 +411,7 @@
         if self.ended:
             return
         server = SoakServer(name, before.service, self.ledger, self.random, before.version)
-        server.on_end = self._on_end
+        server.on_crash = self._on_crash
         await server.start()
         self.servers[name] = server
         if keeps_port:
@@ -419,32 +419,32 @@
             return
         await proxy.close()
         self.server_proxies[name] = moved = FaultProxy(server.address)
-        self._ways.setdefault(name, []).append(moved)
+        self._all_server_proxies.setdefault(name, []).append(moved)
         await moved.start()
 
     async def remove_server(self, name: str) -> None:
         """A server ends at once; its entry goes."""
         server = self.servers.pop(name)
-        self.ended_servers.add(name)
+        self.terminated_servers.add(name)
         await server.crash()
         await self.server_proxies.pop(name).close()
-        if not self.entry_words.is_gone(name):
+        if not self.drains.is_removed(name):
             self.store.remove("servers", name)
 
-    def say_leaving(self, name: str, in_a_word: bool) -> None:
+    def announce_draining(self, name: str, by_state: bool) -> None:
         """A server's entry says that it leaves, or goes without a word; it serves on."""
         server = self.servers[name]
         server.draining = True
-        if in_a_word:
-            self.enter(server)
+        if by_state:
+            self.write_entry(server)
         else:
             self.store.remove("servers", name)
-        self.entry_words.on_leaving(name, time.monotonic(), is_gone=not in_a_word)
+        self.drains.on_draining(name, time.monotonic(), is_removed=not by_state)
 
     async def retire_server(self, name: str) -> None:
         """A server ends when its work is done, or its patience over."""
         server = self.servers.get(name)
-        ends_at = time.monotonic() + RETIRE_SECONDS
+        ends_at = time.monotonic() + RETIRE_TIMEOUT_SECONDS
         while server is not None and server.requests and time.monotonic() < ends_at:
             await asyncio.sleep(0.05)
         if name in self.servers and not self.ended:
@@ -453,17 +453,17 @@
     def on_all_killed(self) -> None:
         """All gateways end at the same moment, and know nothing when they start again."""
         self.ledger.on_all_gateways_killed()
-        self._are_all_back = False
-        self._all_ended_at = time.monotonic()
+        self._have_all_listened = False
+        self._all_killed_at = time.monotonic()
 
-    def are_all_back(self, seconds: float) -> bool:
+    def have_all_listened(self, seconds: float) -> bool:
         """Whether, since all began or ended together, all have listened for so long."""
-        if not self._are_all_back:
-            since = [gateway.listens_since() for gateway in self.gateways]
+        if not self._have_all_listened:
+            since = [gateway.listening_since() for gateway in self.gateways]
             until = time.monotonic() - seconds
-            ended_at = self._all_ended_at
-            self._are_all_back = all(at is not None and ended_at < at <= until for at in since)
-        return self._are_all_back
+            ended_at = self._all_killed_at
+            self._have_all_listened = all(at is not None and ended_at < at <= until for at in since)
+        return self._have_all_listened
 
     def check_own_tasks(self, tasks: Sequence[asyncio.Task[None]]) -> None:
         """No part of the rig itself has ended by a defect."""
@@ -478,26 +478,29 @@
         def was_disturbed(name: str, server: str, begin: float, end: float) -> bool:
             gateway = gateways[name]
             is_new = gateway.has_started_between(begin, end)
-            is_cut = any(way.was_cut(begin, end) for way in self._ways.get(name_of(server), ()))
-            return is_new or is_cut or gateway.was_disturbed(begin, end)
+            is_blocked = any(
+                proxy.was_blocked(begin, end)
+                for proxy in self._all_server_proxies.get(server_name(server), ())
+            )
+            return is_new or is_blocked or gateway.was_disturbed(begin, end)
 
         self.ledger.check_signals(BOUNDS["DrainMs"] / 1000, was_disturbed)
 
-        def was_cut_off(name: str, server: str, begin: float, end: float) -> bool:
-            ways = (gateways[name].store, gateways[name].feed)
-            is_cut = any(way.was_cut(begin, end) for way in ways)
+        def was_disconnected(name: str, server: str, begin: float, end: float) -> bool:
+            proxies = (gateways[name].store, gateways[name].feed)
+            is_blocked = any(proxy.was_blocked(begin, end) for proxy in proxies)
             is_unstable = self.was_store_disturbed(begin - STABLE_SECONDS, end)
             gateway = gateways[name]
-            is_new = gateway.has_started_between(begin - START_SECONDS, end)
-            is_held = gateway.was_held(begin, end)
-            is_excused = is_cut or is_unstable or is_held or is_new
+            is_new = gateway.has_started_between(begin - STARTUP_SECONDS, end)
+            is_suspended = gateway.was_suspended(begin, end)
+            is_excused = is_blocked or is_unstable or is_suspended or is_new
             return is_excused or was_disturbed(name, server, begin, end)
 
         arrivals = self.ledger.signals.arrivals
-        for late in self.entry_words.late(arrivals, BOUNDS["DrainMs"] / 1000, was_cut_off):
+        for late in self.drains.late(arrivals, BOUNDS["DrainMs"] / 1000, was_disconnected):
             self.ledger.violate("draining", f"{late}")
 
-    def _on_end(self, name: str) -> None:
+    def _on_crash(self, name: str) -> None:
         """A request ended a server's process."""
         self._restarts.add(task := asyncio.create_task(self._restart(name)))
         task.add_done_callback(self._restarts.discard)
@@ -513,34 +516,34 @@
         if self.ended:
             return
         await self.add_server(server.service)
-        await asyncio.sleep(ENTRY_SECONDS)
+        await asyncio.sleep(STALE_ENTRY_SECONDS)
         self.store.remove("servers", name)
 
     def was_store_disturbed(self, begin: float, end: float) -> bool:
         """Whether another fault than a return kept the store from gateways in a stretch."""
         return any(begin <= at <= end for at in self.store_disturbances)
 
-    def on_store_away(self) -> None:
+    def on_store_unavailable(self) -> None:
         """The store answers nobody until it returns."""
-        self.entry_words.on_away(time.monotonic())
+        self.drains.on_unavailable(time.monotonic())
 
-    def on_store_return(self) -> None:
+    def on_store_restored(self) -> None:
         """The store has come back from a copy."""
         now = time.monotonic()
-        self.returns.append(now)
-        self.entry_words.on_return(now)
+        self.restores.append(now)
+        self.drains.on_restored(now)
         for key in self._unacknowledged_keys:
             self.ledger.revoked_at[key] = now
         self._unacknowledged_keys.clear()
-        self.store_returned.set()
+        self.store_restored.set()
 
-    async def watch_own_pauses(self) -> None:
+    async def watch_event_loop(self) -> None:
         """Servers and clients live in this process: while it stands still, they are silent."""
         while True:
-            self.clock.expect_turn(TURN_SECONDS)
-            await asyncio.sleep(TURN_SECONDS)
+            self.clock.expect_turn(LOOP_INTERVAL_SECONDS)
+            await asyncio.sleep(LOOP_INTERVAL_SECONDS)
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Servers show changed versions in their entries, with a lag."""
         while not self.ended:
             await asyncio.sleep(0.6)
@@ -551,7 +554,7 @@
                 stored = self.store.objects["servers"][server.name]["Spec"]
                 entry = server.entry(self.server_proxies[server.name].address)
                 if entry != stored:
-                    self.enter(server)
+                    self.write_entry(server)
 
     def _put_proxies_before_feeds(self) -> None:
         """Followers reach their reader through a proxy: its entry is rewritten."""
@@ -562,7 +565,7 @@
                 spec = {**stored["Spec"], "feed": gateway.feed.address}
                 self.store.put(GATEWAY_KIND, gateway.name, spec)
 
-    async def keep_gateways(self) -> None:
+    async def restart_exited_gateways(self) -> None:
         """The platform starts a process again that has ended."""
         while not self.ended:
             await asyncio.sleep(0.2)
@@ -574,20 +577,20 @@
         """What the end of each request says of its gateway."""
         gateways = {gateway.name: gateway for gateway in self.gateways}
         found = {}
-        for asked in self.asked:
+        for asked in self.requests:
             gateway = gateways.get(asked.gateway)
-            beside = Circumstances(
+            context = RequestContext(
                 runs=len(self.ledger.runs.get(asked.request_id, ())),
-                servers_are_sound=self.servers_are_sound,
+                servers_are_healthy=self.servers_are_healthy,
                 gateway_disturbed=gateway is not None
                 and gateway.was_disturbed(asked.sent_at, asked.ended_at),
             )
-            found[asked.request_id] = judge(asked, beside)
+            found[asked.request_id] = classify(asked, context)
         return found
 
     # -- operator -------------------------------------------------------------------------------
 
-    def name_version(self) -> None:
+    def publish_version(self) -> None:
         """Name newer weights."""
         self.version += 1
         self.store.put("versions", MODEL, {"Model": MODEL, "Version": self.version})
@@ -612,7 +615,7 @@
         del self.keys[key]
         self.put_configuration()
         self.ledger.revoked_at[key] = asyncio.get_running_loop().time()
-        if self.is_returning and self.store.unavailable:
+        if self.is_restoring and self.store.unavailable:
             self._unacknowledged_keys.add(key)
             self.ledger.revoked_at[key] = math.inf
 
@@ -621,7 +624,7 @@
         self.keys[successor] = self.ledger.tenants[successor] = self.keys[key]
         self.revoke(key)
         spent = [used for used in self.client_keys if used not in self.keys]
-        self.client_keys = [*spent[-SPENT_KEYS:], *self.keys]
+        self.client_keys = [*spent[-MAX_REVOKED_CLIENT_KEYS:], *self.keys]
 
     async def stop(self) -> None:
         """End everything that was started."""
@@ -631,8 +634,8 @@
             gateway.send(signal.SIGKILL)
             if gateway.process is not None:
                 gateway.process.wait()
-            gateway.give_ports_back()
-            await gateway.close_ways()
+            gateway.release_ports()
+            await gateway.close_proxies()
         for name in list(self.servers):
             await self.servers[name].crash()
             await self.server_proxies[name].close()
