--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -115,71 +115,71 @@
 
     async def _send_request(self) -> None:
         """One request, or two at once, up to their ends."""
-        asked = [self._new_request()]
+        requests = [self._new_request()]
         if self._random.random() < self._profile.pipelined_share:
-            asked.append(self._new_request(is_pipelined=True))
+            requests.append(self._new_request(is_pipelined=True))
         try:
             async with asyncio.timeout(self._profile.deadline_seconds + TIMEOUT_MARGIN_SECONDS):
-                await self._exchange(asked)
+                await self._exchange(requests)
         except TimeoutError:
-            self._finish_unanswered(asked, RequestResult.CLIENT_TIMEOUT)
+            self._finish_unanswered(requests, RequestResult.CLIENT_TIMEOUT)
         except OSError:
-            self._finish_unanswered(asked, RequestResult.NO_ANSWER)
+            self._finish_unanswered(requests, RequestResult.NO_ANSWER)
         except InvalidAnswerError as error:
-            self._world.ledger.violate("no-answer", f"{asked[0].request_id} got {error}")
-            self._finish_unanswered(asked, RequestResult.NO_ANSWER)
+            self._world.ledger.violate("no-answer", f"{requests[0].request_id} got {error}")
+            self._finish_unanswered(requests, RequestResult.NO_ANSWER)
 
     def _new_request(self, is_pipelined: bool = False) -> ClientRequest:
         self._sent += 1
         request_id = f"r-{self._number}-{self._sent}"
-        asked = ClientRequest(request_id, self._random.choice(KINDS), is_pipelined)
-        self._world.requests.append(asked)
-        return asked
+        request = ClientRequest(request_id, self._random.choice(KINDS), is_pipelined)
+        self._world.requests.append(request)
+        return request
 
-    def _finish_unanswered(self, asked: list[ClientRequest], end: RequestResult) -> None:
+    def _finish_unanswered(self, requests: list[ClientRequest], end: RequestResult) -> None:
         now = time.monotonic()
-        for item in asked:
-            if item.end is not None:
+        for request in requests:
+            if request.end is not None:
                 continue
-            item.ended_at = now
-            item.end = end if item.sent_at else RequestResult.NO_CONNECTION
-            self._count(item.end.value)
+            request.ended_at = now
+            request.end = end if request.sent_at else RequestResult.NO_CONNECTION
+            self._count(request.end.value)
         self._disconnect()
 
-    async def _exchange(self, asked: list[ClientRequest]) -> None:
+    async def _exchange(self, requests: list[ClientRequest]) -> None:
         client = await self._ensure_connected()
-        for item in asked:
-            item.gateway = self._gateway
-            item.position = self._position
+        for request in requests:
+            request.gateway = self._gateway
+            request.position = self._position
             self._position += 1
         # In one write, so that the kernel has all of them at once.
-        client.writer.write(b"".join(self._request_bytes(item) for item in asked))
+        client.writer.write(b"".join(self._request_bytes(request) for request in requests))
         await client.writer.drain()
         sent_at = time.monotonic()
-        for item in asked:
-            item.sent_at = sent_at
+        for request in requests:
+            request.sent_at = sent_at
         if self._random.random() < self._profile.disconnect_share:
             await asyncio.sleep(self._random.uniform(*DISCONNECT_DELAY_SECONDS))
-            self._finish_unanswered(asked, RequestResult.DISCONNECTED)
+            self._finish_unanswered(requests, RequestResult.DISCONNECTED)
             return
         is_last = False
-        for item in asked:
+        for request in requests:
             got = await client.read_answer()
             if got is not None:
-                self._note_answer(item, got)
+                self._note_answer(request, got)
                 is_last = is_last or got.headers.get("connection") == "close"
             if got is None or not got.whole:
-                for later in asked[asked.index(item) + 1 :]:
+                for later in requests[requests.index(request) + 1 :]:
                     later.follows_aborted_answer = got is not None
-                self._finish_unanswered(asked, RequestResult.NO_ANSWER)
+                self._finish_unanswered(requests, RequestResult.NO_ANSWER)
                 return
         if is_last or self._random.random() < self._profile.close_share:
             self._disconnect()
 
-    def _note_answer(self, asked: ClientRequest, got: ClientAnswer) -> None:
-        asked.ended_at = time.monotonic()
-        asked.end = RequestResult.COMPLETE if got.whole else RequestResult.PARTIAL
-        self._world.ledger.on_answer(asked.request_id, got.status, got.body, got.whole)
+    def _note_answer(self, request: ClientRequest, got: ClientAnswer) -> None:
+        request.ended_at = time.monotonic()
+        request.end = RequestResult.COMPLETE if got.whole else RequestResult.PARTIAL
+        self._world.ledger.on_answer(request.request_id, got.status, got.body, got.whole)
 
     async def _ensure_connected(self) -> Client:
         """The connection that is kept, unless the gateway has closed it; else a new one."""
@@ -194,15 +194,15 @@
             )
         return self._connection
 
-    def _request_bytes(self, asked: ClientRequest) -> bytes:
+    def _request_bytes(self, request: ClientRequest) -> bytes:
         ledger = self._world.ledger
         key = self._random.choice(self._world.client_keys)
         more = {"Deadline_Ms": str(int(self._profile.deadline_seconds * 1000))}
-        if asked.kind in ("stream", "single"):
+        if request.kind in ("stream", "single"):
             more.update(self._profile.prompt)
         now = asyncio.get_running_loop().time()
-        ledger.on_sent(SentRequest(asked.request_id, now, key, asked.kind, self._gateway))
-        return Client.request_bytes(f"/{asked.kind}/", asked.request_id, key=key, **more)
+        ledger.on_sent(SentRequest(request.request_id, now, key, request.kind, self._gateway))
+        return Client.request_bytes(f"/{request.kind}/", request.request_id, key=key, **more)
 
     def _disconnect(self) -> None:
         if self._connection is not None:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -206,9 +206,9 @@
 def check_lost(world: SoakWorld) -> None:
     """A request that was sent whole ends with a whole answer, unless a fault explains its end."""
     verdicts = world.verdicts()
-    for asked in world.requests:
-        if verdicts[asked.request_id] in LOST:
-            world.ledger.violate("lost", f"{verdicts[asked.request_id].value}: {asked}")
+    for request in world.requests:
+        if verdicts[request.request_id] in LOST:
+            world.ledger.violate("lost", f"{verdicts[request.request_id].value}: {request}")
 
 
 def check_contained(world: SoakWorld) -> None:
--- a/tests/soak/store_restores.py
+++ b/tests/soak/store_restores.py
@@ -70,7 +70,7 @@
         await asyncio.sleep(outage_seconds)
     finally:
         store.unavailable = False
-        store.restore(snapshot, block=resets_connections, rewrites_lost=False)
+        store.restore(snapshot, resets_connections=resets_connections, rewrites_lost=False)
         world.own_reset_at = store.reset_at
         try:
             await asyncio.sleep(rewrite_delay_seconds)
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -577,15 +577,15 @@
         """What the end of each request says of its gateway."""
         gateways = {gateway.name: gateway for gateway in self.gateways}
         found = {}
-        for asked in self.requests:
-            gateway = gateways.get(asked.gateway)
+        for request in self.requests:
+            gateway = gateways.get(request.gateway)
             context = RequestContext(
-                runs=len(self.ledger.runs.get(asked.request_id, ())),
+                runs=len(self.ledger.runs.get(request.request_id, ())),
                 servers_are_healthy=self.servers_are_healthy,
                 gateway_disturbed=gateway is not None
-                and gateway.was_disturbed(asked.sent_at, asked.ended_at),
+                and gateway.was_disturbed(request.sent_at, request.ended_at),
             )
-            found[asked.request_id] = classify(asked, context)
+            found[request.request_id] = classify(asked, context)
         return found
 
     # -- operator -------------------------------------------------------------------------------
