--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -178,8 +178,8 @@
     after = world.ledger.outcomes
     given = {outcome: count - before.get(outcome, 0) for outcome, count in after.items()}
     refused_keys = given.get("401", 0)
-    asked = sum(given.values()) - refused_keys - given.get("left", 0)
-    if asked == 0 or given.get("200", 0) / asked < RECOVERED_SHARE:
+    judged = sum(given.values()) - refused_keys - given.get("left", 0)
+    if judged == 0 or given.get("200", 0) / judged < RECOVERED_SHARE:
         world.ledger.violate("recovery", f"after the faults: {given}")
 
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -585,7 +585,7 @@
                 gateway_disturbed=gateway is not None
                 and gateway.was_disturbed(request.sent_at, request.ended_at),
             )
-            found[request.request_id] = classify(asked, context)
+            found[request.request_id] = classify(request, context)
         return found
 
     # -- operator -------------------------------------------------------------------------------
