--- a/tests/soak/answers.py
+++ b/tests/soak/answers.py
@@ -1,4 +1,4 @@
-"""Judges how each request of a soak ended: whether a gateway lost it, or why it did not."""
+"""Classifies the result of each request of a soak: lost by a gateway, or excused and why."""
 
 from __future__ import annotations
 
@@ -7,50 +7,50 @@
 
 
 class RequestResult(Enum):
-    """How a request ended at its client."""
+    """Result of a request as its client observed it."""
 
     COMPLETE = "whole"
-    """A complete answer, of whatever status."""
+    """A complete answer with any status."""
     PARTIAL = "partial"
-    """The connection ended in the middle of an answer."""
+    """The connection closed in the middle of an answer."""
     NO_ANSWER = "nothing"
-    """The connection ended without a byte of an answer."""
+    """The connection closed before the first byte of an answer."""
     NO_CONNECTION = "no-connection"
-    """No connection came up, so nothing was sent."""
+    """The connection could not be established, so nothing was sent."""
     CLIENT_TIMEOUT = "too-long"
-    """The client stopped waiting."""
+    """The client's timeout expired."""
     DISCONNECTED = "left"
-    """The client left on purpose."""
+    """The client disconnected deliberately."""
 
 
 class Verdict(Enum):
-    """What a request's end says of the gateway."""
+    """Classification of a request: answered, excused, or lost by its gateway."""
 
     ANSWERED = "answered"
     UNFINISHED = "unfinished"
-    """The soak ended before it."""
+    """The soak ended before the request did."""
     ABORTED_BY_SERVER = "cut-by-server"
-    """The answer of a server that misbehaves broke off."""
+    """A server with injected faults aborted its answer."""
     BEHIND_ABORTED_ANSWER = "behind-cut"
-    """Sent at once behind a request whose answer broke off, and the connection with it."""
+    """Pipelined behind a request whose answer was aborted together with the connection."""
     TIMED_OUT = "timed-out"
-    """The time of its route was over in the middle of the answer."""
+    """The route's timeout expired in the middle of the answer."""
     DISTURBED = "disturbed"
-    """Its gateway was killed or frozen meanwhile."""
+    """Its gateway was killed or suspended while the request was running."""
     NEVER_SENT = "never-sent"
     CLIENT_DISCONNECTED = "client-left"
     RACED_WITH_CLOSE = "crossed-close"
-    """The gateway had closed a connection on which it had answered, while this was on its way."""
+    """Sent on a keep-alive connection while the gateway's close of it was in transit."""
     LOST_FIRST = "lost-first"
-    """First request on a connection that the gateway's kernel had accepted."""
+    """First request on a connection that the gateway host's kernel had accepted."""
     LOST_ON_KEEP_ALIVE = "lost-kept"
-    """Written whole on a kept connection, long before that was closed."""
+    """Written completely on a keep-alive connection, long before the connection was closed."""
     LOST_PIPELINED = "lost-ahead"
-    """Sent at once behind a request that was answered."""
+    """Pipelined behind a request that was answered."""
     LOST_AT_SERVER = "lost-at-server"
-    """It had been passed on to a server."""
+    """The gateway had forwarded the request to a server."""
     LOST_SILENT = "lost-silent"
-    """Nothing came within the client's deadline."""
+    """No answer arrived within the client's deadline."""
 
 
 LOST = frozenset(
@@ -63,27 +63,28 @@
     }
 )
 ROUTE_TIMEOUT_SECONDS = 3.0
-"""Time that the routes of the stand-in's configuration allow; a gateway cuts a stream then."""
+"""Timeout of the routes in the stand-in configuration; a gateway aborts a stream after it."""
 SEND_SLACK_SECONDS = 0.2
-"""A gateway's time runs from the first byte, the ledger's from the last one on a late loop."""
+"""The gateway's timeout starts at the first byte of a request; the rig's clock starts after the
+last byte, and later still when its event loop is delayed."""
 CLOSE_RACE_SECONDS = 0.2
-"""A close and a request that meet on the way are apart by no more, in one machine's buffers."""
+"""Longest time between a request and a close that cross in the socket buffers of one machine."""
 
 
 @dataclass
 class ClientRequest:
-    """One request as its client saw it.
+    """One request as its client observed it.
 
     Attributes:
-        request_id: Its identity.
-        kind: Route.
+        request_id: Value of the Request-Id header.
+        kind: Name of the route.
         was_sent_ahead: Sent at once behind another one.
         is_behind_cut: The answer of that one broke off.
         gateway: Name of the gateway.
-        position: Requests that were sent before it on its connection.
-        sent_at: Seconds at which its last byte was with the kernel, 0 before.
-        ended_at: Seconds at which its end was seen.
-        end: How it ended, None before.
+        position: Number of requests sent earlier on the same connection.
+        sent_at: Monotonic seconds when the kernel had its last byte, 0 before that.
+        ended_at: Monotonic seconds when its result was observed.
+        end: Its result, None while it runs.
     """
 
     request_id: str
@@ -99,12 +100,12 @@
 
 @dataclass(frozen=True)
 class RequestContext:
-    """What was true beside a request.
+    """Conditions under which a request ran.
 
     Attributes:
-        runs: How often it began at servers.
-        servers_are_sound: No server broke off or lost an answer by itself.
-        gateway_disturbed: Its gateway was killed or frozen between its send and its end.
+        runs: How many times servers started to execute it.
+        servers_are_sound: No server aborts or drops answers because of injected faults.
+        gateway_disturbed: Its gateway was killed or suspended between its send and its result.
     """
 
     runs: int = 0
@@ -121,7 +122,7 @@
 
 
 def classify(request: ClientRequest, context: RequestContext) -> Verdict:
-    """What a request's end says of its gateway."""
+    """Classify the result of a request under its conditions."""
     if request.end in _BY_END:
         return _BY_END[request.end]
     if context.gateway_disturbed:
--- a/tests/soak/build_launcher.py
+++ b/tests/soak/build_launcher.py
@@ -1,7 +1,8 @@
-"""Runs a gateway of two builds by turns: `build_launcher.py OLD_SRC NEW_SRC [ARGUMENT ...]`.
+"""Runs a gateway with two builds alternately: `build_launcher.py OLD_SRC NEW_SRC [ARGUMENT ...]`.
 
-The first start of a gateway runs the old build, each later one the build that did not run before.
-A file beside the gateway's settings counts its starts, so that nothing is passed between processes.
+The first start of a gateway runs the old build; each later start runs the build that the previous
+start did not run. A file next to the gateway's settings counts the starts, so processes share no
+other state.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 
 
 def main(sources: list[str], arguments: list[str]) -> None:
-    """Run the build whose turn it is, in this process.
+    """Run the next build in this process.
 
     Args:
         sources: `src` folders of the old and the new build.
-        arguments: Arguments of the gateway.
+        arguments: Command-line arguments of the gateway.
     """
     counter = Path(os.environ[SETTINGS_VARIABLE]).with_suffix(".starts")
     starts = len(counter.read_bytes()) if counter.exists() else 0
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: they send on all routes, leave early at times, and note what they get."""
+"""Clients of a soak: they send on all routes, sometimes disconnect early, and record answers."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 }
 QUIET_SECONDS = 2.0
 REPEAT_DELAY_SECONDS = (0.1, 0.8)
-"""Callers whose request ended a server come again after so long."""
+"""Range of the delay before a crashing request is repeated."""
 KINDS = ("safe", "unsafe", "stream", "single")
 TIMEOUT_MARGIN_SECONDS = 1.0
-"""Beyond the deadline that a client tells."""
+"""Added to the deadline that a client sends before it gives up."""
 DISCONNECT_DELAY_SECONDS = (0.0, 0.05)
 CRASHING_TIMEOUT_SECONDS = 4.0
-"""Callers whose request ends servers wait longer than any route allows: one that leaves before its
-server ends leaves no evidence."""
+"""Longer than any route timeout: a client that disconnects before the server crashes leaves no
+evidence that links the crash to its request."""
 
 
 @dataclass(frozen=True)
 class ClientProfile:
-    """How a client behaves.
+    """Behaviour of a client.
 
     Attributes:
-        prompt: Header fields of requests to engines.
-        deadline_seconds: How long it waits for an answer.
-        pause_seconds: Least and most time between two requests.
+        prompt: Prompt header fields of requests to engines.
+        deadline_seconds: Deadline that it sends with each request.
+        pause_seconds: Minimum and maximum time between two requests.
         last_share: Share of its answers after which it opens a new connection.
         leave_share: Share of its requests that it leaves unanswered.
         ahead_share: Share of its requests behind which it sends another one at once.
@@ -73,7 +73,7 @@
 
 
 def is_closed(client: Client) -> bool:
-    """Whether the gateway's end has arrived, also when this process hasn't read it yet."""
+    """Whether the gateway has closed the connection, even if this process has not read the EOF."""
     if client.reader.at_eof() or client.writer.is_closing():
         return True
     with socket.socket(fileno=os.dup(client.writer.get_extra_info("socket").fileno())) as sock:
@@ -86,7 +86,7 @@
 
 
 class SoakClient:
-    """One client that sends one request after the other, and keeps its connection meanwhile."""
+    """A client that sends requests one after another over a keep-alive connection."""
 
     def __init__(
         self,
@@ -107,14 +107,14 @@
         self._position = 0
 
     async def run(self) -> None:
-        """Until the soak ends."""
+        """Send requests until the soak ends."""
         while not self._world.ended:
             await self._send_request()
             await asyncio.sleep(self._random.uniform(*self._profile.pause_seconds))
         self._disconnect()
 
     async def _send_request(self) -> None:
-        """One request, or two at once, up to their ends."""
+        """Send one request, or two pipelined ones, and wait for their results."""
         requests = [self._new_request()]
         if self._random.random() < self._profile.pipelined_share:
             requests.append(self._new_request(is_pipelined=True))
@@ -126,7 +126,7 @@
         except OSError:
             self._finish_unanswered(requests, RequestResult.NO_ANSWER)
         except InvalidAnswerError as error:
-            self._world.ledger.violate("no-answer", f"{requests[0].request_id} got {error}")
+            self._world.ledger.violate("no-answer", f"{requests[0].request_id} received invalid bytes {error}")
             self._finish_unanswered(requests, RequestResult.NO_ANSWER)
 
     def _new_request(self, is_pipelined: bool = False) -> ClientRequest:
@@ -152,7 +152,7 @@
             request.gateway = self._gateway
             request.position = self._position
             self._position += 1
-        # In one write, so that the kernel has all of them at once.
+        # A single write passes all requests to the kernel at the same time.
         client.writer.write(b"".join(self._request_bytes(request) for request in requests))
         await client.writer.drain()
         sent_at = time.monotonic()
@@ -182,7 +182,7 @@
         self._world.ledger.on_answer(request.request_id, got.status, got.body, got.whole)
 
     async def _ensure_connected(self) -> Client:
-        """The connection that is kept, unless the gateway has closed it; else a new one."""
+        """Return the open connection, or a new one if the gateway has closed it."""
         while self._connection is None or is_closed(self._connection):
             self._disconnect()
             gateway = self._choose_gateway()
@@ -215,7 +215,7 @@
 
 
 class CrashingClient:
-    """Repeats one request that ends servers, each time under a new id and at any gateway."""
+    """Repeats one request that crashes servers, each time with a new ID and at a random gateway."""
 
     def __init__(self, body: bytes, world: SoakWorld) -> None:
         self._body = body
@@ -224,7 +224,7 @@
         self._number = CRASHING_BODIES.index(body)
 
     async def run(self) -> None:
-        """Until the soak ends."""
+        """Send requests until the soak ends."""
         while not self._world.ended:
             await self._wait_for_gateways()
             try:
@@ -235,7 +235,10 @@
             await asyncio.sleep(self._world.random.uniform(*REPEAT_DELAY_SECONDS))
 
     async def _wait_for_gateways(self) -> None:
-        """Gateways that have all just started know no answer that speaks for ordinary work."""
+        """Wait until gateways that all started together have seen answers to ordinary requests.
+
+        Before that, they have no evidence that other requests are unrelated to a crash.
+        """
         while not self._world.have_all_listened(QUIET_SECONDS):
             await asyncio.sleep(0.1)
 
--- a/tests/soak/drain_ledger.py
+++ b/tests/soak/drain_ledger.py
@@ -1,4 +1,4 @@
-"""What servers got after the store had acknowledged that they leave, or that they are gone."""
+"""Requests to servers after the store acknowledged that they are draining or removed."""
 
 from __future__ import annotations
 
@@ -9,23 +9,24 @@
 from soak.signal_ledger import Arrival, WasDisturbed
 
 PROPAGATION_SECONDS = 0.5
-"""A gateway that runs undisturbed knows by now what the store has acknowledged."""
+"""Time within which an undisturbed gateway learns of a change that the store acknowledged."""
 UNVERIFIED_SECONDS = 3.0
-"""After a return an entry may have lapsed with the store, and its server be back in it: one that
-goes without a word in this time counts as gone at its end."""
+"""After a restore, a missing entry may only have been lost, and its server may rewrite it. An entry
+removed within this time without having been marked as draining counts as removed at its end."""
 
 
 @dataclass
 class DrainLedger:
-    """When the store acknowledged servers' leaving; in monotonic seconds.
+    """Times at which the store acknowledged that servers drain; in monotonic seconds.
 
-    An acknowledgement that the store loses before gateways could know it counts from the return, at
-    which it is given again.
+    An acknowledgement that the store loses before gateways can learn of it counts from the restore,
+    when it is written again.
     """
 
     draining_since: dict[str, float] = field(default_factory=dict)
     _unpropagated: set[str] = field(default_factory=set)
-    """Servers whose word the store took while it was away, or is about to lose unheard."""
+    """Servers whose draining was recorded while the store was unavailable, or too shortly before that
+    for gateways to learn of it."""
     is_unavailable: bool = False
     _restored_at: float = -math.inf
     restores: list[float] = field(default_factory=list)
@@ -33,11 +34,11 @@
     _unverified: set[str] = field(default_factory=set)
 
     def is_removed(self, server: str) -> bool:
-        """Whether a server's entry went before the server did."""
+        """Whether a server's entry was removed before the server terminated."""
         return server in self._removed
 
     def on_draining(self, server: str, now: float, is_removed: bool) -> None:
-        """A server's entry says that it leaves, or went."""
+        """A server's entry is marked as draining, or removed."""
         if is_removed:
             self._removed.add(server)
         if server in self.draining_since:
@@ -49,7 +50,7 @@
             self._unpropagated.add(server)
 
     def on_unavailable(self, now: float) -> None:
-        """The store answers nobody from now on."""
+        """The store becomes unavailable."""
         self.is_unavailable = True
         self._unpropagated |= {
             server
@@ -58,7 +59,7 @@
         }
 
     def on_restored(self, now: float) -> None:
-        """The store has come back; what was lost is written again."""
+        """The store has been restored, and lost objects have been rewritten."""
         self.is_unavailable = False
         self._restored_at = now
         self.restores.append(now)
@@ -71,19 +72,19 @@
     def late(
         self, arrivals: Iterable[Arrival], bound: float, was_disturbed: WasDisturbed
     ) -> list[Arrival]:
-        """Requests that clients sent too late and that such a server got.
+        """Requests that clients sent after the bound and that a draining server received.
 
         Args:
-            arrivals: What reached servers.
+            arrivals: Requests that reached servers.
             bound: Seconds after the acknowledgement.
-            was_disturbed: Excuses a gateway.
+            was_disturbed: Tells whether a gateway is excused.
         """
-        # Callers that test crashes don't say through which gateway they came.
+        # Clients that test crashes do not record their gateway.
         attributed = (item for item in arrivals if item.gateway)
         return [item for item in attributed if self._is_late(item, bound, was_disturbed)]
 
     def _deadline(self, arrival: Arrival, since: float, bound: float) -> float:
-        """When gateways must have left a server."""
+        """Time by which gateways must have stopped sending to a server."""
         if arrival.server.partition("@")[0] not in self._unverified:
             return since + bound
         verified_at = [
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, drawn by a seed: proxies, signals, the store, servers, the operator."""
+"""External faults selected by a seed: network, signals, store, servers and operator changes."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
     "mute",
     "surplus",
 )
-"""Chances of a server's mood that a fault may raise; seeds depend on their order."""
+"""Fields of `FaultRates` that a fault may raise; the draws of a seed depend on their order."""
 Fault = Callable[[SoakWorld], Awaitable[None]]
 
 
 async def kill_gateway(world: SoakWorld) -> None:
-    """SIGKILL."""
+    """Send SIGKILL to one gateway."""
     world.random.choice(world.gateways).send(signal.SIGKILL)
 
 
 async def kill_all_gateways(world: SoakWorld) -> None:
-    """All at the same moment."""
+    """Send SIGKILL to all gateways at the same time."""
     for gateway in world.gateways:
         gateway.send(signal.SIGKILL)
     world.on_all_killed()
 
 
 async def stop_gateway(world: SoakWorld) -> None:
-    """SIGTERM."""
+    """Send SIGTERM to one gateway."""
     world.random.choice(world.gateways).send(signal.SIGTERM)
 
 
 async def freeze_gateway(world: SoakWorld) -> None:
-    """SIGSTOP, and SIGCONT after longer than a lease."""
+    """Send SIGSTOP, and SIGCONT after 0.5 to 4 seconds, which may exceed the lease of 1.5 seconds."""
     gateway = world.random.choice(world.gateways)
     gateway.send(signal.SIGSTOP)
     await asyncio.sleep(world.random.uniform(0.5, 4.0))
@@ -48,12 +48,12 @@
 
 
 async def reload_gateway(world: SoakWorld) -> None:
-    """SIGHUP."""
+    """Send SIGHUP to one gateway, which reloads its settings."""
     world.random.choice(world.gateways).send(signal.SIGHUP)
 
 
 async def partition_from_store(world: SoakWorld) -> None:
-    """One gateway's way to the store is cut; bytes are held up."""
+    """Partition one gateway from the store; bytes are held back, not dropped."""
     proxy = world.random.choice(world.gateways).store
     proxy.block()
     await asyncio.sleep(world.random.uniform(0.5, 5.0))
@@ -61,7 +61,7 @@
 
 
 async def disrupt_feed(world: SoakWorld) -> None:
-    """What a gateway tells its followers is held up, or comes late."""
+    """Block or delay a gateway's feed to its followers."""
     proxy = world.random.choice(world.gateways).feed
     if world.random.random() < 0.5:
         proxy.delay_seconds = world.random.uniform(0.1, 1.0)
@@ -72,12 +72,12 @@
 
 
 async def reset_feed(world: SoakWorld) -> None:
-    """All connections to what a gateway tells break."""
+    """Reset all connections to a gateway's feed."""
     world.random.choice(world.gateways).feed.reset_all()
 
 
 async def slow_store(world: SoakWorld) -> None:
-    """All ways to the store are slow."""
+    """Delay all gateways' connections to the store."""
     for gateway in world.gateways:
         gateway.store.delay_seconds = world.random.uniform(0.05, 0.3)
     await asyncio.sleep(world.random.uniform(0.5, 3.0))
@@ -86,7 +86,7 @@
 
 
 async def store_down(world: SoakWorld) -> None:
-    """The store answers 503, or resets its connections."""
+    """The store answers 503, and may also reset its connections."""
     world.store.unavailable = True
     if world.random.random() < 0.5:
         world.store.reset_connections()
@@ -95,7 +95,7 @@
 
 
 async def store_silent(world: SoakWorld) -> None:
-    """Calls are carried out and get no answer; then their connections break."""
+    """The store executes calls without answering them, then resets its connections."""
     world.store.silent = True
     await asyncio.sleep(world.random.uniform(0.5, 3.0))
     world.store.silent = False
@@ -103,13 +103,13 @@
 
 
 async def compact_history(world: SoakWorld) -> None:
-    """Watches from before get 410."""
+    """Compact the store's history: watches from earlier revisions receive 410."""
     world.store.compact_history()
     world.store.reset_connections()
 
 
 async def partition_server(world: SoakWorld) -> None:
-    """The way to a server is cut for all gateways; bytes are held up."""
+    """Partition a server from all gateways; bytes are held back, not dropped."""
     name = world.random.choice(list(world.server_proxies))
     proxy = world.server_proxies[name]
     proxy.block()
@@ -118,12 +118,12 @@
 
 
 async def reset_server(world: SoakWorld) -> None:
-    """All connections to a server break."""
+    """Reset all connections to a server."""
     world.server_proxies[world.random.choice(list(world.server_proxies))].reset_all()
 
 
 async def replace_server(world: SoakWorld) -> None:
-    """A server crashes; another incarnation comes."""
+    """Crash a server and add a new one to the same service."""
     name = world.random.choice(list(world.servers))
     service = world.servers[name].service
     await world.remove_server(name)
@@ -132,7 +132,7 @@
 
 
 async def drain_server(world: SoakWorld) -> None:
-    """A server says that it leaves, and does after its time."""
+    """Mark a server as draining in its entry, and remove it 2.5 seconds later."""
     name = world.random.choice(list(world.servers))
     server = world.servers[name]
     await world.add_server(server.service)
@@ -144,7 +144,7 @@
 
 
 async def faulty_server(world: SoakWorld) -> None:
-    """A server misbehaves in one way for a while."""
+    """Raise one fault rate of a server for a while."""
     server = world.servers[world.random.choice(list(world.servers))]
     kind = world.random.choice(FAULT_NAMES)
     setattr(server.fault_rates, kind, world.random.uniform(0.1, 0.7))
@@ -153,19 +153,19 @@
 
 
 async def publish_version(world: SoakWorld) -> None:
-    """New weights are named."""
+    """Publish a new weight version."""
     world.publish_version()
 
 
 async def change_configuration(world: SoakWorld) -> None:
-    """A few versions in quick succession."""
+    """Write a few configuration versions in quick succession."""
     for _ in range(world.random.randint(1, 5)):
         world.put_configuration()
         await asyncio.sleep(0.05)
 
 
 async def revoke_key(world: SoakWorld) -> None:
-    """A key is taken away; two are always left."""
+    """Revoke an API key; at least two always remain valid."""
     if len(world.keys) > 2:
         world.revoke(world.random.choice(list(world.keys)))
 
--- a/tests/soak/large_configuration.py
+++ b/tests/soak/large_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration of many routes that changes again and again, on links that carry little."""
+"""A configuration with many routes that changes repeatedly, over links of low bandwidth."""
 
 from __future__ import annotations
 
@@ -20,13 +20,14 @@
 PROBE_SECONDS = 0.3
 PROBE_TIMEOUT_SECONDS = 2.0
 APPLY_TARGET_SECONDS = 2.0
-"""In force everywhere within this time, whatever the size, on the links of the capacity page."""
+"""A configuration of any size must be in force at all gateways within this time, over links of the
+bandwidth that the capacity documentation assumes."""
 NOT_FOUND = 404
-"""What only a version without the route says."""
+"""Status that only a configuration without the route gives."""
 
 
 def many_routes(count: int, source: random.Random) -> list[dict[str, Any]]:
-    """Routes with random names on some hosts, as operators' tools make them."""
+    """Routes with random names on a few hosts, as operators' tools generate them."""
 
     def word(length: int) -> str:
         return "".join(source.choices(LETTERS, k=length))
@@ -56,14 +57,14 @@
 
 
 async def change_configuration(world: SoakWorld, seconds: float) -> None:
-    """Write the configuration again and again, until cancelled."""
+    """Write a new configuration version at a fixed interval, until cancelled."""
     while True:
         world.put_configuration()
         await asyncio.sleep(seconds)
 
 
 async def resize_configuration(world: SoakWorld) -> None:
-    """Routes come and go by the hundred, until cancelled."""
+    """Add, remove and reorder hundreds of routes, until cancelled."""
     while True:
         await asyncio.sleep(world.random.uniform(*RESIZE_SECONDS))
         drawn = world.random.random()
@@ -78,7 +79,7 @@
 
 
 async def probe_routes(world: SoakWorld) -> None:
-    """Ask each gateway for a route that must be in force by now, until cancelled."""
+    """Request a route that must be in force from each gateway, until cancelled."""
     await asyncio.gather(*(_probe(world, gateway) for gateway in world.gateways))
 
 
@@ -102,21 +103,21 @@
         if status == NOT_FOUND and is_judged and is_newest:
             age = sent_at - acknowledged_at
             world.ledger.violate(
-                "configuration", f"{gateway.name} said {status} for {version} after {age:.2f} s"
+                "configuration", f"{gateway.name} answered {status} for {version} after {age:.2f} s"
             )
 
 
 def _due_version(world: SoakWorld, now: float) -> tuple[float, int]:
-    """Acknowledgement and number of the version that must be in force; 0 when none is settled.
+    """Acknowledgement time and number of the version that must be in force.
 
-    While a newer one is on its way, either may hold.
+    The number is 0 while a newer version is propagating, since either may be in force then.
     """
     latest_at, version = world.configurations[-1]
     return (latest_at, version) if now - latest_at > CONFIG_APPLY_SECONDS else (latest_at, 0)
 
 
 async def _send_probe(world: SoakWorld, gateway: GatewayProcess, path: str, request_id: str) -> int:
-    """Status of the answer, 0 without one."""
+    """Status of the answer, 0 if there is none."""
     key = next(iter(world.keys))
     now = asyncio.get_running_loop().time()
     world.ledger.on_sent(SentRequest(request_id, now, key, "safe", gateway.name))
@@ -134,9 +135,9 @@
 
 
 def configuration_figures(world: SoakWorld) -> dict[str, Any]:
-    """How late versions came into force, by the gateways' own lines.
+    """Delays until versions came into force, from the gateways' log lines.
 
-    A version that a later one has overtaken counts by the first line that is no older.
+    A version that was superseded counts as applied by the first line with that or a later version.
     """
     in_force = {gateway.name: _in_force(gateway) for gateway in world.gateways}
     now = time.monotonic()
@@ -168,7 +169,7 @@
 
 
 def _was_serving(gateway: GatewayProcess, in_force: list[tuple[float, int]], moment: float) -> bool:
-    """Whether it ran with a configuration at a moment; one that is starting isn't late."""
+    """Whether a gateway ran with a configuration at a given time; a starting one is not late."""
     is_undisturbed = gateway.has_run_undisturbed(moment, moment)
     return is_undisturbed and any(at <= moment for at, _ in in_force)
 
@@ -188,7 +189,7 @@
 
 
 def _peak_megabytes(gateway: GatewayProcess) -> float:
-    """Most memory that the running process had; 0 when none runs."""
+    """Peak resident memory of the running process; 0 if none runs."""
     if gateway.process is None or not gateway.is_running():
         return 0.0
     status = Path(f"/proc/{gateway.process.pid}/status").read_text()
--- a/tests/soak/load_balancer.py
+++ b/tests/soak/load_balancer.py
@@ -1,4 +1,4 @@
-"""The entry before a soak's gateways: asks each for readiness, and spreads new connections."""
+"""Load balancer before a soak's gateways: polls readiness and distributes new connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 class LoadBalancer:
-    """Knows which gateways get new connections: two misses take one out, an answer brings it in."""
+    """Selects gateways for new connections.
+
+    Two failed readiness probes in a row take a gateway out of rotation; a successful one puts it back.
+    """
 
     def __init__(self, gateways: list[GatewayProcess], source: random.Random) -> None:
         self._gateways = gateways
@@ -22,18 +25,18 @@
         self._misses = {gateway.name: MISSES_UNTIL_REMOVED for gateway in gateways}
 
     def choose(self) -> GatewayProcess:
-        """A gateway for a new connection; any of them when fewer than half are in."""
+        """A gateway for a new connection; any gateway if fewer than half are in rotation."""
         ready = [gateway for gateway in self._gateways if self.is_in_rotation(gateway)]
         if 2 * len(ready) < len(self._gateways):
             ready = self._gateways
         return self._random.choice(ready)
 
     def is_in_rotation(self, gateway: GatewayProcess) -> bool:
-        """Whether a gateway gets new connections."""
+        """Whether a gateway receives new connections."""
         return self._misses[gateway.name] < MISSES_UNTIL_REMOVED
 
     async def run(self) -> None:
-        """Ask all gateways until cancelled, each at a moment of its own."""
+        """Probe all gateways until cancelled, each with its own random phase."""
         await asyncio.gather(*(self._watch(gateway) for gateway in self._gateways))
 
     async def _watch(self, gateway: GatewayProcess) -> None:
--- a/tests/soak/store_restores.py
+++ b/tests/soak/store_restores.py
@@ -1,4 +1,4 @@
-"""The store goes away for a moment and comes back from a copy some seconds old, again and again."""
+"""Takes the store down briefly and restores it from a snapshot some seconds old, repeatedly."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 SNAPSHOT_AGE_SECONDS = (0.3, 5.0)
 OUTAGE_SECONDS = (0.0, 1.0)
 REWRITE_DELAY_SECONDS = (0.0, 0.6)
-"""The operator and the servers write again so long after the return."""
+"""Range of the delay after a restore until the operator and the servers rewrite their objects."""
 SECOND_RESTORE_CHANCE = 0.25
-"""Of a return right after a return."""
+"""Chance of a second restore directly after a restore."""
 PAUSE_SECONDS = (2.5, 5.0)
 DRAIN_SECONDS = (3.0, 6.0)
-"""A server ends so long after its entry said that it leaves, or went."""
+"""Range of the time for which a server keeps serving after its entry was marked as draining or
+removed."""
 SYNCED_SECONDS = 2.0
-"""After a return, or the end of what disturbed a gateway since, all is known and listed by now."""
+"""Time after a restore, or after the end of a later disturbance of a gateway, by which the gateway
+is listed in the store and knows its contents."""
 WEIGHT_UPDATE_SECONDS = 8.0
-"""The bound on old weights, and a holder's lease before it."""
+"""Upper bound for replacing old weights, including the expiry of a previous holder's lease."""
 POLLS = 4
 SAMPLE_SECONDS = 0.05
 POLL_SECONDS = 0.2
-"""A change that is under way differs in one look, and not in all."""
+"""Time between polls; a change that is still propagating makes one poll differ, but not all."""
 
 
 async def restore_store(world: SoakWorld) -> None:
-    """Losses of some seconds, some with a second one at once, until cancelled."""
+    """Restore the store from snapshots, sometimes twice in a row, until cancelled."""
     while True:
         snapshot = _draw_snapshot(world)
         await asyncio.sleep(world.random.uniform(*SNAPSHOT_AGE_SECONDS))
@@ -45,7 +47,10 @@
 
 
 def _draw_snapshot(world: SoakWorld) -> StoreSnapshot:
-    """As the store is, or as if gateways had entered, and the lease been made, a moment later."""
+    """Take a snapshot of the store, sometimes without the lease or some gateways' entries.
+
+    Such a snapshot looks as if these objects had been written after it was taken.
+    """
     snapshot = world.store.take_snapshot()
     if world.random.random() < 0.4:
         snapshot = snapshot.without(LEASE_KIND, list(snapshot.objects.get(LEASE_KIND, {})))
@@ -57,7 +62,7 @@
 
 
 async def _restore(world: SoakWorld, snapshot: StoreSnapshot) -> None:
-    """The operator and the servers write again a moment after the store is there."""
+    """Restore the store after an outage; lost objects are rewritten a short time later."""
     store = world.store
     resets_connections = world.random.random() < 0.7
     outage_seconds = world.random.uniform(*OUTAGE_SECONDS)
@@ -75,14 +80,14 @@
         try:
             await asyncio.sleep(rewrite_delay_seconds)
         finally:
-            # Whoever ends the series leaves a store that lacks nothing.
+            # Lost objects are rewritten even when this task is cancelled.
             store.rewrite_lost()
             world.is_restoring = False
             world.on_store_restored()
 
 
 async def drain_servers(world: SoakWorld) -> None:
-    """Servers are replaced, and say so in their entries, or their entries just go."""
+    """Replace servers, whose entries are first marked as draining or just removed."""
     while True:
         name = world.random.choice(list(world.servers))
         await world.add_server(world.servers[name].service)
@@ -94,7 +99,7 @@
 
 
 async def revoke_keys(world: SoakWorld) -> None:
-    """A key after the other is taken away, and a new one given to its tenant."""
+    """Revoke one API key after another and issue a new one to the same tenant."""
     number = 0
     while True:
         await asyncio.sleep(world.random.uniform(1.0, 2.5))
@@ -104,7 +109,7 @@
 
 
 async def check_gateways_match_store(world: SoakWorld) -> None:
-    """Each gateway that runs undisturbed is listed, and knows what the store holds."""
+    """Check that each undisturbed gateway is listed in the store and knows the store's contents."""
     await asyncio.gather(*(_check(world, gateway) for gateway in world.gateways))
 
 
@@ -121,7 +126,7 @@
     since = began_at - SYNCED_SECONDS
     now = time.monotonic()
     if gateway.is_late(now):
-        world.ledger.violate("start", f"{gateway.name} doesn't listen yet")
+        world.ledger.violate("start", f"{gateway.name} is not listening yet")
     if world.ended or world.was_store_disturbed(since, now):
         return
     if not gateway.has_run_undisturbed(since, now):
@@ -147,20 +152,20 @@
 
 
 def start_restores(world: SoakWorld) -> list[asyncio.Task[None]]:
-    """Returns of the store, and what must not be missed after them."""
+    """Start store restores together with drains, key revocations and the checks after restores."""
     series = (restore_store, drain_servers, revoke_keys, check_each_restore, watch_store)
     return [asyncio.create_task(work(world)) for work in series]
 
 
 async def check_after_restores(world: SoakWorld) -> None:
-    """When all is over, everybody knows the store, and the servers have the newest weights."""
+    """Check at the end that gateways match the store and servers have the newest weights."""
     await asyncio.sleep(SYNCED_SECONDS)
     await check_gateways_match_store(world)
     ends_at = time.monotonic() + WEIGHT_UPDATE_SECONDS
     while (old := _with_old_weights(world)) and time.monotonic() < ends_at:
         await asyncio.sleep(POLL_SECONDS)
     if old:
-        world.ledger.violate("weights", f"{old} have not version {world.version}")
+        world.ledger.violate("weights", f"{old} do not have weight version {world.version}")
 
 
 def _with_old_weights(world: SoakWorld) -> list[str]:
@@ -172,7 +177,7 @@
 
 
 def store_figures(world: SoakWorld) -> dict[str, int]:
-    """What the store went through, and how much of it could be seen."""
+    """Counts of restores, matching gateways, drained servers and revoked keys."""
     if not world.restores:
         return {}
     return {
@@ -184,7 +189,7 @@
 
 
 async def watch_store(world: SoakWorld) -> None:
-    """Other faults take the store away as well: notes when it last was, until cancelled."""
+    """Record when faults other than restores make the store unavailable or slow, until cancelled."""
     while True:
         delays = [gateway.store.delay_seconds for gateway in world.gateways]
         resets_connections = world.store.reset_at != world.own_reset_at
@@ -196,7 +201,7 @@
 
 
 async def check_each_restore(world: SoakWorld) -> None:
-    """Some time after each return, gateways are compared with the store, until cancelled."""
+    """Compare gateways with the store some time after each restore, until cancelled."""
     while True:
         await world.store_restored.wait()
         world.store_restored.clear()
