--- a/tests/soak/answers.py
+++ b/tests/soak/answers.py
@@ -78,8 +78,8 @@
     Attributes:
         request_id: Value of the Request-Id header.
         kind: Name of the route.
-        was_sent_ahead: Sent at once behind another one.
-        is_behind_cut: The answer of that one broke off.
+        is_pipelined: Sent directly behind another request on the same connection.
+        follows_aborted_answer: The answer to that other request was aborted.
         gateway: Name of the gateway.
         position: Number of requests sent earlier on the same connection.
         sent_at: Monotonic seconds when the kernel had its last byte, 0 before that.
@@ -104,7 +104,7 @@
 
     Attributes:
         runs: How many times servers started to execute it.
-        servers_are_sound: No server aborts or drops answers because of injected faults.
+        servers_are_healthy: No server aborts or drops answers because of injected faults.
         gateway_disturbed: Its gateway was killed or suspended between its send and its result.
     """
 
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -47,10 +47,10 @@
         prompt: Prompt header fields of requests to engines.
         deadline_seconds: Deadline that it sends with each request.
         pause_seconds: Minimum and maximum time between two requests.
-        last_share: Share of its answers after which it opens a new connection.
-        leave_share: Share of its requests that it leaves unanswered.
-        ahead_share: Share of its requests behind which it sends another one at once.
-        first_seconds: Most time between opening a connection and the first request on it.
+        close_share: Share of answers after which it closes its connection and opens a new one.
+        disconnect_share: Share of requests during which it disconnects before the answer.
+        pipelined_share: Share of requests directly behind which it pipelines another one.
+        first_request_delay_seconds: Maximum time between opening a connection and its first request.
     """
 
     prompt: dict[str, str]
@@ -126,7 +126,9 @@
         except OSError:
             self._finish_unanswered(requests, RequestResult.NO_ANSWER)
         except InvalidAnswerError as error:
-            self._world.ledger.violate("no-answer", f"{requests[0].request_id} received invalid bytes {error}")
+            self._world.ledger.violate(
+                "no-answer", f"{requests[0].request_id} received invalid bytes {error}"
+            )
             self._finish_unanswered(requests, RequestResult.NO_ANSWER)
 
     def _new_request(self, is_pipelined: bool = False) -> ClientRequest:
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What servers really did, and the promises checked against it."""
+"""Records what servers actually did, and checks the system's guarantees against it."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 from soak.signal_ledger import Arrival, BackOff, SignalLedger, WasDisturbed
 
 MAX_CRASHES = 5
-"""Servers that may end under one request between two losses of all gateways: three, and two by
-gateways that were frozen or cut off and don't know it yet. Without containment a soak of twenty
-seconds ends twenty and more. What is not contained yet is forgotten with all gateways."""
+"""Maximum number of servers that one request may crash while at least one gateway keeps running:
+three before containment, and two more through gateways that were suspended or partitioned and do
+not know of the containment yet. Without containment, a soak of twenty seconds crashes twenty or
+more. When all gateways are killed, evidence of requests that are not contained yet is lost."""
 MAX_OVERLAP_SECONDS = 0.4
-"""A stream's first server may still work on it so long after another one began to go on with it."""
+"""Maximum time for which a stream's previous server may still run after another server resumed it."""
 REVOKE_SLACK_SECONDS = 0.1
-"""Between a client's send and the ledger's clock, on one machine."""
+"""Allowance for the time between a client's send and the ledger's timestamp, on one machine."""
 
 
 @dataclass(frozen=True)
 class Run:
-    """One run of a request at a server."""
+    """One execution of a request at a server."""
 
     server: str
     at: float
@@ -37,7 +38,7 @@
 
 @dataclass
 class StreamExecution:
-    """What one server did for a stream, in seconds of the ledger's clock."""
+    """Interval in which one server executed a stream, in seconds of the ledger's clock."""
 
     server: str
     began_at: float
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class ReceivedOrder:
-    """An order as a server got it."""
+    """A weight order as a server received it."""
 
     server: str
     at: float
@@ -66,12 +67,12 @@
 
 
 def incarnation(server: str, born: int) -> str:
-    """One start of a server."""
+    """Identity of one start of a server."""
     return f"{server}@{born}"
 
 
 def server_name(incarnation_of_server: str) -> str:
-    """The server's name in one of its starts."""
+    """The server's name in the identity of an incarnation."""
     return incarnation_of_server.partition("@")[0]
 
 
@@ -81,12 +82,12 @@
 
 
 def stream_event(request_id: str, number: int) -> bytes:
-    """One event of a request's stream; the same at every server."""
+    """One event of a request's stream; identical at every server."""
     return b"id: %d\ndata: %b:%d\n\n" % (number, request_id.encode(), number)
 
 
 def complete_stream(request_id: str) -> bytes:
-    """The body of a request's stream."""
+    """The complete body of a request's stream."""
     return b"".join(
         stream_event(request_id, n) for n in range(1, stream_event_count(request_id) + 1)
     )
@@ -111,60 +112,60 @@
     crashes_since_all_killed: dict[tuple[str, bytes], int] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     pauses: int = 0
-    """Streams that stood still midway at their server."""
+    """Streams that their server paused midway."""
     executions: dict[str, list[StreamExecution]] = field(default_factory=dict)
     limits: LimitLedger = field(default_factory=LimitLedger)
     signals: SignalLedger = field(default_factory=SignalLedger)
     draining_answers: dict[str, str] = field(default_factory=dict)
-    """Requests whose latest answer said that its server leaves, with that server."""
+    """Requests whose latest answer announced that its server is draining, with that server."""
     now: Callable[[], float] = time.monotonic
-    """Clock of the servers' work: of the process that they all run in."""
+    """Clock for stream executions, of the process in which all servers run."""
 
     def violate(self, promise: str, detail: str) -> None:
-        """A promise was broken."""
+        """Record a violated guarantee."""
         self.violations.append(f"{promise}: {detail}")
 
     # -- limits ---------------------------------------------------------------------------------
 
     def on_arrival(self, server: str, born: int, request_id: str) -> None:
-        """A request reaches a start of a server, whatever becomes of it."""
+        """A request reaches an incarnation of a server, whether or not it is executed."""
         now = time.monotonic()
         self.limits.on_arrival(server, now)
         sent = self.sent.get(request_id)
         if sent is not None:
             self.signals.on_arrival(Arrival(incarnation(server, born), sent.gateway, now, sent.at))
 
-    # -- what servers say -----------------------------------------------------------------------
+    # -- server signals -------------------------------------------------------------------------
 
     def on_back_off(self, server: str, request_id: str, seconds: float) -> None:
-        """A server turns a request away, and asks for rest."""
+        """A server rejects a request and asks for back-off."""
         sent = self.sent.get(request_id)
         if sent is not None:
             self.signals.on_back_off(BackOff(server, sent.gateway, time.monotonic(), seconds))
 
     def on_draining_answer(self, server: str, request_id: str) -> None:
-        """A server writes an answer that says that it leaves."""
+        """A server writes an answer that announces that it is draining."""
         self.signals.on_draining_answer(server, time.monotonic())
         self.draining_answers[request_id] = server
 
     def check_signals(self, drain_seconds: float, was_disturbed: WasDisturbed) -> None:
-        """Servers that leave or rest got no more than they may.
+        """Check that draining and backing-off servers received no more requests than allowed.
 
         Args:
-            drain_seconds: A gateway that passed on that a server leaves may use it so long.
-            was_disturbed: Excuses a gateway.
+            drain_seconds: Time for which a gateway may use a server after relaying that it is draining.
+            was_disturbed: Tells whether a gateway is excused.
         """
         for late in self.signals.late_sends(drain_seconds, was_disturbed):
             self.violate("leaving", f"{late}")
         for back_off, count in self.signals.violated_back_offs(was_disturbed):
-            self.violate("rest", f"{count} requests in {back_off}")
+            self.violate("rest", f"{count} requests during {back_off}")
 
     def on_limit(self, server: str, per_second: float | None) -> None:
-        """A server names a limit from now on, or none any more."""
+        """A server starts to announce a limit, or stops announcing one."""
         self.limits.on_limit(server, per_second, time.monotonic())
 
     def check_limits(self) -> None:
-        """No server got more than it bears."""
+        """Check that no server received more requests than its limit allows."""
         for over in self.limits.over():
             self.violate("limit", over)
 
@@ -172,7 +173,7 @@
 
     @contextmanager
     def running(self, request_id: str, server: str) -> Iterator[None]:
-        """A server works on a stream meanwhile."""
+        """Record that a server executes a stream while the context is active."""
         execution = StreamExecution(server, self.now())
         self.executions.setdefault(request_id, []).append(execution)
         try:
@@ -181,7 +182,7 @@
             execution.ended_at = self.now()
 
     def check_overlaps(self) -> None:
-        """No stream goes on at a server long while the one before still works on it."""
+        """Check that no stream is executed by two servers at once for long."""
         for request_id, executions in self.executions.items():
             for before, after in itertools.pairwise(executions):
                 overlap = min(before.ended_at, after.ended_at) - after.began_at
@@ -189,12 +190,12 @@
                     self.violate("one-run", f"{request_id} ran twice for {overlap:.2f} s")
 
     def on_run(self, request_id: str, run: Run) -> None:
-        """A server begins to work on a request."""
+        """A server starts to execute a request."""
         runs = self.runs.setdefault(request_id, [])
         runs.append(run)
         sent = self.sent.get(request_id)
         if sent is None:
-            self.violate("unasked", f"{request_id} was sent by no client")
+            self.violate("unasked", f"{request_id} was not sent by any client")
             return
         if sent.kind in ("unsafe", "single") and len(runs) > 1:
             self.violate("at-most-once", f"{request_id} ran {len(runs)} times")
@@ -209,31 +210,33 @@
             self.violate("stale", f"{request_id} on version {run.version} has salt {run.salt}")
 
     def on_body(self, request_id: str, body: bytes) -> None:
-        """A server wrote this body as the whole answer of a request."""
+        """A server wrote this body as the complete answer to a request."""
         self.bodies.setdefault(request_id, set()).add(body)
 
     def on_crash(self, tenant: str, body: bytes) -> None:
-        """A server's process ends under a tenant's request with this body."""
+        """A server's process crashes on a tenant's request with this body."""
         self.crashes[tenant, body] = self.crashes.get((tenant, body), 0) + 1
         crashes = self.crashes_since_all_killed.get((tenant, body), 0) + 1
         self.crashes_since_all_killed[tenant, body] = crashes
         if crashes == MAX_CRASHES + 1:
-            self.violate("contained", f"{crashes} servers ended under {body!r} of {tenant}")
+            self.violate("contained", f"{crashes} servers crashed on {body!r} of {tenant}")
 
     def on_all_gateways_killed(self) -> None:
-        """What gateways had seen of requests that aren't contained yet is forgotten."""
+        """All gateways lost their evidence of requests that are not contained yet."""
         self.crashes_since_all_killed.clear()
 
     def on_order(self, order: ReceivedOrder) -> None:
-        """A server got an order that its fence let through."""
+        """A server accepted an order after checking its fencing token."""
         for other in self.orders:
             if other.fencing_token == order.fencing_token and other.holder != order.holder:
-                self.violate("one-holder", f"{other.holder} and {order.holder} share a token")
+                self.violate(
+                    "one-holder", f"{other.holder} and {order.holder} used the same fencing token"
+                )
         lately = [item for item in self.orders if order.at - item.at < self.lease_seconds]
         holders = [item.holder for item in lately] + [order.holder]
         changes = sum(a != b for a, b in itertools.pairwise(holders))
         if changes > 1:
-            self.violate("one-holder", f"turns within the lease: {holders}")
+            self.violate("one-holder", f"holders alternated within the lease: {holders}")
         self.orders.append(order)
 
     # -- clients --------------------------------------------------------------------------------
@@ -243,7 +246,7 @@
         self.sent[request.request_id] = request
 
     def on_answer(self, request_id: str, status: int, body: bytes, whole: bool) -> None:
-        """A client got an answer, or the beginning of one."""
+        """A client received an answer, or the beginning of one."""
         kind = self.sent[request_id].kind
         outcome = str(status) if whole else "cut"
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
@@ -263,7 +266,7 @@
             self.violate("whole-answer", f"{request_id} got {body[:60]!r}")
 
     def check_late(self) -> None:
-        """Looks back when all is over: a refusal stays true, also for what was on its way."""
+        """Check at the end that refused requests were not executed, even after the refusal."""
         for request_id, status in self.refusals.items():
             if self.runs.get(request_id) and self.sent[request_id].kind in ("unsafe", "single"):
                 self.violate("refused-is-true", f"{request_id} got {status} and ran later")
--- a/tests/soak/limit_ledger.py
+++ b/tests/soak/limit_ledger.py
@@ -1,4 +1,4 @@
-"""What servers that limit their requests got, and how much of it they bear."""
+"""Requests that rate-limited servers received, compared with their limits."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from milletcourse.experiments.sliding_window import most_in_window
 
 PROPAGATION_SECONDS = 3.0
-"""Gateways that are in touch have heard of a limit by then."""
+"""Time within which connected gateways learn of a limit."""
 
 
 @dataclass
 class LimitPeriod:
-    """A time in which a server named one limit."""
+    """Period in which a server announced one limit."""
 
     per_second: float
     began_at: float
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True)
 class LimitUse:
-    """How a stretch was kept, from the moment at which it is known.
+    """Requests to a server in a period, from the time at which gateways know the limit.
 
     Attributes:
-        most: Most requests in a window.
-        borne: What the server bears in one.
-        used: Requests in all, as a share of what it takes.
+        peak: Most requests in a window.
+        capacity: Requests that the server tolerates in one window.
+        used: Total requests as a share of the limit.
     """
 
     peak: int
@@ -38,7 +38,7 @@
 
 @dataclass
 class LimitLedger:
-    """Arrivals at all servers, and the limits that they named."""
+    """Arrivals at all servers, and the limits that they announced."""
 
     arrivals: dict[str, list[float]] = field(default_factory=dict)
     periods: dict[str, list[LimitPeriod]] = field(default_factory=dict)
@@ -48,7 +48,7 @@
         self.arrivals.setdefault(server, []).append(at)
 
     def on_limit(self, server: str, per_second: float | None, at: float) -> None:
-        """A server names a limit from now on, or none any more."""
+        """A server starts to announce a limit, or stops announcing one."""
         known = self.periods.setdefault(server, [])
         if known:
             known[-1].ended_at = min(known[-1].ended_at, at)
@@ -56,7 +56,7 @@
             known.append(LimitPeriod(per_second, at))
 
     def uses(self, now: float) -> dict[str, list[LimitUse]]:
-        """Every stretch that lasted for a window and more."""
+        """Usage in every period that lasted for at least one window."""
         found: dict[str, list[LimitUse]] = {}
         for server, periods in self.periods.items():
             for period in periods:
@@ -74,7 +74,7 @@
         return LimitUse(peak, capacity, len(times) / (per_second * (last - first)))
 
     def figures(self, now: float) -> dict[str, float]:
-        """How limits were kept: stretches, most against what is borne, share used."""
+        """Summary: number of periods, highest share of the capacity in a window, share of limits used."""
         uses = [use for kept in self.uses(now).values() for use in kept]
         if not uses:
             return {}
@@ -85,9 +85,9 @@
         }
 
     def over(self) -> list[str]:
-        """Servers that got more than they bear."""
+        """Servers that received more requests than they tolerate."""
         return [
-            f"{server} got {use.peak} in {WINDOW_SECONDS:g} s and bears {use.capacity:g}"
+            f"{server} received {use.peak} in {WINDOW_SECONDS:g} s and tolerates {use.capacity:g}"
             for server, uses in self.uses(math.inf).items()
             for use in uses
             if use.peak > use.capacity
--- a/tests/soak/limits.py
+++ b/tests/soak/limits.py
@@ -1,4 +1,4 @@
-"""Servers that limit their requests for a while."""
+"""Servers that announce rate limits for some time."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 LIMITED_SECONDS = (8.0, 14.0)
 UNLIMITED_SECONDS = (0.5, 2.0)
 ALL_LIMITED_CHANCE = 0.3
-"""Chance that all servers limit their requests at once."""
+"""Chance that all servers announce limits at the same time."""
 
 
 async def limit_servers(world: SoakWorld, share: float, limit: float) -> None:
-    """Some servers limit their requests, others after them; at times all do, until cancelled."""
+    """Let random groups of servers, sometimes all, announce limits in turn, until cancelled."""
     while True:
         servers = list(world.servers.values())
         count = max(round(share * len(servers)), 1)
--- a/tests/soak/links.py
+++ b/tests/soak/links.py
@@ -1,4 +1,4 @@
-"""Links of machines that carry so much a second, shared by all that passes them."""
+"""Bandwidth-limited machine links, shared by all traffic that passes them."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class Link:
-    """A link whose bytes go out one after the other, in both directions together.
+    """A link that sends bytes one after another; both directions share its bandwidth.
 
     Attributes:
-        carried_bytes: What has passed.
+        carried_bytes: Total bytes sent in both directions.
     """
 
     def __init__(self, megabits: float) -> None:
@@ -19,7 +19,7 @@
         self.carried_bytes = 0
 
     async def carry(self, size: int) -> None:
-        """Wait until so many bytes have gone out behind those that came before."""
+        """Wait until `size` bytes have been sent after all earlier ones."""
         now = time.monotonic()
         self._free_at = max(self._free_at, now) + size / self._bytes_per_second
         self.carried_bytes += size
--- a/tests/soak/mixed_builds.py
+++ b/tests/soak/mixed_builds.py
@@ -1,13 +1,13 @@
-"""Processes of two builds in one fleet, and one build on what the other has written.
+"""Runs two builds in one fleet, and each build on data that the other one has written.
 
 `python3 tests/soak/mixed_builds.py OLD NEW [--seeds FIRST:LAST] [--gateways N] [--seconds N]`
 
 OLD and NEW are checkouts. All gateways start with the old build, which writes the stored entries
-and the lease; then each is stopped or killed in turn under load and replaced by the other build.
-Routers of both builds share a cluster: a stream that one began is resumed at the other one, an
-operation's outcome is replayed, and each applies a configuration that the other has accepted.
-Prints one JSON line for each seed; the exit code is 1 when something was lost, counted twice or
-could not be decoded.
+and the lease; then each gateway in turn is stopped or killed under load and replaced by the other
+build. Routers of both builds form a cluster: a stream that one router started is resumed at the
+other one, an operation's outcome is replayed, and each router applies a configuration that the
+other one accepted. Prints one JSON line per seed; the exit code is 1 if a request was lost, an
+operation ran twice, or a message or stored object could not be decoded.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 READY_SECONDS = 30.0
 REPLACED_PAUSE_SECONDS = (0.3, 1.0)
 KILLED_SHARE = 0.5
-"""Share of the replaced gateways that are killed; the others get SIGTERM."""
+"""Share of the replaced gateways that receive SIGKILL; the others receive SIGTERM."""
 LIMITED_SHARE, LIMIT_PER_SECOND = 0.3, 2.0
 BACKING_OFF_SHARE = 0.2
 DRAINING_SHARE = 0.2
@@ -66,14 +66,14 @@
 )
 """Log events of a gateway that could not decode a message, a stored object or its settings."""
 VOTE_DELAY_SECONDS = 2.0
-"""A router does not vote on operations right after its start."""
+"""Time after its start during which a router does not vote on operations."""
 STREAM_TOKENS = 400
 
 
 async def mixed_gateways(
     seed: int, folder: Path, sources: list[str], gateways: int, seconds: float
 ) -> Report:
-    """One fleet of gateways of both builds; returns its report."""
+    """Run one fleet of gateways of both builds and return its report."""
     world = SoakWorld(seed, folder, gateways, (str(LAUNCHER), *sources))
     background: list[asyncio.Task[None]] = []
     try:
@@ -115,7 +115,7 @@
 
 
 async def replace_gateways(world: SoakWorld, balancer: LoadBalancer) -> None:
-    """Stop or kill one gateway after the other, until cancelled; each starts as the other build."""
+    """Stop or kill the gateways in turn, until cancelled; each restarts with the other build."""
     while True:
         for gateway in world.gateways:
             starts = gateway.starts
@@ -164,7 +164,7 @@
 
 @contextmanager
 def build_of(source: str) -> Iterator[None]:
-    """Processes that are started within this context run the build of a `src` folder."""
+    """Make processes that are started in this context run the build of a `src` folder."""
     before = os.environ.get("PYTHONPATH")
     os.environ["PYTHONPATH"] = source
     try:
@@ -177,20 +177,20 @@
 
 
 class MixedDeployment(LocalDeployment):
-    """Stand-ins of the new build, and routers of both."""
+    """Stand-ins of the new build, and routers of both builds."""
 
     def __init__(self, sources: list[str]) -> None:
         super().__init__(engine_options=("--prefill-tokens-per-second", "20000"))
         self._sources = sources
 
     def start_router(self, index: int) -> LocalProcess:
-        """Start a router: the first one of the first build, the next one of the other."""
+        """Start a router; even indexes run the first build, odd ones the second."""
         with build_of(self._sources[index % len(self._sources)]):
             return super().start_router(index)
 
 
 async def mixed_routers(sources: list[str]) -> Report:
-    """Routers of two builds, the first of `sources` first; returns a report."""
+    """Run routers of two builds, starting with the first of `sources`, and return a report."""
     deployment = MixedDeployment(sources)
     violations: list[str] = []
     try:
@@ -216,7 +216,7 @@
 
 
 async def _check_operations(deployment: LocalDeployment) -> list[str]:
-    """Each router replays what the other one ran; the application runs each operation once."""
+    """Check that each router replays the other one's operation, and that it runs only once."""
     found = []
     for first, second in (deployment.routers, deployment.routers[::-1]):
         key = mint_key(time.time(), random.Random())
@@ -235,7 +235,7 @@
 
 
 async def _check_configuration(deployment: LocalDeployment) -> list[str]:
-    """Each router accepts a change, and the other one brings it into force."""
+    """Check that each router applies a configuration change that the other one accepted."""
     found = []
     for number, router in enumerate(deployment.routers):
         path = f"/admin/v1/objects/Place/mixed-{number}"
@@ -250,7 +250,7 @@
 
 
 async def _check_resumed_stream(deployment: LocalDeployment) -> list[str]:
-    """A stream whose router is killed is resumed at the other one, with its resume token."""
+    """Check that a stream of a killed router is resumed at the other one with its resume token."""
     first, second = deployment.routers
     body = body_of(0, STREAM_TOKENS)
     result = StreamResult()
@@ -271,7 +271,7 @@
 async def _call(
     method: str, url: str, document: object = None, headers: dict[str, str] | None = None
 ) -> tuple[int, Any]:
-    """Status and decoded body; as the operator unless headers say otherwise."""
+    """Status and decoded body of a call, by default with the operator's credentials."""
     given = headers or {"Authorization": f"Bearer {OPERATOR_KEY}"}
     async with (
         aiohttp.ClientSession() as session,
@@ -281,14 +281,18 @@
 
 
 def main() -> int:
-    """Run the gateways with all seeds, then the routers in both orders."""
+    """Run the gateways with all seeds, then the routers in both build orders."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("old", type=Path, help="checkout whose build comes first")
-    parser.add_argument("new", type=Path, help="checkout whose build takes over")
-    parser.add_argument("--seeds", default="", help="FIRST:LAST; a fresh one without it")
-    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
-    parser.add_argument("--seconds", type=float, default=30.0, help="time of replacements a seed")
-    parser.add_argument("--keep", type=Path, help="folder that keeps the gateways' logs")
+    parser.add_argument("old", type=Path, help="checkout of the build that starts first")
+    parser.add_argument("new", type=Path, help="checkout of the build that replaces it")
+    parser.add_argument("--seeds", default="", help="FIRST:LAST; default: one new seed")
+    parser.add_argument(
+        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateway processes"
+    )
+    parser.add_argument(
+        "--seconds", type=float, default=30.0, help="duration of replacements per seed"
+    )
+    parser.add_argument("--keep", type=Path, help="folder in which to keep the gateways' logs")
     arguments = parser.parse_args()
     sources = [str((arguments.old / "src").resolve()), str((arguments.new / "src").resolve())]
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -1,6 +1,6 @@
-"""Gateways with a known defect, run as real processes to see that a soak finds it.
+"""Gateways with a known defect, run as real processes to verify that a soak detects it.
 
-`python3 tests/soak/mutants.py NAME` runs one in the place of `python3 -m milletcourse.platform`.
+`python3 tests/soak/mutants.py NAME` runs one instead of `python3 -m milletcourse.platform`.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def cut_at_the_signal() -> None:
-    """A stop ends everything at once."""
+    """A stop closes everything immediately."""
 
     async def stop(node: GatewayNode) -> None:
         node.close()
@@ -51,7 +51,7 @@
 
 
 def drop_what_was_sent_ahead() -> None:
-    """The first answer in a stop is the last one, whatever has been read behind it."""
+    """During a stop, a connection closes after its first answer and drops pipelined requests."""
     original = ClientConnection._is_last_answer
 
     def is_last_answer(connection: ClientConnection) -> bool:
@@ -61,7 +61,7 @@
 
 
 def close_busy_connections() -> None:
-    """A stop closes connections whatever is on them."""
+    """A stop closes connections even while requests run on them."""
 
     def may_close(stop: PlannedStop, _: ConnectionState, now: float) -> bool:
         return stop.phase(now) is not StopPhase.DRAINING
@@ -70,7 +70,7 @@
 
 
 def lose_answers() -> None:
-    """Some answers of servers end their client's connection, on any day."""
+    """Every fiftieth server answer aborts its client's connection."""
     original = AnswerRelay.pass_whole
     passed = 0
 
@@ -86,7 +86,7 @@
 
 
 def end_the_running_answer_first() -> None:
-    """A silent server is left before another one has the stream."""
+    """A silent server's attempt is aborted before another server has resumed the stream."""
     original = StreamHandover.on_silent
 
     def on_silent(handover: StreamHandover) -> None:
@@ -98,13 +98,15 @@
 
 
 def take_a_pause_for_silence() -> None:
-    """Time in which the process stood still counts, and nothing is read before the judgement."""
+    """Time in which the process was stopped counts as server silence, and pending input is not read
+    before the decision.
+    """
     AttendedClock.seconds = lambda clock: clock._now()  # type: ignore[method-assign]
     attended_timer.SECOND_LOOK_SECONDS = 0.0
 
 
 def read_no_limit() -> None:
-    """Servers are chosen as if they had named no limit."""
+    """Server limits are ignored in server selection."""
 
     async def take(permits: ServerPermits, instance: Instance, _: int) -> Permit:
         return permits.without_limit(instance)
@@ -114,36 +116,36 @@
 
 
 def keep_limits_alone() -> None:
-    """Each gateway keeps to the limits of servers, and none asks another one."""
+    """Each gateway applies server limits on its own, without requesting permits from a quota owner."""
 
-    def lender(homes: QuotaOwnerSelector, *_: object) -> SelectedOwner:
-        return SelectedOwner(homes._own_name, OwnerRole.HOME)
+    def select(selector: QuotaOwnerSelector, *_: object) -> SelectedOwner:
+        return SelectedOwner(selector._own_name, OwnerRole.HOME)
 
-    QuotaOwnerSelector.select = lender  # type: ignore[method-assign]
+    QuotaOwnerSelector.select = select  # type: ignore[method-assign]
 
 
 def ask_resting_servers() -> None:
-    """A rest is heard, and set aside."""
+    """Back-off requests of servers are received and ignored."""
     ServerSignals.on_back_off = lambda *_: False  # type: ignore[method-assign]
 
 
 def use_leaving_servers() -> None:
-    """That a server leaves is read in its entry alone."""
+    """Draining announced in answers is ignored; only the server's store entry counts."""
     ServerSignals.on_leaving = lambda *_, **__: False  # type: ignore[method-assign]
 
 
 def know_no_era() -> None:
-    """A revision is taken for a place in the store's history."""
+    """A revision without its era is used as a position in the store's history."""
     object_store._read_era = lambda reply: 0
 
 
 def leave_entries_lost() -> None:
-    """What the store lost of a gateway isn't written again."""
+    """A gateway's entry that the store lost in a restore is not rewritten."""
     Registration._compare_with_list = lambda _: None  # type: ignore[method-assign]
 
 
 def serve_by_an_old_configuration() -> None:
-    """Announced contents come late, and nothing is refused meanwhile."""
+    """Announced configuration contents arrive late, and requests are not refused in the meantime."""
     original = FeedClient._fetch_one
 
     async def fetch_one(client: FeedClient, *question: object) -> object:
@@ -156,7 +158,7 @@
 
 
 def keep_old_routes() -> None:
-    """A configuration comes into force with the routes of the first one."""
+    """Each configuration comes into force with the routes of the first one."""
     original = ConfigurationDecoder.decode
     first: list[ExchangeConfiguration] = []
 
@@ -169,11 +171,13 @@
 
 
 def copy_whole_contents() -> None:
-    """Followers are told each content whole."""
+    """Followers receive each content in full instead of as a patch."""
     original = KindMirror.since
 
-    def since(mirror: KindMirror, place: StorePosition | None, _: bool = False) -> FeedKind | None:
-        return original(mirror, place)
+    def since(
+        mirror: KindMirror, position: StorePosition | None, _: bool = False
+    ) -> FeedKind | None:
+        return original(mirror, position)
 
     KindMirror.since = since  # type: ignore[method-assign]
     feed_messages.COMPRESSED_FROM_BYTES = MAX_REPLY_BYTES
@@ -185,34 +189,34 @@
     "close-busy-connections": close_busy_connections,
     "lose-answers": lose_answers,
 }
-"""Defects that planned work finds."""
+"""Defects that planned maintenance reveals."""
 SILENCE_MUTANTS: dict[str, Callable[[], None]] = {
     "end-the-running-answer-first": end_the_running_answer_first,
     "take-a-pause-for-silence": take_a_pause_for_silence,
 }
-"""Defects that it takes silent and full servers, or held gateways, to find."""
+"""Defects that only silent and full servers, or suspended gateways, reveal."""
 LIMIT_MUTANTS: dict[str, Callable[[], None]] = {
     "read-no-limit": read_no_limit,
     "keep-limits-alone": keep_limits_alone,
 }
-"""Defects that it takes servers that limit their requests to find."""
+"""Defects that only servers with rate limits reveal."""
 SIGNAL_MUTANTS: dict[str, Callable[[], None]] = {
     "ask-resting-servers": ask_resting_servers,
     "use-leaving-servers": use_leaving_servers,
 }
-"""Defects that it takes servers that rest and leave to find."""
+"""Defects that only backing-off and draining servers reveal."""
 COPY_MUTANTS: dict[str, Callable[[], None]] = {
     "know-no-era": know_no_era,
     "leave-entries-lost": leave_entries_lost,
 }
-"""Defects that it takes a store that comes back from older copies to find; the second one shows
-only when a copy lacks entries."""
+"""Defects that only restores of the store from older snapshots reveal; the second one shows only if
+a snapshot lacks gateway entries."""
 LARGE_MUTANTS: dict[str, Callable[[], None]] = {
     "serve-by-an-old-configuration": serve_by_an_old_configuration,
     "keep-old-routes": keep_old_routes,
     "copy-whole-contents": copy_whole_contents,
 }
-"""Defects that it takes configurations of many routes on narrow links to find."""
+"""Defects that only large configurations over links of low bandwidth reveal."""
 ALL_MUTANTS = (
     MUTANTS | SILENCE_MUTANTS | LIMIT_MUTANTS | SIGNAL_MUTANTS | COPY_MUTANTS | LARGE_MUTANTS
 )
--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -1,12 +1,11 @@
-"""Planned work on real gateway processes, before sound servers: no request may be lost.
+"""Planned maintenance on real gateway processes with healthy servers: no request may be lost.
 
 `python3 tests/soak/planned.py [--seeds FIRST:LAST] [--gateways N] [--seconds N] [--clients N]`
 
-Gateways get SIGTERM in turn and start again, some get SIGHUP, the configuration changes and new
-weights are named, all at once and under load. On demand streams pause at their servers, servers
-are full, and gateways are held for a while and judged by what they do after it. Prints one JSON
-line for each seed; the exit code is 1 when a request that was sent whole ended without a complete
-answer.
+Gateways receive SIGTERM in turn and restart, some receive SIGHUP, the configuration changes and new
+weight versions are published, all concurrently and under load. Options make streams pause at their
+servers, servers reject requests as full, and gateways be suspended for a while. Prints one JSON line
+per seed; the exit code is 1 if a request that was sent completely ended without a complete answer.
 """
 
 from __future__ import annotations
@@ -53,21 +52,22 @@
     close_share=0.05,
     pipelined_share=0.1,
 )
-"""Keeps its connection long, and sends ahead on it at times."""
+"""Keeps its connection open for long and sometimes pipelines requests on it."""
 CONNECTION_PER_REQUEST = replace(
     KEEP_ALIVE, close_share=1.0, pipelined_share=0.0, first_request_delay_seconds=0.2
 )
-"""Opens a connection for each request, and sends it a moment later."""
+"""Opens a connection for each request, which it sends after a short delay."""
 PROFILES = (KEEP_ALIVE, CONNECTION_PER_REQUEST)
-"""Taken in turn by the clients."""
+"""Assigned to the clients in turn."""
 DEFAULT_CLIENTS = 40
 READY_SECONDS = 30.0
 QUIET_SECONDS = 1.0
 SUSPEND_INTERVAL_SECONDS = 1.0
 MAX_OWN_STALL_SECONDS = 0.3
-"""With less standing still of this process in all, no server in it was silent for a second."""
+"""If this process's event loop stalled for less than this in total, none of the servers that run in
+it was silent for a second."""
 COUNTED_EVENTS = ("left", "instance-ejected", "instance-suspected", "stream-cut")
-"""What gateways did to servers and streams, counted from their lines."""
+"""Gateway actions against servers and streams, counted from log lines."""
 PERCENTILES = {"p50": 0.5, "p99": 0.99}
 MUTANTS_FILE = Path(__file__).parent / "mutants.py"
 
@@ -75,7 +75,7 @@
 async def restart_gateways_in_turn(
     world: SoakWorld, balancer: LoadBalancer, at_a_time: int
 ) -> None:
-    """SIGTERM to gateways in turn; the next ones when these are back in the entry."""
+    """Send SIGTERM to gateways in turn, each group after the previous one is back in rotation."""
     while True:
         for first in range(0, len(world.gateways), at_a_time):
             group = world.gateways[first : first + at_a_time]
@@ -91,7 +91,7 @@
 
 
 async def make_planned_changes(world: SoakWorld) -> None:
-    """SIGHUP, configurations and weights at random moments."""
+    """Reload settings, change the configuration and publish weight versions at random times."""
     while True:
         await asyncio.sleep(world.random.uniform(0.3, 1.5))
         drawn = world.random.random()
@@ -106,14 +106,14 @@
 
 
 def has_started(gateway: GatewayProcess) -> bool:
-    """Whether a process serves by its own word: before that, SIGHUP ends it as any program."""
+    """Whether a process has logged that it started; before that, SIGHUP terminates it by default."""
     return gateway.is_running() and gateway.has_started()
 
 
 async def suspend_gateways(world: SoakWorld, seconds: float) -> None:
-    """Processes stand still by turns, as on a machine that others use.
+    """Suspend gateway processes in turn, as on an overloaded machine.
 
-    That excuses no end of a request, only what a process that stands can know of the store.
+    A suspension excuses no lost request; it only excuses outdated knowledge of the store.
     """
     while True:
         await asyncio.sleep(SUSPEND_INTERVAL_SECONDS)
@@ -134,31 +134,31 @@
 
 @dataclass(frozen=True)
 class PlannedRun:
-    """One run of planned work.
+    """Parameters of one run.
 
     Attributes:
-        gateways: Processes.
-        clients: Callers.
-        seconds: Time of planned work.
-        at_a_time: Gateways that stop together.
-        direct: Clients ask no entry.
+        gateways: Number of gateway processes.
+        clients: Number of clients.
+        seconds: Duration of the maintenance.
+        at_a_time: Number of gateways that stop together.
+        direct: Clients bypass the load balancer.
         mutant: Known defect of the gateways, empty for none.
-        pauses: Share of streams that pause once at their server for a second and more.
-        full: Share of sends that meet a full server.
-        hold_seconds: How long gateways are held, one after the other; 0 for never.
-        stops: Whether gateways stop and start again.
-        limited: Share of the servers that limit their requests, by turns.
-        limit: Requests a second that they take, more or less.
-        descriptors: Most descriptors of a gateway; 0 for the machine's usual bound.
-        resting: Share of the servers that ask for rest, by turns; 0 for none.
-        connections: Connections that each server takes from all gateways; 0 for no bound.
-        leaving: Share of the servers that leave and are replaced, by turns; 0 for none.
-        copies: Whether the store comes back from older copies, beside keys that are revoked and
-            entries that say that their servers leave.
-        link_megabits: Link of each gateway; 0 for no bound.
-        routes: Further routes of the configuration, from the beginning of the work on.
-        change_seconds: The configuration is written again after so long; 0 for the usual changes.
-        calm: No work but these changes.
+        pauses: Share of streams that their server pauses once for more than a second.
+        full: Share of sends that servers reject as full.
+        suspend_seconds: Duration of gateway suspensions, one at a time; 0 for none.
+        stops: Whether gateways stop and restart.
+        limited: Share of servers that announce rate limits, in turn.
+        limit: Average announced limit in requests per second.
+        descriptors: File descriptor limit of a gateway; 0 for the machine's default.
+        backing_off: Share of servers that ask for back-off, in turn; 0 for none.
+        connections: Connections that each server accepts from all gateways; 0 for no limit.
+        draining: Share of servers that drain and are replaced, in turn; 0 for none.
+        restores_store: Whether the store is restored from older snapshots, while keys are revoked
+            and servers' entries are marked as draining.
+        link_megabits: Bandwidth of each gateway's link; 0 for no limit.
+        routes: Additional routes of the configuration, from the start of the maintenance.
+        change_seconds: Interval of configuration writes; 0 for the usual changes.
+        changes_only: Nothing but these writes happens.
     """
 
     gateways: int = DEFAULT_GATEWAYS
@@ -185,17 +185,17 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether the configuration's way to the gateways is looked at."""
+        """Whether the propagation of the configuration is measured."""
         return bool(self.link_megabits or self.routes or self.change_seconds)
 
     @property
     def program(self) -> tuple[str, ...]:
-        """Arguments of Python that run a gateway."""
+        """Arguments of the Python interpreter that run a gateway."""
         return (str(MUTANTS_FILE), self.mutant) if self.mutant else GATEWAY_PROGRAM
 
 
 async def planned_soak(seed: int, folder: Path, run: PlannedRun) -> Report:
-    """One soak; returns its report."""
+    """Run one soak and return its report."""
     world = SoakWorld(seed, folder, run.gateways, run.program)
     background: list[asyncio.Task[None]] = []
     large: dict[str, Any] = {}
@@ -258,7 +258,7 @@
             task.cancel()
         await world.stop()
     if not run.suspend_seconds:
-        # A gateway that stands still can't end a run.
+        # A suspended gateway cannot abort a stream's previous attempt.
         world.ledger.check_overlaps()
     world.ledger.check_limits()
     world.check_signals()
@@ -267,7 +267,7 @@
 
 
 def new_client(number: int, world: SoakWorld, balancer: LoadBalancer, direct: bool) -> SoakClient:
-    """A client that goes through the entry, or to any gateway."""
+    """A client that uses the load balancer, or connects to a random gateway."""
     source = random.Random(number)
     profile = PROFILES[number % len(PROFILES)]
 
@@ -278,7 +278,7 @@
 
 
 def report_of(seed: int, world: SoakWorld, servers_are_silent: bool) -> Report:
-    """Counts by verdict, and each lost request."""
+    """Report with counts by verdict and the first lost requests."""
     servers_may_be_silent = servers_are_silent or world.clock.absent_seconds > MAX_OWN_STALL_SECONDS
     verdicts = world.verdicts()
     lost = [item for item in world.requests if verdicts[item.request_id] in LOST]
@@ -293,7 +293,9 @@
                 and not servers_may_be_silent
                 and line["instance"] not in world.terminated_servers
             ):
-                world.ledger.violate("blamed", f"a server that was never silent: {line}")
+                world.ledger.violate(
+                    "blamed", f"gateway ejected or aborted a server that was never silent: {line}"
+                )
             if line["event"] == "task-failed":
                 world.ledger.violate("defect", f"{gateway.name}: {line}")
     return {
@@ -328,7 +330,7 @@
 
 
 def answer_times(world: SoakWorld) -> dict[str, float]:
-    """Median and 99th percentile of the time until an answer was whole."""
+    """Median and 99th percentile of the time until an answer was complete."""
     times = sorted(
         item.ended_at - item.sent_at
         for item in world.requests
@@ -340,7 +342,7 @@
 
 
 def is_silence_verdict(line: dict[str, Any]) -> bool:
-    """Whether a gateway left, or judged, a server for its silence."""
+    """Whether a log line reports that a gateway ejected or abandoned a server as silent."""
     if line["event"] == "instance-ejected":
         return True
     return line["event"] == "attempt-failed" and line["left"] == "silent"
@@ -349,29 +351,47 @@
 def main() -> int:
     """Run all seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", default="", help="FIRST:LAST; a fresh one without it")
-    parser.add_argument("--seconds", type=float, default=30.0, help="time of planned work a seed")
-    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
+    parser.add_argument("--seeds", default="", help="FIRST:LAST; default: one new seed")
+    parser.add_argument(
+        "--seconds", type=float, default=30.0, help="duration of maintenance per seed"
+    )
+    parser.add_argument(
+        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateway processes"
+    )
     parser.add_argument("--clients", type=int, default=DEFAULT_CLIENTS)
     parser.add_argument("--at-a-time", type=int, default=1, help="gateways that stop together")
-    parser.add_argument("--direct", action="store_true", help="clients ask no entry")
+    parser.add_argument("--direct", action="store_true", help="clients bypass the load balancer")
     parser.add_argument("--mutant", default="", help="a known defect, see soak/mutants.py")
-    parser.add_argument("--keep", type=Path, help="folder that keeps the gateways' logs")
+    parser.add_argument("--keep", type=Path, help="folder in which to keep the gateways' logs")
     parser.add_argument("--pauses", type=float, default=0.0, help="share of streams that pause")
-    parser.add_argument("--full", type=float, default=0.0, help="share of sends turned away")
-    parser.add_argument("--hold", type=float, default=0.0, help="seconds that gateways are held")
-    parser.add_argument("--no-stops", action="store_true", help="no gateway stops")
+    parser.add_argument(
+        "--full", type=float, default=0.0, help="share of sends that servers reject as full"
+    )
+    parser.add_argument(
+        "--hold", type=float, default=0.0, help="seconds for which gateways are suspended"
+    )
+    parser.add_argument("--no-stops", action="store_true", help="do not stop gateways")
     parser.add_argument("--limited", type=float, default=0.0, help="share of servers with limits")
-    parser.add_argument("--limit", type=float, default=1.0, help="requests a second that they take")
-    parser.add_argument("--descriptors", type=int, default=0, help="most of a gateway")
-    parser.add_argument("--resting", type=float, default=0.0, help="share of servers that rest")
-    parser.add_argument("--connections", type=int, default=0, help="that a server takes")
-    parser.add_argument("--leaving", type=float, default=0.0, help="share of servers that leave")
-    parser.add_argument("--copies", action="store_true", help="the store comes back from copies")
-    parser.add_argument("--link", type=float, default=0.0, help="Mbit/s of each gateway")
-    parser.add_argument("--routes", type=int, default=0, help="further routes")
-    parser.add_argument("--changes", type=float, default=0.0, help="seconds between versions")
-    parser.add_argument("--calm", action="store_true", help="nothing else happens")
+    parser.add_argument(
+        "--limit", type=float, default=1.0, help="average limit in requests per second"
+    )
+    parser.add_argument(
+        "--descriptors", type=int, default=0, help="file descriptor limit of a gateway"
+    )
+    parser.add_argument(
+        "--resting", type=float, default=0.0, help="share of servers that ask for back-off"
+    )
+    parser.add_argument("--connections", type=int, default=0, help="connection limit of a server")
+    parser.add_argument("--leaving", type=float, default=0.0, help="share of servers that drain")
+    parser.add_argument("--copies", action="store_true", help="restore the store from snapshots")
+    parser.add_argument(
+        "--link", type=float, default=0.0, help="link bandwidth of each gateway in Mbit/s"
+    )
+    parser.add_argument("--routes", type=int, default=0, help="additional routes")
+    parser.add_argument(
+        "--changes", type=float, default=0.0, help="seconds between configuration versions"
+    )
+    parser.add_argument("--calm", action="store_true", help="make no other changes")
     arguments = parser.parse_args()
     run = PlannedRun(
         arguments.gateways,
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that can hold bytes up, delay them, refuse and reset."""
+"""A TCP proxy on loopback that can block, delay and reset connections."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 HOST = "127.0.0.1"
 CHUNK_BYTES = 65536
 LINK_CHUNK_BYTES = 4096
-"""On a link connections take turns by so much."""
+"""Connections that share a link alternate after chunks of this size."""
 
 
 class FaultProxy:
-    """Stands before one address; faults are switched from outside."""
+    """Proxy for one target address, with faults that a test switches on and off."""
 
     def __init__(self, target: str, links: Sequence[Link] = (), far_megabits: float = 0.0) -> None:
-        """Not listening yet.
+        """Create a proxy that does not listen yet.
 
         Args:
-            target: `host:port` behind it.
-            links: What all its connections pass.
-            far_megabits: Link of the machine at the other end of each connection; 0 for no bound.
+            target: `host:port` to which connections are forwarded.
+            links: Bandwidth-limited links that all connections share.
+            far_megabits: Bandwidth of the link at the other end of each connection; 0 for no limit.
         """
         self.target = target
         self._links = links
@@ -43,14 +43,14 @@
         self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     def block(self) -> None:
-        """Bytes are held up until `unblock`."""
+        """Hold back all bytes until `unblock`."""
         self._open.clear()
         self._blocked_since = (
             time.monotonic() if self._blocked_since is None else self._blocked_since
         )
 
     def unblock(self) -> None:
-        """Bytes flow, and no delay is left."""
+        """Forward held bytes, and remove any delay."""
         self.delay_seconds = 0.0
         self._open.set()
         if self._blocked_since is not None:
@@ -58,18 +58,18 @@
             self._blocked_since = None
 
     def was_blocked(self, begin: float, end: float) -> bool:
-        """Whether bytes were held up at some time of a stretch; in monotonic seconds."""
+        """Whether the proxy was blocked at any time in an interval of monotonic seconds."""
         if self._blocked_since is not None and self._blocked_since <= end:
             return True
         return any(first <= end and last >= begin for first, last in self._blocks)
 
     def reset_all(self) -> None:
-        """Break all connections."""
+        """Reset all connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def close(self) -> None:
-        """End."""
+        """Stop listening and reset all connections."""
         self._server.close()
         self.reset_all()
         for task in list(self._tasks):
@@ -103,7 +103,7 @@
                     await link.carry(len(data))
                 if self.delay_seconds:
                     await asyncio.sleep(self.delay_seconds)
-                # A sender that resets while its bytes are held up takes them back.
+                # A reset by the sender also discards bytes that are held back.
                 if not self._open.is_set():
                     await self._open.wait()
                     if source.exception() is not None:
--- a/tests/soak/revocation.py
+++ b/tests/soak/revocation.py
@@ -1,9 +1,9 @@
-"""A key is revoked just before the store comes back from an older copy: who still serves it?
+"""Revokes a key just before the store is restored from an older snapshot, and checks its use.
 
 `python3 tests/soak/revocation.py [--seeds FIRST:LAST] [--gateways N] [--killed K] [--heard B]
-[--written-again W] [--returns R]` prints one JSON line for each seed; the exit code is 1 when the
-key opened the service later than its bound, or keys stayed refused when the operator had had the
-time to write again.
+[--written-again W] [--returns R]` prints one JSON line per seed; the exit code is 1 if the key was
+accepted after the revocation bound, or if keys were still refused after the time in which the
+operator can rewrite the configuration.
 """
 
 from __future__ import annotations
@@ -28,34 +28,35 @@
 PROFILE = ClientProfile(
     SHORT_PROMPT, deadline_seconds=3.0, pause_seconds=(0.02, 0.06), close_share=0.1
 )
-"""Nobody is refused for want of room, so that each refusal is for a key that can't be checked."""
+"""Low load, so that no request is refused for lack of capacity: each refusal is due to a key that
+cannot be verified."""
 READY_SECONDS = 20.0
 QUIET_SECONDS = 1.0
 SNAPSHOT_AGE_SECONDS = 0.6
-"""The copy is so much older than the revocation."""
+"""Time between the snapshot and the revocation."""
 SYNCED_SECONDS = 2.0
-"""By then each gateway has found the return, and a call has proved its keys again."""
+"""Time by which each gateway has detected the restore and verified its keys by a store call."""
 OBSERVATION_SECONDS = 2.0
-"""Judged on after the operator has written again."""
+"""Time for which results are still checked after the operator's rewrite."""
 EARLIER_RESTORE_SECONDS = 7.0
-"""Since a former return that is over: whatever it left in doubt is settled."""
+"""Time after an earlier restore by which its unverified state is resolved."""
 
 
 @dataclass(frozen=True)
 class RevocationRun:
-    """One run.
+    """Parameters of one run.
 
     Attributes:
-        gateways: Processes.
-        killed: So many of them end as the store goes away, and start at once.
-        is_planned: They end by SIGTERM.
-        heard_seconds: The store goes away so long after it acknowledged the revocation.
-        away_seconds: For so long, at each return.
-        written_again_seconds: The operator writes again so long after the last return; negative
-            for never.
-        returns: Times that the store comes back from the copy.
+        gateways: Number of gateway processes.
+        killed: Number of gateways that stop when the store becomes unavailable, and restart.
+        is_planned: They receive SIGTERM instead of SIGKILL.
+        propagation_seconds: Time between the acknowledged revocation and the store's outage.
+        outage_seconds: Duration of the store's outage before each restore.
+        rewrite_delay_seconds: Time between the last restore and the operator's rewrite; negative
+            for no rewrite.
+        restores: Number of restores from the snapshot.
         revokes: Whether a key is revoked at all.
-        former_return: Whether the store had come back before, and lost nothing, long before.
+        earlier_restore: Whether a restore without loss happened long before.
     """
 
     gateways: int = DEFAULT_GATEWAYS
@@ -70,7 +71,7 @@
 
 
 async def revocation_soak(seed: int, folder: Path, run: RevocationRun) -> Report:
-    """One run; returns its report."""
+    """Run one seed and return its report."""
     world = SoakWorld(seed, folder, run.gateways)
     try:
         await world.start()
@@ -108,7 +109,7 @@
 
 
 def _are_ready(world: SoakWorld) -> bool:
-    """Whether each gateway has begun, and clients are served."""
+    """Whether each gateway has started, and clients are served."""
     are_started = all(gateway.has_started() for gateway in world.gateways)
     return are_started and world.ledger.outcomes.get("200", 0) >= 20 * len(world.gateways)
 
@@ -140,16 +141,16 @@
 
 
 async def _check_served(world: SoakWorld) -> None:
-    """The operator had the time to write: nobody is refused any more."""
+    """Check that no client is refused after the time in which the operator can rewrite objects."""
     before = dict(world.ledger.outcomes)
     await asyncio.sleep(OBSERVATION_SECONDS)
     given = {name: count - before.get(name, 0) for name, count in world.ledger.outcomes.items()}
     if given.get("503", 0) or not given.get("200", 0):
-        world.ledger.violate("recovery", f"after the time to write: {given}")
+        world.ledger.violate("recovery", f"answers after the operator's rewrite time: {given}")
 
 
 def _seconds_of(violation: str) -> float:
-    """Seconds in "ID sent SECONDSs after"."""
+    """Parse the seconds in "ID sent SECONDSs after"."""
     return float(violation.rpartition(" sent ")[2].partition("s ")[0])
 
 
@@ -162,17 +163,32 @@
 def main() -> int:
     """Run all seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", default="", help="FIRST:LAST; a fresh one without it")
-    parser.add_argument("--keep", type=Path, help="folder that keeps the gateways' logs")
-    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
-    parser.add_argument("--killed", type=int, default=0, help="gateways that end and start")
-    parser.add_argument("--planned", action="store_true", help="they end by SIGTERM")
-    parser.add_argument("--heard", type=float, default=0.5, help="seconds to hear of it")
-    parser.add_argument("--away", type=float, default=0.5, help="seconds")
-    parser.add_argument("--written-again", type=float, default=4.0, help="seconds; -1 for never")
+    parser.add_argument("--seeds", default="", help="FIRST:LAST; default: one new seed")
+    parser.add_argument("--keep", type=Path, help="folder in which to keep the gateways' logs")
+    parser.add_argument(
+        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateway processes"
+    )
+    parser.add_argument(
+        "--killed", type=int, default=0, help="number of gateways that stop and restart"
+    )
+    parser.add_argument(
+        "--planned", action="store_true", help="stop them by SIGTERM instead of SIGKILL"
+    )
+    parser.add_argument(
+        "--heard",
+        type=float,
+        default=0.5,
+        help="seconds between the revocation and the store outage",
+    )
+    parser.add_argument("--away", type=float, default=0.5, help="seconds of each store outage")
+    parser.add_argument(
+        "--written-again", type=float, default=4.0, help="seconds until the rewrite; -1 for never"
+    )
     parser.add_argument("--returns", type=int, default=1)
-    parser.add_argument("--nothing-lost", action="store_true", help="no key is revoked")
-    parser.add_argument("--former-return", action="store_true", help="one that is long over")
+    parser.add_argument("--nothing-lost", action="store_true", help="revoke no key")
+    parser.add_argument(
+        "--former-return", action="store_true", help="restore the store once, long before"
+    )
     arguments = parser.parse_args()
     run = RevocationRun(
         arguments.gateways,
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,7 +1,7 @@
 """Runs soaks: `python3 tests/soak/run.py [--seeds FIRST:LAST] [--seconds N] [--gateways N]`.
 
-Prints one JSON line for each seed; the exit code is 1 when a promise was broken. Seeds that failed
-are kept in `tests/soak/failed_seeds.txt` and can be run again.
+Prints one JSON line per seed; the exit code is 1 if a guarantee was violated. Seeds that failed are
+listed in `tests/soak/failed_seeds.txt` and can be run again.
 """
 
 from __future__ import annotations
@@ -37,20 +37,21 @@
 
 CLIENTS = 12
 LINK_MEGABITS = 10.0
-"""Of each gateway, on demand."""
+"""Link bandwidth of each gateway with `--large`."""
 LIMITED_SHARE = 0.5
-"""Share of the servers that limit their requests on demand."""
+"""Share of the servers that announce rate limits with `--limits`."""
 LIMIT_PER_SECOND = 2.0
-"""Requests a second that they take, more or less."""
+"""Average announced limit in requests per second."""
 SETTLE_SECONDS = 3.0
-"""Calm at the end, before recovery is judged."""
+"""Quiet time after the faults, before recovery is measured."""
 POLL_SECONDS = 0.1
 JUDGED_SECONDS = 3.0
 RECOVERED_SHARE = 0.7
-"""Of the answers after the calm, this share must be served; two of four keys may be revoked."""
+"""Minimum share of successful answers after the quiet time; refusals for revoked keys, of which
+there may be two of four, are not counted."""
 BACKING_OFF_SHARE = 0.3
 DRAINING_SHARE = 0.2
-"""Shares of the servers that ask for rest, and that leave, by turns."""
+"""Shares of the servers that ask for back-off, and that drain, in turn."""
 READY_TIMEOUT_SECONDS = 10.0
 
 
@@ -65,7 +66,7 @@
     restores_store: bool = False,
     large: bool = False,
 ) -> Report:
-    """One soak; returns its report."""
+    """Run one soak and return its report."""
     world = SoakWorld(seed, folder, gateways)
     world.link_megabits = LINK_MEGABITS if large else 0.0
     world.servers_are_healthy = False
@@ -108,11 +109,11 @@
         for server in world.servers.values():
             server.back_off_seconds = 0.0
         await replace_draining_servers(world)
-        # Gateways keep to the rests that were asked of them last.
+        # Gateways still honour the latest back-offs.
         await asyncio.sleep(max(BACK_OFF_SECONDS) if signals else 0.0)
         await wait_for_gateways(world)
         if restores_store:
-            # As operators are asked to after a return: without that, keys are refused for 5 s.
+            # Operators rewrite the configuration after a restore; otherwise keys are refused for 5 s.
             world.put_configuration()
         await asyncio.sleep(SETTLE_SECONDS)
         before = dict(world.ledger.outcomes)
@@ -149,7 +150,7 @@
 
 
 async def draw_faults(world: SoakWorld, seconds: float) -> list[asyncio.Task[None]]:
-    """Begin faults at random moments; some overlap."""
+    """Start faults at random times; some overlap."""
     ends_at = asyncio.get_running_loop().time() + seconds
     running = []
     while asyncio.get_running_loop().time() < ends_at:
@@ -159,7 +160,7 @@
 
 
 async def wait_for_gateways(world: SoakWorld) -> None:
-    """The calm begins when each gateway listens; on a busy machine a start takes seconds."""
+    """Wait until each gateway listens; on a busy machine a start takes seconds."""
     ends_at = time.monotonic() + LISTEN_TIMEOUT_SECONDS
     late = world.gateways
     while late and time.monotonic() < ends_at:
@@ -170,21 +171,21 @@
             if not (gateway.is_running() and gateway.has_started())
         ]
     for gateway in late:
-        world.ledger.violate("start", f"{gateway.name} doesn't listen yet")
+        world.ledger.violate("start", f"{gateway.name} is not listening yet")
 
 
 def check_recovery(world: SoakWorld, before: dict[str, int]) -> None:
-    """After the faults, what may be served is served."""
+    """Check that enough requests with valid keys succeed after the faults."""
     after = world.ledger.outcomes
     given = {outcome: count - before.get(outcome, 0) for outcome, count in after.items()}
     refused_keys = given.get("401", 0)
     judged = sum(given.values()) - refused_keys - given.get("left", 0)
     if judged == 0 or given.get("200", 0) / judged < RECOVERED_SHARE:
-        world.ledger.violate("recovery", f"after the faults: {given}")
+        world.ledger.violate("recovery", f"answers after the faults: {given}")
 
 
 def check_gateways(world: SoakWorld) -> None:
-    """No process ended by a defect, and configurations never went back within a life."""
+    """Check that no gateway task failed, and that no running process applied an older configuration."""
     for gateway in world.gateways:
         version = 0
         for line in gateway.log_lines():
@@ -194,17 +195,19 @@
                 world.ledger.violate("defect", f"{gateway.name}: {line}")
             if line["event"] == "configuration-in-force":
                 if line["version"] <= version:
-                    world.ledger.violate("configuration", f"{gateway.name} went back: {line}")
+                    world.ledger.violate(
+                        "configuration", f"{gateway.name} applied an older version: {line}"
+                    )
                 version = line["version"]
 
 
 def new_client(number: int, world: SoakWorld) -> SoakClient:
-    """A client that comes to any gateway."""
+    """A client that connects to a random gateway."""
     return SoakClient(number, world, world.random, lambda: world.random.choice(world.gateways))
 
 
 def check_lost(world: SoakWorld) -> None:
-    """A request that was sent whole ends with a whole answer, unless a fault explains its end."""
+    """Check that completely sent requests got complete answers, unless a fault explains the result."""
     verdicts = world.verdicts()
     for request in world.requests:
         if verdicts[request.request_id] in LOST:
@@ -212,7 +215,7 @@
 
 
 def check_contained(world: SoakWorld) -> None:
-    """Only requests that end servers are refused for it."""
+    """Check that only requests that crash servers are contained."""
     guilty = {
         identity_text(request_identity("site.example", b"/single/", tenant, body))
         for tenant in TENANTS.values()
@@ -221,25 +224,31 @@
     for gateway in world.gateways:
         for line in gateway.log_lines():
             if line["event"] == "request-contained" and line["content"] not in guilty:
-                world.ledger.violate("contained", f"innocent work: {line}")
+                world.ledger.violate("contained", f"unrelated request: {line}")
 
 
 def main() -> int:
     """Run all seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", default="", help="FIRST:LAST; a fresh one without it")
-    parser.add_argument("--seconds", type=float, default=20.0, help="time of faults a seed")
-    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
-    parser.add_argument("--keep", type=Path, help="folder that keeps the logs of failed seeds")
+    parser.add_argument("--seeds", default="", help="FIRST:LAST; default: one new seed")
+    parser.add_argument("--seconds", type=float, default=20.0, help="duration of faults per seed")
+    parser.add_argument(
+        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateway processes"
+    )
+    parser.add_argument("--keep", type=Path, help="folder in which to keep the gateways' logs")
     parser.add_argument(
         "--other-writers",
         action="store_true",
-        help="servers start again under their names, and strange entries are written",
+        help="servers restart with the same names, and malformed entries are written",
+    )
+    parser.add_argument("--limits", action="store_true", help="servers announce rate limits")
+    parser.add_argument(
+        "--signals", action="store_true", help="servers ask for back-off, and drain"
+    )
+    parser.add_argument("--copies", action="store_true", help="restore the store from snapshots")
+    parser.add_argument(
+        "--large", action="store_true", help="many routes, over links of low bandwidth"
     )
-    parser.add_argument("--limits", action="store_true", help="servers limit their requests")
-    parser.add_argument("--signals", action="store_true", help="servers ask for rest, and leave")
-    parser.add_argument("--copies", action="store_true", help="the store comes back from copies")
-    parser.add_argument("--large", action="store_true", help="many routes, on narrow links")
     arguments = parser.parse_args()
 
     def run_seed(seed: int, folder: Path) -> Coroutine[Any, Any, Report]:
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -1,4 +1,4 @@
-"""Plays a soak once for each seed of a range, and prints a JSON line for each."""
+"""Runs a soak once for each seed of a range, and prints one JSON line per seed."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 Report = dict[str, object]
 SeedRunner = Callable[[int, Path], Coroutine[Any, Any, Report]]
 FAILURE_FIELDS = ("lost", "violations")
-"""Fields of a report that are empty when a seed is sound."""
+"""Report fields that are empty if a seed passed."""
 
 
 def run_seeds(seeds: str, keep: Path | None, run_seed: SeedRunner) -> int:
-    """Play all seeds; returns the exit code, 1 when one of them was not sound.
+    """Run all seeds; returns the exit code, 1 if one of them failed.
 
     Args:
-        seeds: FIRST:LAST, or one; empty for a fresh one.
-        keep: Folder that keeps the logs, by seed; None drops them.
-        play: Plays one seed with a folder for its logs.
+        seeds: FIRST:LAST, or a single seed; empty for a new one.
+        keep: Folder in which to keep the logs, by seed; None discards them.
+        run_seed: Runs one seed with a folder for its logs.
     """
-    # Stand-ins write to connections that a fault has closed.
+    # Stand-ins write to connections that a fault has closed, which asyncio would log.
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     first, _, last = (seeds or str(int(time.time()))).partition(":")
     failed = 0
