--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -50,7 +50,7 @@
         close_share: Share of answers after which it closes its connection and opens a new one.
         disconnect_share: Share of requests during which it disconnects before the answer.
         pipelined_share: Share of requests directly behind which it pipelines another one.
-        first_request_delay_seconds: Maximum time between opening a connection and its first request.
+        first_request_delay_seconds: Maximum delay of the first request on a new connection.
     """
 
     prompt: dict[str, str]
--- a/tests/soak/drain_ledger.py
+++ b/tests/soak/drain_ledger.py
@@ -25,7 +25,7 @@
 
     draining_since: dict[str, float] = field(default_factory=dict)
     _unpropagated: set[str] = field(default_factory=set)
-    """Servers whose draining was recorded while the store was unavailable, or too shortly before that
+    """Servers whose draining was recorded while the store was unavailable, or too shortly before
     for gateways to learn of it."""
     is_unavailable: bool = False
     _restored_at: float = -math.inf
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -40,7 +40,7 @@
 
 
 async def freeze_gateway(world: SoakWorld) -> None:
-    """Send SIGSTOP, and SIGCONT after 0.5 to 4 seconds, which may exceed the lease of 1.5 seconds."""
+    """Send SIGSTOP, and SIGCONT after 0.5 to 4 s, which may exceed the lease of 1.5 s."""
     gateway = world.random.choice(world.gateways)
     gateway.send(signal.SIGSTOP)
     await asyncio.sleep(world.random.uniform(0.5, 4.0))
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -19,7 +19,7 @@
 not know of the containment yet. Without containment, a soak of twenty seconds crashes twenty or
 more. When all gateways are killed, evidence of requests that are not contained yet is lost."""
 MAX_OVERLAP_SECONDS = 0.4
-"""Maximum time for which a stream's previous server may still run after another server resumed it."""
+"""Maximum time for which a stream's previous server may still run after another one resumed it."""
 REVOKE_SLACK_SECONDS = 0.1
 """Allowance for the time between a client's send and the ledger's timestamp, on one machine."""
 
@@ -152,7 +152,7 @@
         """Check that draining and backing-off servers received no more requests than allowed.
 
         Args:
-            drain_seconds: Time for which a gateway may use a server after relaying that it is draining.
+            drain_seconds: Time for which a gateway may use a server after it relayed the signal.
             was_disturbed: Tells whether a gateway is excused.
         """
         for late in self.signals.late_sends(drain_seconds, was_disturbed):
--- a/tests/soak/limit_ledger.py
+++ b/tests/soak/limit_ledger.py
@@ -74,7 +74,7 @@
         return LimitUse(peak, capacity, len(times) / (per_second * (last - first)))
 
     def figures(self, now: float) -> dict[str, float]:
-        """Summary: number of periods, highest share of the capacity in a window, share of limits used."""
+        """Number of periods, peak as a share of the capacity, mean share of the limits used."""
         uses = [use for kept in self.uses(now).values() for use in kept]
         if not uses:
             return {}
--- a/tests/soak/load_balancer.py
+++ b/tests/soak/load_balancer.py
@@ -16,7 +16,8 @@
 class LoadBalancer:
     """Selects gateways for new connections.
 
-    Two failed readiness probes in a row take a gateway out of rotation; a successful one puts it back.
+    Two failed readiness probes in a row take a gateway out of rotation; a successful one puts it
+    back.
     """
 
     def __init__(self, gateways: list[GatewayProcess], source: random.Random) -> None:
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -116,7 +116,7 @@
 
 
 def keep_limits_alone() -> None:
-    """Each gateway applies server limits on its own, without requesting permits from a quota owner."""
+    """Each gateway applies server limits alone, without requesting permits from a quota owner."""
 
     def select(selector: QuotaOwnerSelector, *_: object) -> SelectedOwner:
         return SelectedOwner(selector._own_name, OwnerRole.HOME)
@@ -140,12 +140,12 @@
 
 
 def leave_entries_lost() -> None:
-    """A gateway's entry that the store lost in a restore is not rewritten."""
+    """A gateway's entry that a restore of the store lost is not rewritten."""
     Registration._compare_with_list = lambda _: None  # type: ignore[method-assign]
 
 
 def serve_by_an_old_configuration() -> None:
-    """Announced configuration contents arrive late, and requests are not refused in the meantime."""
+    """Announced configurations arrive late, and requests are not refused in the meantime."""
     original = FeedClient._fetch_one
 
     async def fetch_one(client: FeedClient, *question: object) -> object:
--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -2,10 +2,11 @@
 
 `python3 tests/soak/planned.py [--seeds FIRST:LAST] [--gateways N] [--seconds N] [--clients N]`
 
-Gateways receive SIGTERM in turn and restart, some receive SIGHUP, the configuration changes and new
+Gateways receive SIGTERM in turn and restart, some receive SIGHUP, the configuration changes and
 weight versions are published, all concurrently and under load. Options make streams pause at their
-servers, servers reject requests as full, and gateways be suspended for a while. Prints one JSON line
-per seed; the exit code is 1 if a request that was sent completely ended without a complete answer.
+servers, servers reject requests as full, and gateways be suspended for a while. Prints one JSON
+line per seed; the exit code is 1 if a request that was sent completely ended without a complete
+answer.
 """
 
 from __future__ import annotations
@@ -106,7 +107,7 @@
 
 
 def has_started(gateway: GatewayProcess) -> bool:
-    """Whether a process has logged that it started; before that, SIGHUP terminates it by default."""
+    """Whether a process has logged that it started; before that, SIGHUP would terminate it."""
     return gateway.is_running() and gateway.has_started()
 
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -113,7 +113,7 @@
         await asyncio.sleep(max(BACK_OFF_SECONDS) if signals else 0.0)
         await wait_for_gateways(world)
         if restores_store:
-            # Operators rewrite the configuration after a restore; otherwise keys are refused for 5 s.
+            # Operators rewrite the configuration after a restore; else keys are refused for 5 s.
             world.put_configuration()
         await asyncio.sleep(SETTLE_SECONDS)
         before = dict(world.ledger.outcomes)
@@ -185,7 +185,7 @@
 
 
 def check_gateways(world: SoakWorld) -> None:
-    """Check that no gateway task failed, and that no running process applied an older configuration."""
+    """Check that no gateway task failed, and that no process applied an older configuration."""
     for gateway in world.gateways:
         version = 0
         for line in gateway.log_lines():
@@ -207,7 +207,7 @@
 
 
 def check_lost(world: SoakWorld) -> None:
-    """Check that completely sent requests got complete answers, unless a fault explains the result."""
+    """Check that completely sent requests got complete answers, unless a fault excuses them."""
     verdicts = world.verdicts()
     for request in world.requests:
         if verdicts[request.request_id] in LOST:
--- a/tests/soak/server.py
+++ b/tests/soak/server.py
@@ -1,4 +1,4 @@
-"""A stand-in server for soaks: runs requests, takes orders, and misbehaves by chance."""
+"""A stand-in server for soaks: executes requests, accepts orders, and fails at random."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 LOAD_SECONDS = 0.3
 MODEL = "model-1"
 CRASHING_BODY = b"ends its server"
-"""A request whose body begins so ends the process of each server that runs it."""
+"""A request whose body has this prefix crashes every server that executes it."""
 
 
 @dataclass
 class FaultRates:
-    """Chances of each misbehaviour; 0 in good health."""
+    """Probability of each injected fault; all 0 for a healthy server."""
 
     shed: float = 0.0
     fail: float = 0.0
@@ -33,7 +33,7 @@
     mute: float = 0.0
     surplus: float = 0.0
     pause: float = 0.0
-    """A stream stands still midway, as one does whose memory went to more urgent work."""
+    """A stream pauses midway, like one whose memory was preempted by more urgent requests."""
     pause_seconds: tuple[float, float] = (1.1, 1.6)
 
 
@@ -55,21 +55,21 @@
     born: int = field(default_factory=lambda: int(time.time() * 1000))
     on_crash: Callable[[str], None] = lambda name: None
     limit: float | None = None
-    """Requests a second that it names in its answers, None for none."""
+    """Limit in requests per second that it announces in its answers; None for no limit."""
     announces_draining: bool = False
-    """It says in all its answers that it leaves."""
+    """It announces in all its answers that it is draining."""
     back_off_seconds: float = 0.0
-    """It turns all requests away and wants nothing for so long; 0 when it takes requests."""
+    """Back-off that it asks for while it rejects all requests; 0 if it accepts requests."""
     max_connections: int = 0
-    """Connections that it takes from all callers; 0 for as many as come."""
+    """Connections that it accepts from all clients; 0 for no limit."""
     resets: int = 0
-    """Connections that it broke off, having too many."""
+    """Connections that it reset because of that limit."""
     requests: int = 0
-    """At work now."""
+    """Number of requests that it is executing."""
 
     @property
     def incarnation(self) -> str:
-        """Its name and its start: another one under its name has said nothing."""
+        """Identity of this start; signals of an earlier server with the same name do not apply."""
         return incarnation(self.name, self.born)
 
     async def start(self) -> None:
@@ -79,7 +79,7 @@
         self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     async def crash(self) -> None:
-        """End at once; connections break."""
+        """Terminate immediately and reset all connections."""
         if self.limit is not None:
             self.announce_limit(None)
         self._server.close()
@@ -87,7 +87,7 @@
             writer.transport.abort()
 
     def entry(self, address: str) -> dict[str, Any]:
-        """Its entry in the store, under the address of its proxy."""
+        """Its entry in the store, with the address of its proxy."""
         models = [{"Name": MODEL, "Version": self.version, "Adapters": []}]
         return {
             "Service": self.service,
@@ -114,7 +114,7 @@
         try:
             while (request := await read_request(reader, id(writer))) is not None:
                 work = asyncio.create_task(self._handle(request, writer))
-                # The connection's end is seen meanwhile, and ends the work.
+                # A connection that closes in the meantime cancels the request.
                 await asyncio.wait({work, closed}, return_when=asyncio.FIRST_COMPLETED)
         except (ConnectionError, asyncio.CancelledError):
             pass
@@ -157,7 +157,7 @@
                 self.requests -= 1
 
     def _signal_fields(self, request_id: str) -> dict[str, str]:
-        """What it says of itself in an answer."""
+        """Header fields of the signals that it sends in answers."""
         fields = {}
         if self.limit is not None:
             fields["Server-Limit"] = f"{self.limit:g}"
@@ -167,12 +167,12 @@
         return fields
 
     def announce_limit(self, limit: float | None) -> None:
-        """Name a limit in all answers from now on, or none any more."""
+        """Announce a limit in all further answers, or stop announcing one."""
         self.limit = limit
         self.ledger.on_limit(self.name, limit)
 
     def _crashes_on(self, request: ReceivedRequest) -> bool:
-        """Whether the request ends the server that runs it."""
+        """Whether the request crashes the server that executes it."""
         return request.body.startswith(CRASHING_BODY)
 
     def _report(self) -> dict[str, Any]:
@@ -207,7 +207,7 @@
         return self.random.random() < chance
 
     def _draw_pause(self, first: int, last: int) -> int:
-        """Number of the event before which a stream pauses; 0 when it doesn't."""
+        """Number of the event before which a stream pauses; 0 for no pause."""
         if not self.fault_rates.pause or first > last or not self._happens(self.fault_rates.pause):
             return 0
         self.ledger.pauses += 1
--- a/tests/soak/signal_ledger.py
+++ b/tests/soak/signal_ledger.py
@@ -1,4 +1,4 @@
-"""What servers got after they had said that they leave, or asked for rest."""
+"""Requests to servers after they announced that they are draining, or asked for back-off."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from dataclasses import dataclass, field
 
 BACK_OFF_SLACK_SECONDS = 0.5
-"""What arrives so soon after a server asked for rest may have been on its way."""
+"""Requests that arrive this soon after a back-off request may have been in transit."""
 MAX_SENDS_IN_BACK_OFF = 2
 WasDisturbed = Callable[[str, str, float, float], bool]
-"""Whether a gateway was killed, stopped or frozen, or its way to a server was cut: their names, and
-two monotonic times."""
+"""Whether a gateway was killed, stopped or suspended, or was partitioned from a server. Arguments:
+names of the gateway and the server, and begin and end of an interval in monotonic seconds."""
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request reaches a server, whatever becomes of it.
+    """A request that reached a server, whether or not it was executed.
 
     Attributes:
-        server: Name and start of the server.
-        gateway: Gateway that sent it there.
-        at: Monotonic time.
+        server: Incarnation of the server.
+        gateway: Gateway that forwarded it.
+        at: Monotonic time of arrival.
         sent_at: Monotonic time at which its client sent it.
     """
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class BackOff:
-    """A server turned a request away, and asked the gateway that sent it for rest."""
+    """A server rejected a request and asked the gateway that sent it to back off."""
 
     server: str
     gateway: str
@@ -43,37 +43,37 @@
 
 @dataclass
 class SignalLedger:
-    """Arrivals at servers, and what these said."""
+    """Arrivals at servers, and the signals that the servers sent."""
 
     arrivals: list[Arrival] = field(default_factory=list)
     back_offs: list[BackOff] = field(default_factory=list)
     draining_since: dict[str, float] = field(default_factory=dict)
-    """When a server first said that it leaves, to anybody."""
+    """Time at which each server first announced that it is draining, to any gateway."""
     draining_relayed_at: dict[tuple[str, str], float] = field(default_factory=dict)
-    """When a gateway first passed on an answer that said so, by server and gateway."""
+    """Time at which a gateway first relayed such an answer, by server and gateway."""
 
     def on_arrival(self, arrival: Arrival) -> None:
         """A request reaches a server."""
         self.arrivals.append(arrival)
 
     def on_back_off(self, back_off: BackOff) -> None:
-        """A server asks a gateway for rest."""
+        """A server asks a gateway to back off."""
         self.back_offs.append(back_off)
 
     def on_draining_answer(self, server: str, at: float) -> None:
-        """A server writes an answer that says that it leaves."""
+        """A server writes an answer that announces that it is draining."""
         self.draining_since.setdefault(server, at)
 
     def on_relayed(self, server: str, gateway: str, at: float) -> None:
-        """A client has such an answer."""
+        """A client received such an answer."""
         self.draining_relayed_at.setdefault((server, gateway), at)
 
     def late_sends(self, bound: float, was_disturbed: WasDisturbed) -> list[Arrival]:
-        """Requests that clients sent too late and that a leaving server got.
+        """Requests that clients sent after the bound and that a draining server received.
 
         Args:
-            bound: Seconds after a gateway passed on the word.
-            was_disturbed: Excuses a gateway.
+            bound: Seconds after the gateway relayed the announcement.
+            was_disturbed: Tells whether a gateway is excused.
         """
         return [
             item
@@ -86,10 +86,10 @@
         return self.draining_relayed_at.get((arrival.server, arrival.gateway), math.inf)
 
     def violated_back_offs(self, was_disturbed: WasDisturbed) -> list[tuple[BackOff, int]]:
-        """Rests in which their gateway sent more than two requests, with how many.
+        """Back-offs during which their gateway sent more than two requests, and how many.
 
         Args:
-            was_disturbed: Excuses a gateway.
+            was_disturbed: Tells whether a gateway is excused.
         """
         times: dict[tuple[str, str], list[float]] = {}
         for item in self.arrivals:
@@ -107,7 +107,7 @@
         return found
 
     def figures(self) -> dict[str, int]:
-        """What there was to keep to, and how much of it could be seen."""
+        """Counts of signals, and of requests that arrived after them."""
         after = sum(item.at > self._since(item.server) for item in self.arrivals)
         in_back_offs = (
             sum(self._is_in_back_off(item) for item in self.arrivals) if self.back_offs else 0
--- a/tests/soak/signals.py
+++ b/tests/soak/signals.py
@@ -1,4 +1,4 @@
-"""Servers that ask for rest, and servers that say in their answers that they leave."""
+"""Servers that ask for back-off, and servers that announce in answers that they are draining."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from soak.world import SoakWorld
 
 BACK_OFF_SECONDS = (1.0, 2.0, 3.0, 6.0)
-"""Seconds that servers ask for."""
+"""Back-offs that servers ask for."""
 BACK_OFF_ROUNDS = (1.2, 2.5)
-"""For how many of its rests a server turns requests away."""
+"""Time for which a server rejects requests, as a multiple of its back-off."""
 ALL_BACK_OFF_CHANCE = 0.4
-"""Chance that all servers ask for rest at once."""
+"""Chance that all servers ask for back-off at the same time."""
 ALL_DRAIN_CHANCE = 0.2
 DRAIN_SECONDS = (3.0, 6.0)
-"""A server ends so long after it first said that it leaves; its entry says nothing of it."""
+"""Time between a server's first draining announcement and its exit; its entry does not show it."""
 PAUSE_SECONDS = (0.3, 1.5)
 
 
 async def back_off_servers(world: SoakWorld, share: float) -> None:
-    """Some servers ask for rest, others after them; at times all do, until cancelled."""
+    """Let random groups of servers, sometimes all, ask for back-off in turn, until cancelled."""
     while True:
         servers = list(world.servers.values())
         chosen = servers
@@ -36,7 +36,7 @@
 
 
 async def drain_and_replace_servers(world: SoakWorld, share: float) -> None:
-    """Some servers are replaced, the new ones first; at times all are, until cancelled."""
+    """Replace random groups of servers, sometimes all, until cancelled; new servers start first."""
     while True:
         names = list(world.servers)
         draining = names
@@ -51,12 +51,12 @@
                 world.servers[name].announces_draining = True
         await asyncio.sleep(world.random.uniform(*DRAIN_SECONDS))
         for name in draining:
-            # Streams that run there end before it does.
+            # The server exits after the streams that run on it.
             await world.retire_server(name)
 
 
 async def replace_draining_servers(world: SoakWorld) -> None:
-    """Those that said that they leave do, and others take their places."""
+    """Replace all servers that have announced that they are draining."""
     for name, server in list(world.servers.items()):
         if server.announces_draining:
             await world.add_server(server.service)
--- a/tests/soak/store_restores.py
+++ b/tests/soak/store_restores.py
@@ -189,7 +189,7 @@
 
 
 async def watch_store(world: SoakWorld) -> None:
-    """Record when faults other than restores make the store unavailable or slow, until cancelled."""
+    """Record when other faults make the store unavailable or slow, until cancelled."""
     while True:
         delays = [gateway.store.delay_seconds for gateway in world.gateways]
         resets_connections = world.store.reset_at != world.own_reset_at
--- a/tests/soak/test_drain_ledger.py
+++ b/tests/soak/test_drain_ledger.py
@@ -1,4 +1,4 @@
-"""What the rig takes for a request that came too late after the store's word."""
+"""Which requests the drain ledger reports as late after the store's acknowledgement."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_a_request_beyond_the_bound_is_late_unless_its_gateway_was_disturbed() -> None:
-    """Counted from the acknowledgement."""
+    """The bound starts at the acknowledgement."""
     ledger = DrainLedger()
     ledger.on_draining("s-1", 10.0, is_removed=False)
     assert not _late(ledger, 10.0 + BOUND)
@@ -25,10 +25,10 @@
 
 
 @pytest.mark.parametrize("heard_for", [PROPAGATION_SECONDS - 0.1, PROPAGATION_SECONDS + 0.1])
-def test_what_the_store_lost_counts_from_the_writing_again_only_if_nobody_heard(
+def test_a_lost_mark_counts_from_its_rewrite_only_if_no_gateway_could_know_it(
     heard_for: float,
 ) -> None:
-    """A gateway that knew must not go back."""
+    """A gateway that already knew that the server drains must not use it again."""
     ledger = DrainLedger()
     ledger.on_draining("s-1", 10.0, is_removed=False)
     ledger.on_unavailable(10.0 + heard_for)
@@ -37,8 +37,8 @@
     assert _late(ledger, 12.1 + BOUND)
 
 
-def test_an_entry_that_goes_just_after_a_return_counts_as_gone_a_while_later() -> None:
-    """It may have lapsed while the store was away; one that says so in a word may not."""
+def test_an_entry_removed_just_after_a_restore_counts_as_removed_later() -> None:
+    """It may have been lost in the restore; an entry that is marked as draining was not."""
     ledger = DrainLedger()
     ledger.on_unavailable(9.0)
     ledger.on_restored(10.0)
--- a/tests/soak/test_soak_checks.py
+++ b/tests/soak/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""The soak's promises are seen when they are broken: each check catches a known-bad history."""
+"""Each check of the soak reports a violation for a known-bad history."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def run(tenant: str = "tenant-1", salt: str = "m:tenant:tenant-1@1", version: int = 1) -> Run:
-    """A proper run of `r`."""
+    """A correct run of `r`."""
     return Run("s", 0.0, tenant, salt, version, 0)
 
 
@@ -37,57 +37,57 @@
 
 
 def unasked(ledger: Ledger) -> None:
-    """A request that nobody sent."""
+    """A request runs that no client sent."""
     ledger.on_run("other", run())
 
 
 def wrong_tenant(ledger: Ledger) -> None:
-    """The run names another tenant than the key's."""
+    """The run has a tenant other than that of the key."""
     ledger.on_run("r", run(tenant="tenant-2"))
 
 
 def revoked(ledger: Ledger) -> None:
-    """The key was taken away long before."""
+    """The key was revoked long before."""
     ledger.revoked_at["key-1"] = -4.0
     ledger.on_run("r", run())
 
 
 def shared_wall(ledger: Ledger) -> None:
-    """An isolated tenant under a shared salt."""
+    """An isolated tenant's request has a shared salt."""
     ledger.on_run("r", run(salt="m:shared@1"))
 
 
 def stale(ledger: Ledger) -> None:
-    """A salt of another weight version."""
+    """The salt has another weight version than the server."""
     ledger.on_run("r", run(version=2))
 
 
 def not_contained(ledger: Ledger) -> None:
-    """A request ends one server after the other."""
+    """A request crashes one server after another."""
     for _ in range(MAX_CRASHES + 1):
         ledger.on_crash("tenant-1", b"body")
 
 
 def false_promise(ledger: Ledger) -> None:
-    """Refused as not run, and it runs later."""
+    """A request is refused as not executed, but runs later."""
     ledger.on_answer("r", 503, b"", True)
     ledger.on_run("r", run())
     ledger.check_late()
 
 
 def foreign_body(ledger: Ledger) -> None:
-    """A whole answer that no server wrote."""
+    """A complete answer that no server wrote."""
     ledger.on_answer("r", 200, b"foreign", True)
 
 
 def shared_token(ledger: Ledger) -> None:
-    """Two holders with one token."""
+    """Two lease holders use the same fencing token."""
     ledger.on_order(ReceivedOrder("s", 0.0, "a", 1))
     ledger.on_order(ReceivedOrder("s", 9.0, "b", 1))
 
 
 def turns(ledger: Ledger) -> None:
-    """Holders take turns within the lease."""
+    """Lease holders alternate within the lease duration."""
     for at, holder, token in ((0.0, "a", 1), (0.5, "b", 2), (1.0, "a", 3)):
         ledger.on_order(ReceivedOrder("s", at, holder, token))
 
@@ -109,7 +109,7 @@
     ],
 )
 def test_broken_promises_are_seen(history) -> None:  # type: ignore[no-untyped-def]
-    """Each known-bad history ends with a violation, and a proper one with none."""
+    """Each known-bad history gives a violation, and a correct one gives none."""
     ledger = new_ledger()
     history(ledger)
     assert ledger.violations
@@ -123,7 +123,7 @@
 
 
 def ended(end: RequestResult | None, seconds: float = 0.0, **more: Any) -> ClientRequest:
-    """A request that was sent, and ended so after some seconds."""
+    """A request that was sent and ended with this result after some seconds."""
     return ClientRequest("r", "stream", sent_at=1.0, ended_at=1.0 + seconds, end=end, **more)
 
 
@@ -163,12 +163,12 @@
 def test_each_end_has_its_verdict(
     asked: ClientRequest, beside: RequestContext, verdict: Verdict
 ) -> None:
-    """What excuses a request without an answer, and what doesn't."""
+    """Which conditions excuse a request without an answer."""
     assert classify(asked, beside) is verdict
 
 
 def test_streams_with_gaps_are_seen() -> None:
-    """A piece that is missing, and a stream that looks complete too early."""
+    """A missing event, a stream that ends too early as complete, and a duplicate event."""
     body = complete_stream("r")
     for got, whole in ((body[20:], False), (body[:-10], True), (body + body[-20:], True)):
         ledger = new_ledger("stream")
@@ -180,10 +180,10 @@
     assert not ledger.violations
 
 
-def test_a_process_that_has_begun_and_does_not_listen_yet_is_not_held_to_know_the_store(
+def test_a_launched_process_that_does_not_listen_yet_need_not_know_the_store(
     tmp_path: Path,
 ) -> None:
-    """Its launch was taken for its beginning: on a busy machine these are seconds apart."""
+    """The check counted from the launch, but on a busy machine a process listens seconds later."""
     gateway = GatewayProcess("front-1", "zone-1", "127.0.0.1:1", tmp_path, SILENT_PROGRAM)
     gateway.start()
     assert gateway.process is not None
--- a/tests/soak/test_soak_large.py
+++ b/tests/soak/test_soak_large.py
@@ -1,4 +1,4 @@
-"""Real gateways on narrow links take a configuration of many routes."""
+"""Real gateways on links of low bandwidth apply configurations with many routes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 CONTENT_MEGABYTES = 0.418
 SEEDS = range(1, 4)
-"""Played until the defect is found."""
+"""Run in this order until the defect is found."""
 RUN = PlannedRun(
     gateways=10,
     clients=16,
@@ -27,7 +27,7 @@
 
 
 def broken_promises(folder: Path, seed: int, mutant: str = "") -> list[str]:
-    """What a run shows of them."""
+    """Guarantees that a run violated."""
     folder.mkdir(exist_ok=True)
     report = asyncio.run(planned_soak(seed, folder, replace(RUN, mutant=mutant)))
     way = report["configuration"]
@@ -41,11 +41,11 @@
 
 
 def test_a_large_configuration_is_not_copied_to_each_gateway(tmp_path: Path) -> None:
-    """The zones' readers tell the others what has changed, and all of them take it."""
+    """The zones' readers send patches to their followers, and all gateways apply them."""
     assert broken_promises(tmp_path, 1) == []
 
 
 @pytest.mark.parametrize("mutant", LARGE_MUTANTS)
-def test_a_defect_on_the_way_of_a_configuration_is_found(tmp_path: Path, mutant: str) -> None:
-    """By what callers are answered, or by what the links carry."""
+def test_a_defect_in_propagating_a_configuration_is_found(tmp_path: Path, mutant: str) -> None:
+    """The answers to clients, or the traffic on the links, reveal it."""
     assert any(broken_promises(tmp_path / str(seed), seed, mutant) for seed in SEEDS)
--- a/tests/soak/test_soak_mutants.py
+++ b/tests/soak/test_soak_mutants.py
@@ -1,4 +1,4 @@
-"""The rig of planned work finds known defects of real gateway processes, and none without one."""
+"""Planned-maintenance runs detect known defects of real gateways, and report none without one."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 from soak.seeds import Report
 
 SECONDS = 8.0
-"""Two or three stops."""
+"""Time for two or three gateway stops."""
 CLIENTS = 24
 SEEDS = range(1, 7)
-"""Played until the defect is found: on a starved machine a run has one stop, and few clients."""
+"""Run in this order until the defect is found: on an overloaded machine a run may have only one
+stop and few requests."""
 
 
 SILENT_RUN = PlannedRun(gateways=2, clients=CLIENTS, seconds=SECONDS, stops=False)
@@ -37,7 +38,7 @@
 
 
 def run_mutant(folder: Path, mutant: str, seed: int) -> Report:
-    """A short run of two gateways that stop in turn."""
+    """Run two gateways that stop in turn for a short time."""
     folder.mkdir()
     run = PlannedRun(
         gateways=2, clients=CLIENTS, seconds=SECONDS, at_a_time=1, direct=True, mutant=mutant
@@ -47,13 +48,13 @@
 
 @pytest.mark.parametrize("mutant", MUTANTS)
 def test_a_known_defect_is_found(tmp_path: Path, mutant: str) -> None:
-    """Each loses requests in its own way, some only when a client comes in the wrong moment."""
+    """Each defect loses requests, some only if a client's timing is unfortunate."""
     assert any(run_mutant(tmp_path / str(seed), mutant, seed)["lost"] for seed in SEEDS)
 
 
 @pytest.mark.parametrize("mutant", SILENCE_MUTANTS)
 def test_a_defect_in_judging_silence_is_found(tmp_path: Path, mutant: str) -> None:
-    """A stream is cut while its server works, or a server is blamed for the gateway's pause."""
+    """A stream is aborted while its server works, or a server is ejected for a gateway's pause."""
 
     def is_found(seed: int) -> bool:
         folder = tmp_path / str(seed)
@@ -67,7 +68,7 @@
 
 @pytest.mark.parametrize("mutant", LIMIT_MUTANTS)
 def test_a_defect_in_keeping_limits_is_found(tmp_path: Path, mutant: str) -> None:
-    """A server gets more than it bears."""
+    """A server receives more requests than it tolerates."""
 
     def is_found(seed: int) -> bool:
         folder = tmp_path / str(seed)
@@ -79,8 +80,8 @@
 
 
 @pytest.mark.parametrize("mutant", SIGNAL_MUTANTS)
-def test_a_defect_in_heeding_what_servers_say_is_found(tmp_path: Path, mutant: str) -> None:
-    """A server that leaves or rests gets requests on."""
+def test_a_defect_in_honouring_server_signals_is_found(tmp_path: Path, mutant: str) -> None:
+    """A draining or backing-off server still receives requests."""
 
     def is_found(seed: int) -> bool:
         folder = tmp_path / str(seed)
@@ -91,8 +92,8 @@
     assert any(is_found(seed) for seed in SEEDS)
 
 
-def test_a_defect_in_placing_the_store_s_states_is_found(tmp_path: Path) -> None:
-    """Gateways that take a revision for a place in the history don't know what the store holds."""
+def test_a_defect_in_ordering_store_positions_is_found(tmp_path: Path) -> None:
+    """Gateways that compare revisions without their era miss contents of a restored store."""
 
     def is_found(seed: int) -> bool:
         folder = tmp_path / str(seed)
@@ -103,32 +104,34 @@
     assert any(is_found(seed) for seed in SEEDS)
 
 
-def test_sound_gateways_know_a_store_that_comes_back_and_lose_nothing(tmp_path: Path) -> None:
-    """The same run without a defect, beside stops."""
+def test_correct_gateways_know_a_restored_store_and_lose_nothing(tmp_path: Path) -> None:
+    """The same run without a defect, with gateway stops in addition."""
     report = asyncio.run(planned_soak(1, tmp_path, replace(COPY_RUN, stops=True)))
     assert report["store"] and not report["lost"] and not report["violations"]
 
 
-def test_sound_gateways_heed_what_servers_say_and_lose_nothing(tmp_path: Path) -> None:
-    """The same run without a defect, beside stops."""
+def test_correct_gateways_honour_server_signals_and_lose_nothing(tmp_path: Path) -> None:
+    """The same run without a defect, with gateway stops in addition."""
     report = asyncio.run(planned_soak(1, tmp_path, replace(SIGNAL_RUN, stops=True)))
     assert report["signals"] and not report["lost"] and not report["violations"]
 
 
-def test_sound_gateways_keep_limits_and_lose_nothing(tmp_path: Path) -> None:
-    """The same run without a defect, beside stops."""
+def test_correct_gateways_keep_limits_and_lose_nothing(tmp_path: Path) -> None:
+    """The same run without a defect, with gateway stops in addition."""
     report = asyncio.run(planned_soak(1, tmp_path, replace(LIMITED_RUN, stops=True)))
     assert report["limits"] and not report["lost"] and not report["violations"]
 
 
 @pytest.mark.parametrize("mutant", SILENCE_MUTANTS)
-def test_a_sound_gateway_hands_streams_on_and_blames_nobody(tmp_path: Path, mutant: str) -> None:
+def test_a_correct_gateway_hands_streams_over_and_ejects_no_server(
+    tmp_path: Path, mutant: str
+) -> None:
     """The same runs without the defect."""
     report = asyncio.run(planned_soak(1, tmp_path, RUNS[mutant]))
     assert report["requests"] and not report["lost"] and not report["violations"]
 
 
-def test_a_sound_gateway_loses_nothing(tmp_path: Path) -> None:
+def test_a_correct_gateway_loses_nothing(tmp_path: Path) -> None:
     """The same run without a defect."""
     report = run_mutant(tmp_path / "sound", "", 1)
     assert report["stops"] and not report["lost"] and not report["violations"]
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes, and everything round them in one event loop."""
+"""Gateways as real processes, with their whole environment in one event loop."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 HOST = "127.0.0.1"
 ZONES = ("zone-1", "zone-2")
-"""One gateway of each zone reads the store; the others follow it."""
+"""In each zone, one gateway reads the store and the others follow it."""
 DEFAULT_GATEWAYS = 5
 GATEWAY_PROGRAM = ("-m", "milletcourse.platform")
 GATEWAY_KIND = "milletcourse-gateways"
@@ -54,18 +54,18 @@
 RETIRE_TIMEOUT_SECONDS = 6.0
 MAX_REVOKED_CLIENT_KEYS = 3
 LISTEN_TIMEOUT_SECONDS = 10.0
-"""A process that was launched says by now that it listens, however busy the machine is."""
+"""Time within which a launched process logs that it listens, even on a busy machine."""
 STARTUP_SECONDS = 1.0
-"""A process may have begun so long before it knows anything."""
+"""Time after its launch during which a process may not know the store yet."""
 STABLE_SECONDS = 3.0
-"""An acknowledgement counts from a store that was well so long before it."""
+"""An acknowledgement counts only if the store was undisturbed for this long before it."""
 STALE_ENTRY_SECONDS = 1.0
-"""The entry of a server that crashed stands this long after its successor's came."""
+"""Time for which a crashed server's entry remains after its successor's was written."""
 ISOLATED = frozenset({"tenant-1"})
 
 
 def newest_route(version: int) -> dict[str, Any]:
-    """A route that only this version has."""
+    """A route that only this configuration version has."""
     return {
         "Name": f"since-{version}",
         "Host": "site.example",
@@ -77,10 +77,10 @@
 
 
 def reserve_port() -> socket.socket:
-    """Keeps a port for a process that ends and starts again.
+    """Reserve a port for a process that restarts.
 
-    Bound and not listening, so that the process may listen there and nobody else gets the port
-    while it is down.
+    The socket is bound but does not listen, so that the process can listen on the port, and no
+    other process gets it while this one is down.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -90,14 +90,14 @@
 
 @dataclass
 class Disturbance:
-    """A gateway was killed until it starts again, or frozen; in monotonic seconds."""
+    """Interval in which a gateway was killed or suspended, in monotonic seconds."""
 
     began_at: float
     ended_at: float = math.inf
 
 
 class GatewayProcess:
-    """One gateway on a fixed address, started again when it ends."""
+    """One gateway on fixed addresses, which is restarted when it exits."""
 
     def __init__(
         self,
@@ -112,14 +112,14 @@
         self.name = name
         self._program = program
         self.link = Link(link_megabits) if link_megabits else None
-        """What the store, followers and, on demand, callers share; None for no bound."""
+        """Link shared by the store, followers and, if requested, clients; None for no limit."""
         links = (self.link,) if self.link is not None else ()
         self.store = FaultProxy(store, links)
         self._reservations = [reserve_port() for _ in range(4)]
         ports = [item.getsockname()[1] for item in self._reservations]
         frontend, readiness, internal, operators = ports
         self.operators = f"{HOST}:{operators}"
-        """Where operators ask it, when it was started with `serves_state`."""
+        """Address of the operator API, if it was started with `serves_state`."""
         self.serves_state = False
         self.frontend = f"{HOST}:{frontend}"
         self.readiness = f"{HOST}:{readiness}"
@@ -140,15 +140,15 @@
         self._document = document
         self.process: subprocess.Popen[bytes] | None = None
         self.descriptors = 0
-        """Most descriptors that the process may have open; 0 for the machine's usual bound."""
+        """File descriptor limit of the process; 0 for the machine's default."""
         self.suspensions: list[Disturbance] = []
-        """When it was held for a moment, and judged all the same by how requests end."""
+        """Short suspensions, which do not excuse lost requests."""
         self._disturbances: list[Disturbance] = []
         self._started_at: list[float] = []
         self._listening_since: float | None = None
 
     async def open_proxies(self) -> None:
-        """What stands before the store, the followers and, on a bounded link, the callers."""
+        """Start the proxies for the store, the feed and, on a limited link, the clients."""
         await self.store.start()
         await self.feed.start()
         if self._callers is not None:
@@ -158,7 +158,7 @@
         self._settings.write_text(json.dumps(document))
 
     async def close_proxies(self) -> None:
-        """Nothing reaches it any more."""
+        """Close the proxies."""
         await self.store.close()
         await self.feed.close()
         if self._callers is not None:
@@ -189,7 +189,7 @@
         return [f"{port}/metrics"] if self.serves_state else []
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal if the process runs."""
         if self.process is None or self.process.poll() is not None:
             return
         now = time.monotonic()
@@ -200,15 +200,15 @@
         self.process.send_signal(number)
 
     def was_disturbed(self, begin: float, end: float) -> bool:
-        """Whether it was killed or frozen at some time of a stretch."""
+        """Whether it was killed or suspended at any time in an interval."""
         return any(item.began_at <= end and item.ended_at >= begin for item in self._disturbances)
 
     def was_suspended(self, begin: float, end: float) -> bool:
-        """Whether it stood still for a moment in a stretch."""
+        """Whether it had a short suspension in an interval."""
         return any(item.began_at <= end and item.ended_at >= begin for item in self.suspensions)
 
     def has_run_undisturbed(self, begin: float, end: float) -> bool:
-        """Whether it ran and reached the store for a whole stretch, by all that is known of it."""
+        """Whether it ran and could reach the store and its feed during a whole interval."""
         if not self.is_running() or self.was_starting(begin, end):
             return False
         if self.was_suspended(begin, end):
@@ -219,19 +219,19 @@
         )
 
     def has_started_between(self, begin: float, end: float) -> bool:
-        """Whether a process of it started in a stretch, and knew nothing of what was before."""
+        """Whether a process of it was launched in an interval, and so lost all earlier state."""
         return any(begin <= at <= end for at in self._started_at)
 
     def was_starting(self, begin: float, end: float) -> bool:
-        """Whether the running process was launched, or said that it listens, in a stretch or later.
+        """Whether the running process was launched in an interval, or listens only since its begin.
 
-        On a busy machine seconds go by between the two.
+        On a busy machine these two can be seconds apart.
         """
         began_at = self.listening_since()
         return began_at is None or began_at >= begin or self.has_started_between(begin, end)
 
     def listening_since(self) -> float | None:
-        """Monotonic time at which the running process said that it listens; None before."""
+        """Monotonic time at which the running process logged that it listens; None before that."""
         if self._listening_since is None:
             self._listening_since = self._read_listening_since()
         return self._listening_since
@@ -242,31 +242,31 @@
             return None
         ago = time.time() - datetime.fromisoformat(said[-1]).timestamp()
         at = time.monotonic() - ago
-        # An earlier process may have ended before it said so.
+        # The last line may be that of an earlier process.
         return at if at >= self._started_at[-1] else None
 
     def is_late(self, now: float) -> bool:
-        """Whether the running process should have said that it listens."""
+        """Whether the running process has exceeded the time to log that it listens."""
         if not self.is_running() or self.listening_since() is not None:
             return False
         since = self._started_at[-1]
         return now - since > LISTEN_TIMEOUT_SECONDS and not self.was_disturbed(since, now)
 
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def has_started(self) -> bool:
-        """Whether the running process has said that it listens."""
+        """Whether the running process has logged that it listens."""
         return self.listening_since() is not None
 
     def release_ports(self) -> None:
-        """It isn't started again."""
+        """Release the reserved ports once it is not restarted any more."""
         for reservation in self._reservations:
             reservation.close()
 
     def log_lines(self) -> list[dict[str, Any]]:
-        """The JSON lines that it has written."""
+        """All JSON log lines of its processes."""
         found = []
         for line in self._log.read_text(errors="replace").splitlines():
             if line.startswith("{"):
@@ -278,7 +278,7 @@
 
 
 class SoakWorld:
-    """Store, servers behind proxies, gateways, operator."""
+    """Store, servers behind proxies, gateways and operator."""
 
     def __init__(
         self,
@@ -290,18 +290,19 @@
         self._gateway_count = gateways
         self.descriptors = 0
         self.link_megabits = 0.0
-        """Link of each gateway; 0 for no bound."""
+        """Link bandwidth of each gateway; 0 for no limit."""
         self.link_callers = False
-        """Whether callers come over the link, too: not where gateways end, since what stands before
-        them takes connections in their place."""
+        """Whether clients share the link. Not usable if gateways stop, since the proxy would accept
+        connections in their place."""
         self.routes: list[dict[str, Any]] = []
-        """Further routes of the configuration."""
+        """Additional routes of the configuration."""
         self.configurations: list[tuple[float, int]] = []
-        """Monotonic time of each acknowledgement, and its version."""
+        """Monotonic time of each acknowledgement, with the configuration version."""
         self.probes: Counter[int] = Counter()
-        """Answers to requests for routes that must be in force, by status."""
+        """Number of answers to requests for routes that must be in force, by status."""
         self.max_connections = 0
-        """Connections that each server takes, as the configuration says; 0 for no bound."""
+        """Connection limit of each server, also in the configuration; 0 for none at servers and the
+        default in the configuration."""
         self._program = program
         self.random = random.Random(seed)
         self.folder = folder
@@ -312,39 +313,39 @@
         self.servers: dict[str, SoakServer] = {}
         self.server_proxies: dict[str, FaultProxy] = {}
         self._all_server_proxies: dict[str, list[FaultProxy]] = {}
-        """All proxies that ever stood before a server."""
+        """All proxies that each server ever had."""
         self.gateways: list[GatewayProcess] = []
         self.version = 1
         self.configuration_version = 1
         self.keys = dict(TENANTS)
         self.client_keys = list(TENANTS)
-        """What clients use: keys that are valid, and some that were taken away."""
+        """API keys that clients use: valid ones and some revoked ones."""
         self.ended = False
         self._have_all_listened = False
         self._all_killed_at = time.monotonic()
         self.serves_state = False
-        """Whether operators may ask the gateways what they know of the store."""
+        """Whether gateways serve their view of the store to operators."""
         self.store_restored = asyncio.Event()
         self.restores: list[float] = []
-        """Monotonic times at which the store came back from a copy."""
+        """Monotonic times at which the store was restored from a snapshot."""
         self.is_restoring = False
-        """The store is away, or lacks what the operator and the servers write again."""
+        """The store is unavailable for a restore, or lost objects are not rewritten yet."""
         self.own_reset_at = float("-inf")
-        """When the store's connections were last broken by a return."""
+        """Time at which a restore last reset the store's connections."""
         self._unacknowledged_keys: set[str] = set()
-        """Revoked while the store answered nobody, the operator included."""
+        """Keys revoked while the store was unavailable, also to the operator."""
         self.store_disturbances: list[float] = []
-        """Monotonic times at which the store, or the way to it, was seen away or slow, but for
-        returns from copies."""
+        """Monotonic times at which the store, or a connection to it, was observed as unavailable or
+        slow for reasons other than restores."""
         self.terminated_servers: set[str] = set()
-        """Their entries may stand for a while, or be back with a copy."""
+        """Servers that have exited; their entries may remain for a while, or reappear in restores."""
         self.drains = DrainLedger()
         self.matched = 0
-        """Gateways that knew what the store held, when they were asked after a return."""
+        """Number of checks after restores in which a gateway knew the store's contents."""
         self.stops = 0
         self.suspensions = 0
         self.clock = AttendedClock()
-        # A close that waits in this process, which carries it, is not the gateway's delay.
+        # A close that waits in this process's proxies is not a delay of the gateway.
         self.ledger.now = self.clock.seconds
         self.requests: list[ClientRequest] = []
         self.servers_are_healthy = True
@@ -352,7 +353,7 @@
         self._restarts: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Everything up and ready."""
+        """Start store, servers and gateways."""
         await self.store.start()
         self.publish_version()
         self.put_configuration()
@@ -378,10 +379,10 @@
             self.gateways.append(gateway)
 
     async def add_server(self, service: str) -> SoakServer:
-        """A new incarnation behind a proxy, entered into the store."""
+        """Start a new server behind a proxy and write its entry to the store."""
         self._numbers += 1
         version = self.version if service == "engine" else None
-        # Unlike those of a soak beside this one, whose server may get a port of this one's.
+        # The PID makes names unique: a server of a concurrent soak may get a port freed here.
         name = f"{service}-{self._numbers}-{os.getpid()}"
         server = SoakServer(name, service, self.ledger, self.random, version)
         server.on_crash = self._on_crash
@@ -396,13 +397,13 @@
         return server
 
     def write_entry(self, server: SoakServer) -> None:
-        """Write a server's entry."""
+        """Write a server's entry to the store."""
         self.store.put(
             "servers", server.name, server.entry(self.server_proxies[server.name].address)
         )
 
     async def restart_server(self, name: str, keeps_port: bool) -> None:
-        """A server ends, and starts again under its name; its entry lags by a heartbeat."""
+        """Restart a server with the same name; its entry is updated with the next heartbeat."""
         before = self.servers.pop(name)
         await before.crash()
         proxy = self.server_proxies[name]
@@ -423,7 +424,7 @@
         await moved.start()
 
     async def remove_server(self, name: str) -> None:
-        """A server ends at once; its entry goes."""
+        """Terminate a server immediately and remove its entry."""
         server = self.servers.pop(name)
         self.terminated_servers.add(name)
         await server.crash()
@@ -432,7 +433,12 @@
             self.store.remove("servers", name)
 
     def announce_draining(self, name: str, by_state: bool) -> None:
-        """A server's entry says that it leaves, or goes without a word; it serves on."""
+        """Mark a server's entry as draining, or remove it; the server keeps serving.
+
+        Args:
+            name: Name of the server.
+            by_state: Mark the entry as draining instead of removing it.
+        """
         server = self.servers[name]
         server.draining = True
         if by_state:
@@ -442,7 +448,7 @@
         self.drains.on_draining(name, time.monotonic(), is_removed=not by_state)
 
     async def retire_server(self, name: str) -> None:
-        """A server ends when its work is done, or its patience over."""
+        """Terminate a server when its requests have finished, or after a timeout."""
         server = self.servers.get(name)
         ends_at = time.monotonic() + RETIRE_TIMEOUT_SECONDS
         while server is not None and server.requests and time.monotonic() < ends_at:
@@ -451,13 +457,13 @@
             await self.remove_server(name)
 
     def on_all_killed(self) -> None:
-        """All gateways end at the same moment, and know nothing when they start again."""
+        """All gateways were killed at the same time, and restart without any state."""
         self.ledger.on_all_gateways_killed()
         self._have_all_listened = False
         self._all_killed_at = time.monotonic()
 
     def have_all_listened(self, seconds: float) -> bool:
-        """Whether, since all began or ended together, all have listened for so long."""
+        """Whether all gateways have listened for this long since they last started together."""
         if not self._have_all_listened:
             since = [gateway.listening_since() for gateway in self.gateways]
             until = time.monotonic() - seconds
@@ -466,13 +472,13 @@
         return self._have_all_listened
 
     def check_own_tasks(self, tasks: Sequence[asyncio.Task[None]]) -> None:
-        """No part of the rig itself has ended by a defect."""
+        """Check that no task of the rig itself has failed."""
         for task in tasks:
             if task.done() and task.exception() is not None:
                 self.ledger.violate("soak", repr(task.exception()))
 
     def check_signals(self) -> None:
-        """Servers that leave or rest got no more than they may from gateways that ran on."""
+        """Check that undisturbed gateways honoured servers' draining and back-off."""
         gateways = {gateway.name: gateway for gateway in self.gateways}
 
         def was_disturbed(name: str, server: str, begin: float, end: float) -> bool:
@@ -501,12 +507,12 @@
             self.ledger.violate("draining", f"{late}")
 
     def _on_crash(self, name: str) -> None:
-        """A request ended a server's process."""
+        """A request crashed a server's process."""
         self._restarts.add(task := asyncio.create_task(self._restart(name)))
         task.add_done_callback(self._restarts.discard)
 
     async def _restart(self, name: str) -> None:
-        """Its entry stands for some heartbeats; another incarnation comes after a while."""
+        """Add a new server after a delay; the crashed one's entry remains for some heartbeats."""
         server = self.servers.pop(name, None)
         if server is None:
             return
@@ -520,15 +526,15 @@
         self.store.remove("servers", name)
 
     def was_store_disturbed(self, begin: float, end: float) -> bool:
-        """Whether another fault than a return kept the store from gateways in a stretch."""
+        """Whether a fault other than a restore disturbed the store in an interval."""
         return any(begin <= at <= end for at in self.store_disturbances)
 
     def on_store_unavailable(self) -> None:
-        """The store answers nobody until it returns."""
+        """The store becomes unavailable until it is restored."""
         self.drains.on_unavailable(time.monotonic())
 
     def on_store_restored(self) -> None:
-        """The store has come back from a copy."""
+        """The store has been restored from a snapshot."""
         now = time.monotonic()
         self.restores.append(now)
         self.drains.on_restored(now)
@@ -538,13 +544,13 @@
         self.store_restored.set()
 
     async def watch_event_loop(self) -> None:
-        """Servers and clients live in this process: while it stands still, they are silent."""
+        """Measure event-loop stalls, in which this process's servers and clients are silent."""
         while True:
             self.clock.expect_turn(LOOP_INTERVAL_SECONDS)
             await asyncio.sleep(LOOP_INTERVAL_SECONDS)
 
     async def send_heartbeats(self) -> None:
-        """Servers show changed versions in their entries, with a lag."""
+        """Update servers' entries periodically after their state has changed."""
         while not self.ended:
             await asyncio.sleep(0.6)
             self._put_proxies_before_feeds()
@@ -557,7 +563,7 @@
                     self.write_entry(server)
 
     def _put_proxies_before_feeds(self) -> None:
-        """Followers reach their reader through a proxy: its entry is rewritten."""
+        """Rewrite gateways' entries so that followers reach their reader through its proxy."""
         entries = self.store.objects.get(GATEWAY_KIND, {})
         for gateway in self.gateways:
             stored = entries.get(gateway.name)
@@ -566,7 +572,7 @@
                 self.store.put(GATEWAY_KIND, gateway.name, spec)
 
     async def restart_exited_gateways(self) -> None:
-        """The platform starts a process again that has ended."""
+        """Restart gateway processes that have exited, as the platform does."""
         while not self.ended:
             await asyncio.sleep(0.2)
             for gateway in self.gateways:
@@ -574,7 +580,7 @@
                     gateway.start()
 
     def verdicts(self) -> dict[str, Verdict]:
-        """What the end of each request says of its gateway."""
+        """Classify the result of each request."""
         gateways = {gateway.name: gateway for gateway in self.gateways}
         found = {}
         for request in self.requests:
@@ -591,12 +597,12 @@
     # -- operator -------------------------------------------------------------------------------
 
     def publish_version(self) -> None:
-        """Name newer weights."""
+        """Publish a newer weight version."""
         self.version += 1
         self.store.put("versions", MODEL, {"Model": MODEL, "Version": self.version})
 
     def put_configuration(self) -> None:
-        """The next version of the configuration, with the keys that are valid now."""
+        """Write the next configuration version, with the keys that are valid now."""
         self.configuration_version += self.random.randint(1, 3)
         tenants = [
             {"Name": tenant, "ApiKeys": [key], "Isolated": tenant in ISOLATED}
@@ -611,7 +617,7 @@
         self.configurations.append((time.monotonic(), self.configuration_version))
 
     def revoke(self, key: str) -> None:
-        """Take a key away for good."""
+        """Revoke a key permanently."""
         del self.keys[key]
         self.put_configuration()
         self.ledger.revoked_at[key] = asyncio.get_running_loop().time()
@@ -620,14 +626,14 @@
             self.ledger.revoked_at[key] = math.inf
 
     def replace_key(self, key: str, successor: str) -> None:
-        """Take a key away, and give its tenant another one; clients use both for a while."""
+        """Revoke a key and issue its tenant a new one; clients use both for a while."""
         self.keys[successor] = self.ledger.tenants[successor] = self.keys[key]
         self.revoke(key)
         spent = [used for used in self.client_keys if used not in self.keys]
         self.client_keys = [*spent[-MAX_REVOKED_CLIENT_KEYS:], *self.keys]
 
     async def stop(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         self.ended = True
         for gateway in self.gateways:
             gateway.send(signal.SIGCONT)
--- a/tests/soak/writers.py
+++ b/tests/soak/writers.py
@@ -1,4 +1,4 @@
-"""Servers that start again under their names, and entries of other writers, beside all faults."""
+"""Servers that restart with the same names, and malformed entries of other writers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def restart_servers(world: SoakWorld) -> None:
-    """One after the other, on the port that it had or another one."""
+    """Restart one server after another, on the same port or a different one."""
     while True:
         await asyncio.sleep(world.random.uniform(*RESTART_SECONDS))
         name = world.random.choice(list(world.servers))
@@ -35,7 +35,7 @@
 
 
 async def write_strange_entries(world: SoakWorld) -> None:
-    """Beside the servers' entries and the gateways'; some go again."""
+    """Write malformed entries among the servers' and gateways' entries, and remove some again."""
     written = 0
     while True:
         await asyncio.sleep(world.random.uniform(*WRITE_SECONDS))
