--- a/tests/child_processes.py
+++ b/tests/child_processes.py
@@ -14,11 +14,11 @@
 _LIBC = ctypes.CDLL(None)
 
 
-def _end_with_parent() -> None:
+def _kill_with_parent() -> None:
     _LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def start_child(arguments: list[str], **how: Any) -> subprocess.Popen[Any]:
+def start_child(arguments: list[str], **options: Any) -> subprocess.Popen[Any]:
     """Start a process that ends with this one, however this one ends.
 
     One that is left behind calls the ports that it knew for good. The kernel gives these to the
@@ -28,25 +28,25 @@
         arguments: Program and arguments.
         how: Further arguments of `subprocess.Popen`.
     """
-    return subprocess.Popen(arguments, preexec_fn=_end_with_parent, **how)
+    return subprocess.Popen(arguments, preexec_fn=_kill_with_parent, **options)
 
 
 def running_children() -> list[str]:
     """Command lines of this process' children that still run."""
-    numbers = [
-        int(number)
+    pids = [
+        int(pid)
         for thread in Path("/proc/self/task").iterdir()
-        for number in _read_of_living(thread / "children").split()
+        for pid in _read_if_alive(thread / "children").split()
     ]
-    return [line for line in map(_command_line, numbers) if line]
+    return [line for line in map(_command_line, pids) if line]
 
 
-def _command_line(number: int) -> str:
+def _command_line(pid: int) -> str:
     """Of a process; empty for one that has ended."""
-    return _read_of_living(Path(f"/proc/{number}/cmdline")).replace("\0", " ").strip()
+    return _read_if_alive(Path(f"/proc/{pid}/cmdline")).replace("\0", " ").strip()
 
 
-def _read_of_living(path: Path) -> str:
+def _read_if_alive(path: Path) -> str:
     """What a file of a thread or process says; empty when that has ended meanwhile."""
     try:
         return path.read_text()
@@ -54,10 +54,10 @@
         return ""
 
 
-def is_running(number: int) -> bool:
+def is_running(pid: int) -> bool:
     """Whether a process runs."""
     try:
-        os.kill(number, 0)
+        os.kill(pid, 0)
     except ProcessLookupError:
         return False
-    return bool(_command_line(number))
+    return bool(_command_line(pid))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_process_is_left() -> Iterator[None]:
+def no_child_process_remains() -> Iterator[None]:
     """What a test started has ended with it."""
     before = running_children()
     yield
--- a/tests/defect_searches.py
+++ b/tests/defect_searches.py
@@ -50,7 +50,7 @@
     """
 
     machine: type[RuleBasedStateMachine]
-    how: settings
+    search_settings: settings
     defect: Callable[[], AbstractContextManager[None]] = nullcontext
 
 
@@ -91,20 +91,23 @@
             importlib.import_module(module.name)
 
 
-def play(task: tuple[str, int]) -> tuple[str, bool, float]:
+def run_search(task: tuple[str, int]) -> tuple[str, bool, float]:
     """One run: its search, whether it found the defect, and its seconds."""
     name, number = task
     _load_all_modules()
     search = searches()[name]
-    how = settings(
-        search.how, phases=(Phase.generate,), derandomize=False, report_multiple_bugs=False
+    search_settings = settings(
+        search.search_settings,
+        phases=(Phase.generate,),
+        derandomize=False,
+        report_multiple_bugs=False,
     )
     began_at = time.monotonic()
     machine: Any = seed(number)(type(search.machine.__name__, (search.machine,), {}))
     is_found = False
     with search.defect():
         try:
-            run_state_machine_as_test(machine, settings=how)
+            run_state_machine_as_test(machine, settings=search_settings)
         except AssertionError:
             is_found = True
     return name, is_found, time.monotonic() - began_at
@@ -120,7 +123,7 @@
     tasks = [(name, number) for name in names for number in range(1, arguments.runs + 1)]
     done: dict[str, list[tuple[bool, float]]] = {name: [] for name in names}
     with get_context("spawn").Pool(PROCESSES) as pool:
-        for name, is_found, seconds in pool.imap_unordered(play, tasks):
+        for name, is_found, seconds in pool.imap_unordered(run_search, tasks):
             done[name].append((is_found, seconds))
     missed = 0
     for name, runs in done.items():
--- a/tests/exchange/evidence/test_crash_evidence.py
+++ b/tests/exchange/evidence/test_crash_evidence.py
@@ -285,12 +285,12 @@
     """Soon after they are reachable again."""
     fleet = Fleet(30, 4)
     fleet.run(1.0)
-    fleet.cut = set(fleet.names[10:20])
-    fleet.names = [name for name in fleet.names if name not in fleet.cut]
+    fleet.partitioned = set(fleet.names[10:20])
+    fleet.names = [name for name in fleet.names if name not in fleet.partitioned]
     _crash_three_servers(fleet)
     fleet.names = sorted(fleet.exchanges)
-    assert not _contained_at(fleet) & fleet.cut
-    fleet.cut = set()
+    assert not _contained_at(fleet) & fleet.partitioned
+    fleet.partitioned = set()
     fleet.run(1.5)
     assert _contained_at(fleet) == set(fleet.names)
 
--- a/tests/exchange/evidence/test_crash_machine.py
+++ b/tests/exchange/evidence/test_crash_machine.py
@@ -33,9 +33,9 @@
     def reader_of(self, name: str) -> str:
         """See `Fleet.reader_of`."""
         own = super().reader_of(name)
-        if own not in self.cut or name in self.cut:
+        if own not in self.partitioned or name in self.partitioned:
             return own
-        return next((reader for reader in self.readers if reader not in self.cut), own)
+        return next((reader for reader in self.readers if reader not in self.partitioned), own)
 
 
 class CrashingFleet(RuleBasedStateMachine):
@@ -68,7 +68,7 @@
         return evidence.containment(identity, self.fleet.now) is not None
 
     def _connected_since(self, name: str) -> float:
-        return float("inf") if name in self.fleet.cut else self.connected_at[name]
+        return float("inf") if name in self.fleet.partitioned else self.connected_at[name]
 
     @rule(number=gateways)
     def caller_repeats(self, number: int) -> None:
@@ -83,8 +83,8 @@
         self._pass(CRASH_SECONDS)
         self._crash_server([(name, CRASHING, sent_at)])
         # The evidence of a partitioned gateway may be lost with its process.
-        self.crashes += name not in fleet.cut
-        if self.crashes == 3 and name not in fleet.cut:
+        self.crashes += name not in fleet.partitioned
+        if self.crashes == 3 and name not in fleet.partitioned:
             self.third_crash_at = fleet.now
 
     def _crash_server(self, running: list[tuple[str, int, float]]) -> None:
@@ -124,9 +124,9 @@
     def some_are_cut_off(self, cut: set[int]) -> None:
         """Partition gateways from all others, both ways; the previous partition heals."""
         self._pass(REPORT_SECONDS)
-        before = self.fleet.cut
-        self.fleet.cut = {self.fleet.names[number] for number in cut}
-        for name in before - self.fleet.cut:
+        before = self.fleet.partitioned
+        self.fleet.partitioned = {self.fleet.names[number] for number in cut}
+        for name in before - self.fleet.partitioned:
             self.connected_at[name] = self.fleet.now
 
     @invariant()
--- a/tests/exchange/load/test_load_exchange.py
+++ b/tests/exchange/load/test_load_exchange.py
@@ -82,7 +82,7 @@
     fleet = Fleet(9, 5)
     fleet.shuffle_loads()
     fleet.run(0.5)
-    fleet.dead.add(fleet.readers[0])
+    fleet.stopped.add(fleet.readers[0])
     fleet.run(2 * STALE_SECONDS + 1.0)
     followers = [name for name in fleet.names if fleet.reader_of(name) == fleet.readers[0]]
     for name in followers:
@@ -93,7 +93,7 @@
                         fleet.exchanges[name].others_load(load.key, fleet.now).running
                         >= load.running
                     )
-    fleet.dead.clear()
+    fleet.stopped.clear()
     fleet.run(2 * STALE_SECONDS + 1.0)
     for name in fleet.names:
         assert fleet.known(name) == fleet.expected(name)
@@ -110,11 +110,11 @@
     fleet.run(1.0)
     for name in fleet.names:
         if name != fleet.names[origin]:
-            assert any(notice in message.notices for message in fleet.heard[name])
+            assert any(notice in message.notices for message in fleet.received[name])
     for name in fleet.names:
-        fleet.heard[name].clear()
+        fleet.received[name].clear()
     fleet.run(3.0)
-    assert not any(message.notices for heard in fleet.heard.values() for message in heard)
+    assert not any(message.notices for received in fleet.received.values() for message in received)
 
 
 def test_a_digest_of_another_reader_is_dropped() -> None:
--- a/tests/gateway/servers/test_leaving_servers.py
+++ b/tests/gateway/servers/test_leaving_servers.py
@@ -10,7 +10,7 @@
 from gateway_harness import Harness, run_with_gateway
 from gateway_standin import Client
 from milletcourse.exchange.load.signal_record import Signal
-from signalling_fleet import Mood, SignallingFleet
+from signalling_fleet import SignallingFleet, SignalState
 
 SIGNAL_SECONDS = 0.5
 OBSERVED_SECONDS = 1.0
@@ -22,9 +22,9 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness, service)
-        await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
-        leaving = await fleet.most_asked(path)
-        fleet.moods[leaving].leaves = True
+        await fleet.start({"s-1": SignalState(), "s-2": SignalState(), "s-3": SignalState()})
+        leaving = await fleet.most_used_server(path)
+        fleet.signal_states[leaving].announces_draining = True
         await fleet.load(SIGNAL_SECONDS, path)
         since = asyncio.get_running_loop().time()
         await fleet.load(OBSERVED_SECONDS, path)
@@ -39,7 +39,9 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(leaves=True), "s-2": Mood()}, gateways=1)
+        await fleet.start(
+            {"s-1": SignalState(announces_draining=True), "s-2": SignalState()}, gateways=1
+        )
         await fleet.load(SIGNAL_SECONDS)
         entry = harness.store.objects["servers"]["s-1"]["Spec"]
         node = fleet.nodes[0]
@@ -59,7 +61,7 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(), "s-2": Mood()}, gateways=1)
+        await fleet.start({"s-1": SignalState(), "s-2": SignalState()}, gateways=1)
         ready = harness.store.objects["servers"]["s-1"]["Spec"]
         instances = fleet.nodes[0].context.instances
         harness.store.put("servers", "s-1", {**ready, "State": "draining"})
@@ -83,7 +85,7 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(leaves=True), "s-2": Mood()})
+        await fleet.start({"s-1": SignalState(announces_draining=True), "s-2": SignalState()})
         await fleet.load(SIGNAL_SECONDS)
         late = await harness.add_gateway("front-9")
         await harness.until(lambda: fleet.knows_all(late, GATEWAYS + 1))
@@ -103,7 +105,13 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(leaves=True), "s-2": Mood(leaves=True)}, gateways=1)
+        await fleet.start(
+            {
+                "s-1": SignalState(announces_draining=True),
+                "s-2": SignalState(announces_draining=True),
+            },
+            gateways=1,
+        )
         await fleet.load(SIGNAL_SECONDS)
         since = asyncio.get_running_loop().time()
         node = fleet.nodes[0]
--- a/tests/gateway/servers/test_server_backoff.py
+++ b/tests/gateway/servers/test_server_backoff.py
@@ -16,7 +16,7 @@
 from milletcourse.exchange.messages.messages import AttemptResult
 from milletcourse.exchange.messages.records import InstanceRecord
 from milletcourse.exchange.servers.instance_table import Instance
-from signalling_fleet import MOST_IN_A_REST, Mood, SignallingFleet
+from signalling_fleet import MAX_SENDS_IN_BACK_OFF, SignallingFleet, SignalState
 
 REST = "2"
 REST_SECONDS = float(REST)
@@ -28,10 +28,10 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness, service)
-        await fleet.start({"s-1": Mood(rest=REST), "s-2": Mood(rest=REST)})
+        await fleet.start({"s-1": SignalState(back_off=REST), "s-2": SignalState(back_off=REST)})
         await fleet.load(1.5 * REST_SECONDS, path)
-        most = {name: each.most_in_a_rest() for name, each in fleet.arrivals.items()}
-        assert max(most.values()) <= MOST_IN_A_REST, most
+        most = {name: each.max_sends_in_back_off() for name, each in fleet.arrivals.items()}
+        assert max(most.values()) <= MAX_SENDS_IN_BACK_OFF, most
         assert set(fleet.statuses()) == {503}
 
     run_with_gateway(scenario)
@@ -42,7 +42,9 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(rest="4"), "s-2": Mood(rest="6")}, gateways=1)
+        await fleet.start(
+            {"s-1": SignalState(back_off="4"), "s-2": SignalState(back_off="6")}, gateways=1
+        )
         await fleet.load(0.5)
         node = fleet.nodes[0]
         client = await Client.connect(node.frontend_address)
@@ -58,10 +60,12 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(rest="1"), "s-2": Mood(rest="1")}, gateways=1)
+        await fleet.start(
+            {"s-1": SignalState(back_off="1"), "s-2": SignalState(back_off="1")}, gateways=1
+        )
         await fleet.load(0.3)
-        for mood in fleet.moods.values():
-            mood.rest = ""
+        for signal_state in fleet.signal_states.values():
+            signal_state.back_off = ""
         await asyncio.sleep(1.0)
         fleet.answers.clear()
         await fleet.load(0.3)
@@ -75,8 +79,8 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness, "engine")
-        await fleet.start({"s-1": Mood(), "s-2": Mood()}, gateways=1)
-        backing_off = await fleet.most_asked("/stream/")
+        await fleet.start({"s-1": SignalState(), "s-2": SignalState()}, gateways=1)
+        backing_off = await fleet.most_used_server("/stream/")
         await _load_until_back_off(fleet, backing_off, "60", "/stream/")
         assert backing_off not in _candidates(fleet, "engine", 0.0)
         fleet.instance(fleet.nodes[0], backing_off).note_version("model-1", 2)
@@ -90,7 +94,7 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(), "s-2": Mood()}, gateways=1)
+        await fleet.start({"s-1": SignalState(), "s-2": SignalState()}, gateways=1)
         await _load_until_back_off(fleet, "s-1", "10", "/safe/")
         assert _candidates(fleet, "app", 9.0) == {"s-2"}
         assert _candidates(fleet, "app", 10.1) == {"s-1", "s-2"}
@@ -100,8 +104,8 @@
 
 async def _load_until_back_off(fleet: SignallingFleet, name: str, rest: str, path: str) -> None:
     """Send requests until a server has requested back-off."""
-    fleet.moods[name].rest = rest
-    while not fleet.arrivals[name].refused_at:
+    fleet.signal_states[name].back_off = rest
+    while not fleet.arrivals[name].back_offs:
         await fleet.load(0.05, path)
 
 
@@ -120,8 +124,12 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        moods = {"s-1": Mood(leaves=True), "s-2": Mood(rest="30"), "s-3": Mood()}
-        await fleet.start(moods, gateways=1)
+        signal_states = {
+            "s-1": SignalState(announces_draining=True),
+            "s-2": SignalState(back_off="30"),
+            "s-3": SignalState(),
+        }
+        await fleet.start(signal_states, gateways=1)
         await fleet.load(1.0)
         node = fleet.nodes[0]
         lines: list[dict[str, Any]] = []
@@ -131,7 +139,7 @@
         await fleet.ask(client, node, "/safe/")
         served = [line for line in lines if line["event"] == "request-served"]
         assert served[0]["kept_from"] == {"s-1": "leaving", "s-2": "resting"}
-        moods["s-3"].leaves = True
+        signal_states["s-3"].announces_draining = True
         await fleet.load(0.2)
         await fleet.ask(client, node, "/safe/")
         failed = [line for line in lines if line["event"] == "request-failed"]
--- a/tests/gateway/store/test_store_restores.py
+++ b/tests/gateway/store/test_store_restores.py
@@ -27,7 +27,7 @@
 from milletcourse.gateway.operator_api import STORE_STATE_PATH
 from milletcourse.gateway.store import registration
 from milletcourse.gateway.store.store_comparison import StoreState
-from signalling_fleet import Mood, SignallingFleet
+from signalling_fleet import SignallingFleet, SignalState
 
 GATEWAYS = "milletcourse-gateways"
 LEASES = "milletcourse-leases"
@@ -67,7 +67,7 @@
     """Gateways with a store that was restored without its latest writes, then written again."""
     harness.store.era = first_era
     fleet = SignallingFleet(harness)
-    await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
+    await fleet.start({"s-1": SignalState(), "s-2": SignalState(), "s-3": SignalState()})
     snapshot = harness.store.take_snapshot()
     await _write_all_kinds(fleet)
     harness.store.restore(snapshot)
@@ -83,7 +83,7 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = await _start_and_restore(harness, first_era)
-        leaving = await fleet.most_asked()
+        leaving = await fleet.most_used_server()
         entry = harness.store.objects["servers"][leaving]["Spec"]
         harness.store.put("servers", leaving, {**entry, "State": "draining"})
         await fleet.load(PROPAGATION_SECONDS)
@@ -118,7 +118,7 @@
 async def _revoke_and_restore(harness: Harness) -> SignallingFleet:
     """Gateways that know that `key-2` is revoked, with a store that has lost the revocation."""
     fleet = SignallingFleet(harness)
-    await fleet.start({"s-1": Mood(), "s-2": Mood()})
+    await fleet.start({"s-1": SignalState(), "s-2": SignalState()})
     snapshot = harness.store.take_snapshot()
     harness.store.put("config", "main", configuration(2, Tenants=ONE_TENANT))
     for node in fleet.nodes:
@@ -325,7 +325,7 @@
         fleet = SignallingFleet(harness)
         harness.store.put("config", "main", configuration())
         snapshot = harness.store.take_snapshot()
-        await fleet.start({"s-1": Mood(), "s-2": Mood()})
+        await fleet.start({"s-1": SignalState(), "s-2": SignalState()})
         names = {node.context.settings.name for node in fleet.nodes}
         await harness.until(lambda: set(harness.store.objects[GATEWAYS]) == names)
         harness.store.restore(snapshot)
@@ -340,8 +340,8 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(), "s-2": Mood(), "s-3": Mood()})
-        departed = await fleet.most_asked()
+        await fleet.start({"s-1": SignalState(), "s-2": SignalState(), "s-3": SignalState()})
+        departed = await fleet.most_used_server()
         snapshot = harness.store.take_snapshot()
         harness.store.remove("servers", departed)
         await fleet.load(PROPAGATION_SECONDS)
@@ -446,7 +446,7 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(), "s-2": Mood()})
+        await fleet.start({"s-1": SignalState(), "s-2": SignalState()})
         await harness.until(lambda: sum(node.context.reads_store for node in fleet.nodes) == 1)
         if found == "missing":
             harness.store.remove("config", "main")
@@ -474,7 +474,7 @@
 
     async def scenario(harness: Harness) -> None:
         fleet = SignallingFleet(harness)
-        await fleet.start({"s-1": Mood(), "s-2": Mood()})
+        await fleet.start({"s-1": SignalState(), "s-2": SignalState()})
         snapshot = harness.store.take_snapshot()
         await _write_all_kinds(fleet)
         harness.store.restore(snapshot, rewrites_lost=False)
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -8,15 +8,15 @@
 
 from gateway_behaviours import (
     failing,
-    foreign_first,
+    foreign_answer_first,
     garbled,
     once_then_whole,
-    promise_without_word,
     reset,
     shedding,
     truncated,
     unframed,
     unframed_reset,
+    unmarked_service_unavailable,
     unsigned,
 )
 from gateway_harness import Harness, run_with_gateway
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [reset, truncated, garbled, unsigned, unframed_reset, promise_without_word]
+    "fault", [reset, truncated, garbled, unsigned, unframed_reset, unmarked_service_unavailable]
 )
 def test_unsafe_request_that_may_have_run_is_not_sent_again(fault: Behaviour) -> None:
     """Without a promise it runs at most once, and the client gets 502 without a signature."""
@@ -99,7 +99,8 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [reset, truncated, garbled, unsigned, unframed_reset, failing, promise_without_word]
+    "fault",
+    [reset, truncated, garbled, unsigned, unframed_reset, failing, unmarked_service_unavailable],
 )
 def test_safe_request_is_repeated_at_another_server(fault: Behaviour) -> None:
     """Once, within the attempts of its route."""
@@ -171,7 +172,7 @@
     """Answers are told apart by the request's id."""
 
     async def scenario(harness: Harness) -> None:
-        server = await harness.add_server("app-1", "app", once_then_whole(foreign_first))
+        server = await harness.add_server("app-1", "app", once_then_whole(foreign_answer_first))
         await harness.start()
         client = await harness.client()
         assert (await client.ask("/unsafe/", "id-1")).body == b"app-1"
--- a/tests/gateway_behaviours.py
+++ b/tests/gateway_behaviours.py
@@ -82,14 +82,14 @@
     writer.write(answer(503, b"", {"Request-Id": request.request_id, "Not-Executed": "1"}))
 
 
-async def promise_without_word(
+async def unmarked_service_unavailable(
     _: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """A 503 that doesn't say that it has not run."""
     writer.write(answer(503, b"", signed(request)))
 
 
-async def foreign_first(
+async def foreign_answer_first(
     server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """A surplus answer of an earlier request comes in the place of the expected one."""
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -32,13 +32,13 @@
 
 def pytest_terminal_summary(terminalreporter: Any, config: pytest.Config) -> None:
     """Print each line with what came of it."""
-    came_of = {
+    outcomes = {
         report.nodeid: outcome
         for stat, outcome in (("xfailed", "failed"), ("xpassed", "passed"))
         for report in terminalreporter.stats.get(stat, [])
     }
     for name, line in _known_failures(config).items():
-        outcome = came_of.get(name, "no test of this run")
+        outcome = outcomes.get(name, "no test of this run")
         terminalreporter.write_line(f"known red, {outcome}: {line}")
 
 
--- a/tests/load_fleet.py
+++ b/tests/load_fleet.py
@@ -21,9 +21,9 @@
         self.exchanges = {name: LoadExchange(name) for name in self.names}
         self.readers = self.names[:ZONES]
         self.loads: dict[str, list[InstanceLoad]] = {name: [] for name in self.names}
-        self.dead: set[str] = set()
-        self.cut: set[str] = set()
-        self.heard: dict[str, list[PeerMessage]] = {name: [] for name in self.names}
+        self.stopped: set[str] = set()
+        self.partitioned: set[str] = set()
+        self.received: dict[str, list[PeerMessage]] = {name: [] for name in self.names}
         self.sent = dict.fromkeys(self.names, 0)
         self.loss = 0.0
         self.now = 100.0
@@ -64,7 +64,7 @@
         for _ in range(round(seconds / TICK_SECONDS)):
             self.now += TICK_SECONDS
             for name in self.names:
-                if name not in self.dead:
+                if name not in self.stopped:
                     self._tick(name)
 
     def _tick(self, name: str) -> None:
@@ -72,16 +72,16 @@
         for outgoing in exchange.tick(self.now, self.loads[name], self.reader_of(name)):
             for receiver in outgoing.receivers:
                 self.sent[name] += 1
-                if receiver in self.dead or self.random.random() < self.loss:
+                if receiver in self.stopped or self.random.random() < self.loss:
                     continue
-                if name in self.cut or receiver in self.cut:
+                if name in self.partitioned or receiver in self.partitioned:
                     continue
                 if self.exchanges[receiver].on_message(outgoing.message, self.now):
-                    self.heard[receiver].append(outgoing.message)
+                    self.received[receiver].append(outgoing.message)
 
     def expected(self, name: str) -> list[InstanceLoad]:
         """The load of all others that live."""
-        others = [other for other in self.names if other != name and other not in self.dead]
+        others = [other for other in self.names if other != name and other not in self.stopped]
         return sum_by_key(*(self.loads[other] for other in others))
 
     def known(self, name: str) -> list[InstanceLoad]:
--- a/tests/signalling_fleet.py
+++ b/tests/signalling_fleet.py
@@ -24,14 +24,14 @@
     "Prompt_Prefix": "5c1e07a2:20,91bd3f06:20",
 }
 """Fits into the stand-ins' memory of 1,000 tokens as often as clients ask."""
-SLOWER_SECONDS = 0.05
-REST_SLACK_SECONDS = 0.5
+HEALTHY_DELAY_SECONDS = 0.05
+BACK_OFF_SLACK_SECONDS = 0.5
 """What arrives so soon after a server asked for rest may have been on its way."""
-MOST_IN_A_REST = 2
+MAX_SENDS_IN_BACK_OFF = 2
 
 
 @dataclass
-class Mood:
+class SignalState:
     """What a server says of itself now.
 
     Attributes:
@@ -39,8 +39,8 @@
         rest: It turns all requests away, and wants nothing for so many seconds; empty for not.
     """
 
-    leaves: bool = False
-    rest: str = ""
+    announces_draining: bool = False
+    back_off: str = ""
 
 
 @dataclass
@@ -53,19 +53,19 @@
     """
 
     by_gateway: dict[str, list[float]] = field(default_factory=dict)
-    refused_at: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
+    back_offs: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
 
     def count_since(self, since: float) -> int:
         """Requests from that time on."""
         return sum(at >= since for times in self.by_gateway.values() for at in times)
 
-    def most_in_a_rest(self) -> int:
+    def max_sends_in_back_off(self) -> int:
         """Most requests that one gateway sent in one rest that the server had asked it for."""
         return max(
             (
-                sum(start + REST_SLACK_SECONDS < at < start + seconds for at in times)
+                sum(start + BACK_OFF_SLACK_SECONDS < at < start + seconds for at in times)
                 for name, times in self.by_gateway.items()
-                for start, seconds in self.refused_at.get(name, ())
+                for start, seconds in self.back_offs.get(name, ())
             ),
             default=0,
         )
@@ -77,15 +77,15 @@
     def __init__(self, harness: Harness, service: str = "app") -> None:
         super().__init__(harness)
         self.service = service
-        self.moods: dict[str, Mood] = {}
+        self.signal_states: dict[str, SignalState] = {}
         self.arrivals: dict[str, Arrivals] = {}
 
-    async def start(self, moods: dict[str, Mood], gateways: int = GATEWAYS) -> None:
+    async def start(self, signal_states: dict[str, SignalState], gateways: int = GATEWAYS) -> None:
         """Start servers and gateways, and wait until all know each other."""
         harness = self.harness
-        self.moods = moods
+        self.signal_states = signal_states
         harness.internal_ports = harness.free_ports()
-        for name in moods:
+        for name in signal_states:
             self.arrivals[name] = Arrivals()
             version = 1 if self.service == "engine" else None
             await harness.add_server(name, self.service, self._behave, version)
@@ -99,32 +99,34 @@
         if not request.request_id:
             writer.write(answer(404))
             return
-        mood = self.moods[server.name]
+        signal_state = self.signal_states[server.name]
         arrivals = self.arrivals[server.name]
         gateway = request.headers.get("sent-through", "")
         now = asyncio.get_running_loop().time()
         arrivals.by_gateway.setdefault(gateway, []).append(now)
-        fields = signed(request, **({"Server-Leaving": "1"} if mood.leaves else {}))
-        if mood.rest:
-            arrivals.refused_at.setdefault(gateway, []).append((now, float(mood.rest)))
-            refusal = {**fields, "Not-Executed": "1", "Retry-After": mood.rest}
+        fields = signed(
+            request, **({"Server-Leaving": "1"} if signal_state.announces_draining else {})
+        )
+        if signal_state.back_off:
+            arrivals.back_offs.setdefault(gateway, []).append((now, float(signal_state.back_off)))
+            refusal = {**fields, "Not-Executed": "1", "Retry-After": signal_state.back_off}
             writer.write(answer(503, b"", refusal))
         elif request.target.startswith("/stream/"):
             head = stream_head(request)
-            if mood.leaves:
+            if signal_state.announces_draining:
                 head = head.replace(b"\r\n\r\n", b"\r\nServer-Leaving: 1\r\n\r\n", 1)
             writer.write(head + chunk(event(1)) + chunk(event(2)) + b"0\r\n\r\n")
         else:
-            if not mood.leaves:
+            if not signal_state.announces_draining:
                 # Those that leave look like the better choice.
-                await asyncio.sleep(SLOWER_SECONDS)
+                await asyncio.sleep(HEALTHY_DELAY_SECONDS)
             writer.write(answer(200, server.name.encode(), fields))
 
     def fields(self, path: str) -> dict[str, str]:
         """A prompt, for streams."""
         return SHORT_PROMPT if path.startswith("/stream/") else {}
 
-    async def most_asked(self, path: str = "/safe/") -> str:
+    async def most_used_server(self, path: str = "/safe/") -> str:
         """Name of the server that clients' requests go to most."""
         await self.load(0.3, path)
         return max(self.arrivals, key=lambda name: self.arrivals[name].count_since(0.0))
--- a/tests/soak/drain_ledger.py
+++ b/tests/soak/entry_ledger.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class DrainLedger:
+class EntryLedger:
     """Times at which the store acknowledged that servers drain; in monotonic seconds.
 
     An acknowledgement that the store loses before gateways can learn of it counts from the restore,
--- a/tests/soak/store_restores.py
+++ b/tests/soak/store_restores.py
@@ -183,7 +183,7 @@
     return {
         "returns": len(world.restores),
         "compared": world.matched,
-        "drained": len(world.drains.draining_since),
+        "drained": len(world.entry_ledger.draining_since),
         "revoked": len(world.ledger.revoked_at),
     }
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -24,7 +24,7 @@
 from gateway_standin import StandinStore, configuration
 from milletcourse.runtime.attended_clock import AttendedClock
 from soak.answers import ClientRequest, RequestContext, Verdict, classify
-from soak.drain_ledger import DrainLedger
+from soak.entry_ledger import EntryLedger
 from soak.ledger import Ledger, server_name
 from soak.links import Link
 from soak.proxy import FaultProxy
@@ -338,8 +338,8 @@
         """Monotonic times at which the store, or a connection to it, was observed as unavailable or
         slow for reasons other than restores."""
         self.terminated_servers: set[str] = set()
-        """Servers that have exited; their entries may remain for a while, or reappear in restores."""
-        self.drains = DrainLedger()
+        """Servers that have exited; their entries may remain for a while, or reappear."""
+        self.entry_ledger = EntryLedger()
         self.matched = 0
         """Number of checks after restores in which a gateway knew the store's contents."""
         self.stops = 0
@@ -429,7 +429,7 @@
         self.terminated_servers.add(name)
         await server.crash()
         await self.server_proxies.pop(name).close()
-        if not self.drains.is_removed(name):
+        if not self.entry_ledger.is_removed(name):
             self.store.remove("servers", name)
 
     def announce_draining(self, name: str, by_state: bool) -> None:
@@ -445,7 +445,7 @@
             self.write_entry(server)
         else:
             self.store.remove("servers", name)
-        self.drains.on_draining(name, time.monotonic(), is_removed=not by_state)
+        self.entry_ledger.on_draining(name, time.monotonic(), is_removed=not by_state)
 
     async def retire_server(self, name: str) -> None:
         """Terminate a server when its requests have finished, or after a timeout."""
@@ -503,7 +503,7 @@
             return is_excused or was_disturbed(name, server, begin, end)
 
         arrivals = self.ledger.signals.arrivals
-        for late in self.drains.late(arrivals, BOUNDS["DrainMs"] / 1000, was_disconnected):
+        for late in self.entry_ledger.late(arrivals, BOUNDS["DrainMs"] / 1000, was_disconnected):
             self.ledger.violate("draining", f"{late}")
 
     def _on_crash(self, name: str) -> None:
@@ -531,13 +531,13 @@
 
     def on_store_unavailable(self) -> None:
         """The store becomes unavailable until it is restored."""
-        self.drains.on_unavailable(time.monotonic())
+        self.entry_ledger.on_unavailable(time.monotonic())
 
     def on_store_restored(self) -> None:
         """The store has been restored from a snapshot."""
         now = time.monotonic()
         self.restores.append(now)
-        self.drains.on_restored(now)
+        self.entry_ledger.on_restored(now)
         for key in self._unacknowledged_keys:
             self.ledger.revoked_at[key] = now
         self._unacknowledged_keys.clear()
