--- a/tests/signalling_fleet.py
+++ b/tests/signalling_fleet.py
@@ -36,7 +36,7 @@
 
     Attributes:
         announces_draining: It announces in all its answers that it is draining.
-        back_off: Seconds of back-off that it asks for while it rejects all requests; empty for none.
+        back_off: Seconds of back-off asked for while it rejects all requests; empty for none.
     """
 
     announces_draining: bool = False
@@ -60,7 +60,7 @@
         return sum(at >= since for times in self.by_gateway.values() for at in times)
 
     def max_sends_in_back_off(self) -> int:
-        """Most requests that one gateway sent during a back-off that the server had asked it for."""
+        """Most requests that one gateway sent during a back-off that the server requested."""
         return max(
             (
                 sum(start + BACK_OFF_SLACK_SECONDS < at < start + seconds for at in times)
