--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -19,7 +19,7 @@
 import sys
 from pathlib import Path
 
-from play_standard_days import play
+from play_standard_days import run_days
 
 CHECKOUT = Path(__file__).parent.parent
 RUN_LINE_END = "9464/metrics"
@@ -68,7 +68,7 @@
         small=False,
         why=f"Ablation: without {name or 'nothing'}",
     )
-    is_broken = bool(play(run_arguments))
+    is_broken = bool(run_days(run_arguments))
     reports = [report for report in json.loads(out.read_text()) if "error" not in report]
     return {f"{report['day']} {report['seed']}": report["G"] for report in reports}, is_broken
 
--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class PlayedDay:
+class DayResult:
     """Result of one day."""
 
     site: str
@@ -82,10 +82,14 @@
 
 
 def _inline(table: dict[str, Any]) -> str:
-    return "{ " + ", ".join(f"{key} = {json.dumps(value)}" for key, value in table.items()) + " }"
+    return (
+        "{ "
+        + ", ".join(f"{key} = {json.dumps(value)}" for key, value in markdown_table.items())
+        + " }"
+    )
 
 
-def play(bench: str, site: str, entry: dict[str, Any], why: str) -> PlayedDay:
+def run_day(bench: str, site: str, entry: dict[str, Any], why: str) -> DayResult:
     """Run one day and read its report."""
     name = entry["name"]
     with tempfile.TemporaryDirectory() as folder:
@@ -95,15 +99,15 @@
         command = [bench, "run", site, str(day), "--no-cpu", "--report", str(report)]
         run = subprocess.run([*command, "--why", f"{why}: {name}"], capture_output=True, text=True)
         if not report.exists():
-            return PlayedDay(Path(site).stem, name, 0.0, 0.0, f"NOT PLAYED {run.stdout[-300:]}")
+            return DayResult(Path(site).stem, name, 0.0, 0.0, f"NOT PLAYED {run.stdout[-300:]}")
         document = json.loads(report.read_text())
     broken = json.dumps(document["breaks"]) if document["breaks"] else ""
     if document["fault"]:
         broken += f" FAULT {document['fault']}"
-    return PlayedDay(Path(site).stem, name, document["served"], document["G"], broken)
+    return DayResult(Path(site).stem, name, document["served"], document["G"], broken)
 
 
-def table(days: list[PlayedDay]) -> str:
+def markdown_table(days: list[DayResult]) -> str:
     """A Markdown table with one row per day and three columns per site."""
     sites = list(dict.fromkeys(day.site for day in days))
     head = " | ".join(f"{site}: rules | served | worth" for site in sites)
@@ -139,10 +143,10 @@
     entries = tomllib.loads(CATALOGUE.read_text())["day"]
     chosen = [entry for entry in entries if arguments.only in entry["name"]]
     broken = 0
-    days: list[PlayedDay] = []
+    days: list[DayResult] = []
     with ThreadPoolExecutor(arguments.jobs) as pool:
         futures = [
-            pool.submit(play, arguments.bench, site, entry, arguments.why)
+            pool.submit(run_day, arguments.bench, site, entry, arguments.why)
             for site in arguments.sites
             for entry in chosen
             if can_play(entry, site)
@@ -154,7 +158,7 @@
             print(day.line(), flush=True)
     print(f"{len(futures)} days, {broken} with a violated rule or not run")
     if arguments.table:
-        arguments.table.write_text(table(days))
+        arguments.table.write_text(markdown_table(days))
     return 1 if broken else 0
 
 
--- a/scripts/play_standard_days.py
+++ b/scripts/play_standard_days.py
@@ -35,7 +35,7 @@
 """Number of parts and prices that a comparison shows."""
 
 
-def play_day(args: argparse.Namespace, day: str, seed: int) -> dict[str, Any]:
+def run_day(args: argparse.Namespace, day: str, seed: int) -> dict[str, Any]:
     """Run one day and return its report, with the day's name and seed."""
     with tempfile.TemporaryDirectory(prefix="days-") as folder:
         report = Path(folder) / "report.json"
@@ -53,7 +53,7 @@
         return {"day": day, "seed": seed, **json.loads(report.read_text())}
 
 
-def play(args: argparse.Namespace) -> int:
+def run_days(args: argparse.Namespace) -> int:
     """Run all days with all seeds, and write the reports."""
     names = [day["name"] for day in tomllib.loads(Path(args.site).read_text())["day"]]
     days = args.days.split(",") if args.days else names
@@ -62,27 +62,25 @@
     # Build once before all runs: concurrent builds would corrupt each other's sources.
     subprocess.run([args.bench, "build"], cwd=args.checkout, check=True, capture_output=True)
     with ThreadPoolExecutor(args.jobs) as pool:
-        jobs = [pool.submit(play_day, args, day, seed) for day in days for seed in seeds]
-        played = [job.result() for job in jobs]
-    Path(args.out).write_text(json.dumps(played))
-    return describe(played)
+        jobs = [pool.submit(run_day, args, day, seed) for day in days for seed in seeds]
+        all_reports = [job.result() for job in jobs]
+    Path(args.out).write_text(json.dumps(all_reports))
+    return describe(all_reports)
 
 
-def describe(played: list[dict[str, Any]]) -> int:
+def describe(all_reports: list[dict[str, Any]]) -> int:
     """Print each day's mean score; returns 1 if a rule was violated or a day could not be run."""
     by_day = defaultdict(list)
-    for report in played:
+    for report in all_reports:
         by_day[report["day"]].append(report)
     for day, reports in by_day.items():
         whole = [report for report in reports if "error" not in report]
         worths = " ".join(f"{report['G']:.3f}" for report in whole)
         mean = statistics.mean(report["G"] for report in whole) if whole else math.nan
         print(f"{day:12} worth {mean:.3f} ({worths})")
-    troubled = [report["G"] for report in played if "error" not in report]
-    print(
-        f"mean of {len(troubled)} plays {statistics.mean(troubled):.4f}" if troubled else "nothing"
-    )
-    broken = [report for report in played if report.get("breaks") or "error" in report]
+    scores = [report["G"] for report in all_reports if "error" not in report]
+    print(f"mean of {len(scores)} plays {statistics.mean(scores):.4f}" if scores else "nothing")
+    broken = [report for report in all_reports if report.get("breaks") or "error" in report]
     for report in broken:
         print("FAILED", report["day"], report["seed"], report.get("breaks") or report["error"])
     return 1 if broken else 0
@@ -135,21 +133,21 @@
     """Parse the command line and run the command."""
     parser = argparse.ArgumentParser(description=__doc__)
     verbs = parser.add_subparsers(required=True)
-    playing = verbs.add_parser("play")
-    playing.add_argument("bench")
-    playing.add_argument("site")
-    playing.add_argument("--out", required=True)
-    playing.add_argument("--seeds", default=DEFAULT_SEEDS)
-    playing.add_argument("--days", default="")
-    playing.add_argument("--checkout", default=".")
-    playing.add_argument("--jobs", type=int, default=DEFAULT_JOBS)
-    playing.add_argument("--small", action="store_true")
-    playing.add_argument("--why", default="standard days under several seeds")
-    playing.set_defaults(run=play)
-    comparing = verbs.add_parser("compare")
-    comparing.add_argument("before")
-    comparing.add_argument("after")
-    comparing.set_defaults(run=compare)
+    run_parser = verbs.add_parser("play")
+    run_parser.add_argument("bench")
+    run_parser.add_argument("site")
+    run_parser.add_argument("--out", required=True)
+    run_parser.add_argument("--seeds", default=DEFAULT_SEEDS)
+    run_parser.add_argument("--days", default="")
+    run_parser.add_argument("--checkout", default=".")
+    run_parser.add_argument("--jobs", type=int, default=DEFAULT_JOBS)
+    run_parser.add_argument("--small", action="store_true")
+    run_parser.add_argument("--why", default="standard days under several seeds")
+    run_parser.set_defaults(run=run_days)
+    compare_parser = verbs.add_parser("compare")
+    compare_parser.add_argument("before")
+    compare_parser.add_argument("after")
+    compare_parser.set_defaults(run=compare)
     args = parser.parse_args()
     return int(args.run(args))
 
--- a/tests/gateway_standin.py
+++ b/tests/gateway_standin.py
@@ -225,9 +225,9 @@
         """Whether an object was written since the latest restore."""
         return bool(stored["Metadata"]["Revision"] > self._restored_revision)
 
-    def _note(self, kind: str, stored: dict[str, Any], gone: bool) -> None:
-        self.journal.append((self.revision, kind, stored, gone))
-        self.history.append((self.revision, kind, stored, gone))
+    def _note(self, kind: str, stored: dict[str, Any], deleted: bool) -> None:
+        self.journal.append((self.revision, kind, stored, deleted))
+        self.history.append((self.revision, kind, stored, deleted))
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -284,11 +284,11 @@
         """A kind's objects as they were `stale_by` changes ago."""
         shown = self.journal[: max(len(self.journal) - self.stale_by, 0)]
         objects: dict[str, dict[str, Any]] = {}
-        for _, changed, stored, gone in shown:
+        for _, changed, stored, deleted in shown:
             if changed != kind:
                 continue
             objects.pop(stored["Metadata"]["Name"], None)
-            if not gone:
+            if not deleted:
                 objects[stored["Metadata"]["Name"]] = stored
         return objects, shown[-1][0] if shown else 0
 
@@ -312,8 +312,8 @@
             if revision < self.compacted_revision or revision > self.revision:
                 return 410, {}
             events = [
-                {"Gone": gone, "Object": stored}
-                for at, changed, stored, gone in self.history
+                {"Gone": deleted, "Object": stored}
+                for at, changed, stored, deleted in self.history
                 if changed == kind and at > revision
             ]
             left = ends_at - asyncio.get_running_loop().time()
@@ -372,8 +372,8 @@
         self._writers.add(writer)
         connection = id(writer)
         pending: asyncio.Task[None] | None = None
-        gone = asyncio.ensure_future(writer.wait_closed())
-        gone.add_done_callback(lambda end: end.cancelled() or end.exception())
+        closed = asyncio.ensure_future(writer.wait_closed())
+        closed.add_done_callback(lambda end: end.cancelled() or end.exception())
         try:
             while (request := await read_request(reader, connection)) is not None:
                 self.received.append(request)
@@ -381,7 +381,7 @@
                 # Keep reading, so that a closed connection is noticed while the answer is written.
                 if request.target.startswith("/held/"):
                     continue
-                await asyncio.wait({pending, gone}, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({pending, closed}, return_when=asyncio.FIRST_COMPLETED)
                 if pending.done():
                     pending.result()
         except ConnectionResetError:
@@ -391,7 +391,7 @@
         finally:
             self._writers.discard(writer)
             self.closed.append(connection)
-            gone.cancel()
+            closed.cancel()
             if pending is not None:
                 pending.cancel()
             writer.close()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -33,7 +33,7 @@
 )
 from soak.store_restores import check_after_restores, start_restores, store_figures, watch_store
 from soak.world import DEFAULT_GATEWAYS, LISTEN_TIMEOUT_SECONDS, TENANTS, SoakWorld
-from soak.writers import restart_servers, write_strange_entries
+from soak.writers import restart_servers, write_malformed_entries
 
 CLIENTS = 12
 LINK_MEGABITS = 10.0
@@ -81,7 +81,7 @@
                 world.restart_exited_gateways(),
                 *(new_client(number, world).run() for number in range(CLIENTS)),
                 *(CrashingClient(body, world).run() for body in CRASHING_BODIES),
-                *((restart_servers(world), write_strange_entries(world)) if writers else ()),
+                *((restart_servers(world), write_malformed_entries(world)) if writers else ()),
             )
         ]
         server_signals = []
--- a/tests/soak/test_soak_large.py
+++ b/tests/soak/test_soak_large.py
@@ -30,12 +30,12 @@
     """Guarantees that a run violated."""
     folder.mkdir(exist_ok=True)
     report = asyncio.run(planned_soak(seed, folder, replace(RUN, mutant=mutant)))
-    way = report["configuration"]
-    assert isinstance(way, dict)
+    figures = report["configuration"]
+    assert isinstance(figures, dict)
     broken = [name for name in ("lost", "violations") if report[name]]
-    if way["never"]:
+    if figures["never"]:
         broken.append("never")
-    if way["link_megabytes"] >= RUN.gateways * way["versions"] * CONTENT_MEGABYTES / 2:
+    if figures["link_megabytes"] >= RUN.gateways * figures["versions"] * CONTENT_MEGABYTES / 2:
         broken.append("copied")
     return broken
 
--- a/tests/soak/test_soak_mutants.py
+++ b/tests/soak/test_soak_mutants.py
@@ -34,7 +34,9 @@
     gateways=4, clients=CLIENTS, seconds=12.0, stops=False, backing_off=0.3, draining=0.3
 )
 
-COPY_RUN = PlannedRun(gateways=4, clients=CLIENTS, seconds=14.0, stops=False, restores_store=True)
+RESTORE_RUN = PlannedRun(
+    gateways=4, clients=CLIENTS, seconds=14.0, stops=False, restores_store=True
+)
 
 
 def run_mutant(folder: Path, mutant: str, seed: int) -> Report:
@@ -98,7 +100,7 @@
     def is_found(seed: int) -> bool:
         folder = tmp_path / str(seed)
         folder.mkdir()
-        report = asyncio.run(planned_soak(seed, folder, replace(COPY_RUN, mutant="know-no-era")))
+        report = asyncio.run(planned_soak(seed, folder, replace(RESTORE_RUN, mutant="know-no-era")))
         return any(item.startswith("store: ") for item in report["violations"])
 
     assert any(is_found(seed) for seed in SEEDS)
@@ -106,7 +108,7 @@
 
 def test_correct_gateways_know_a_restored_store_and_lose_nothing(tmp_path: Path) -> None:
     """The same run without a defect, with gateway stops in addition."""
-    report = asyncio.run(planned_soak(1, tmp_path, replace(COPY_RUN, stops=True)))
+    report = asyncio.run(planned_soak(1, tmp_path, replace(RESTORE_RUN, stops=True)))
     assert report["store"] and not report["lost"] and not report["violations"]
 
 
--- a/tests/soak/writers.py
+++ b/tests/soak/writers.py
@@ -7,7 +7,7 @@
 
 from soak.world import GATEWAY_KIND, SoakWorld
 
-STRANGE_SPECS: tuple[Any, ...] = (
+MALFORMED_SPECS: tuple[Any, ...] = (
     None,
     [],
     "text",
@@ -34,7 +34,7 @@
         await world.restart_server(name, keeps_port=world.random.random() < 0.5)
 
 
-async def write_strange_entries(world: SoakWorld) -> None:
+async def write_malformed_entries(world: SoakWorld) -> None:
     """Write malformed entries among the servers' and gateways' entries, and remove some again."""
     written = 0
     while True:
@@ -45,4 +45,4 @@
         if name in world.store.objects.get(kind, {}) and world.random.random() < 0.3:
             world.store.remove(kind, name)
         else:
-            world.store.put(kind, name, world.random.choice(STRANGE_SPECS))
+            world.store.put(kind, name, world.random.choice(MALFORMED_SPECS))
