--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -82,11 +82,7 @@
 
 
 def _inline(table: dict[str, Any]) -> str:
-    return (
-        "{ "
-        + ", ".join(f"{key} = {json.dumps(value)}" for key, value in markdown_table.items())
-        + " }"
-    )
+    return "{ " + ", ".join(f"{key} = {json.dumps(value)}" for key, value in table.items()) + " }"
 
 
 def run_day(bench: str, site: str, entry: dict[str, Any], why: str) -> DayResult:
