--- a/tests/soak/mixed_builds.py
+++ b/tests/soak/mixed_builds.py
@@ -286,9 +286,7 @@
     parser.add_argument("old", type=Path, help="checkout of the build that starts first")
     parser.add_argument("new", type=Path, help="checkout of the build that replaces it")
     parser.add_argument("--seeds", default="", help="FIRST:LAST; default: one new seed")
-    parser.add_argument(
-        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateway processes"
-    )
+    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
     parser.add_argument(
         "--seconds", type=float, default=30.0, help="duration of replacements per seed"
     )
--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -356,9 +356,7 @@
     parser.add_argument(
         "--seconds", type=float, default=30.0, help="duration of maintenance per seed"
     )
-    parser.add_argument(
-        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateway processes"
-    )
+    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
     parser.add_argument("--clients", type=int, default=DEFAULT_CLIENTS)
     parser.add_argument("--at-a-time", type=int, default=1, help="gateways that stop together")
     parser.add_argument("--direct", action="store_true", help="clients bypass the load balancer")
--- a/tests/soak/revocation.py
+++ b/tests/soak/revocation.py
@@ -165,9 +165,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="", help="FIRST:LAST; default: one new seed")
     parser.add_argument("--keep", type=Path, help="folder in which to keep the gateways' logs")
-    parser.add_argument(
-        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateway processes"
-    )
+    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
     parser.add_argument(
         "--killed", type=int, default=0, help="number of gateways that stop and restart"
     )
@@ -180,7 +178,7 @@
         default=0.5,
         help="seconds between the revocation and the store outage",
     )
-    parser.add_argument("--away", type=float, default=0.5, help="seconds of each store outage")
+    parser.add_argument("--away", type=float, default=0.5, help="seconds")
     parser.add_argument(
         "--written-again", type=float, default=4.0, help="seconds until the rewrite; -1 for never"
     )
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -232,9 +232,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="", help="FIRST:LAST; default: one new seed")
     parser.add_argument("--seconds", type=float, default=20.0, help="duration of faults per seed")
-    parser.add_argument(
-        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateway processes"
-    )
+    parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
     parser.add_argument("--keep", type=Path, help="folder in which to keep the gateways' logs")
     parser.add_argument(
         "--other-writers",
