--- a/tests/gateway/store/test_store_feed.py
+++ b/tests/gateway/store/test_store_feed.py
@@ -276,7 +276,7 @@
         await proxy.start()
         try:
             _, follower = await _start_pair(harness, proxy.address)
-            proxy.cut()
+            proxy.block()
             harness.store.put("config", "main", configuration(2))
             context = follower.context
             await harness.until(
@@ -325,9 +325,9 @@
         await proxy.start()
         try:
             reader, follower = await _start_pair(harness, proxy.address)
-            proxy.cut()
+            proxy.block()
             await harness.until(lambda: follower.context.reads_store)
-            proxy.heal()
+            proxy.unblock()
             await harness.until(lambda: _is_fed(follower))
             assert reader.context.reads_store
         finally:
@@ -344,7 +344,7 @@
         await proxy.start()
         try:
             _, follower = await _start_pair(harness, follower_store=proxy.address, RevokeMs=1500)
-            proxy.cut()
+            proxy.block()
             context = follower.context
             later = context.now() + 1.5
             await harness.until(
@@ -365,7 +365,7 @@
         await proxy.start()
         try:
             reader, _ = await _start_pair(harness, proxy.address, RevokeMs=1500)
-            proxy.cut()
+            proxy.block()
             context = reader.context
             later = context.now() + 4.0
             await harness.until(
@@ -376,7 +376,7 @@
             await harness.until(
                 lambda: context.route_table is not None and context.route_table.version == 2
             )
-            proxy.heal()
+            proxy.unblock()
             harness.store.calls.clear()
             await harness.until(lambda: _calls_for(harness, "config") >= 6)
             assert context.reads_store and context.is_ready()
