--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,8 +26,8 @@
 
 
 @pytest.fixture(autouse=True)
-def no_process_is_left() -> Iterator[None]:
-    """What a test started has ended with it."""
+def no_child_process_remains() -> Iterator[None]:
+    """Check that a test leaves no child process running."""
     before = running_children()
     yield
     left = [line for line in running_children() if line not in before]
--- a/tests/gateway_standin.py
+++ b/tests/gateway_standin.py
@@ -1,6 +1,6 @@
 """Stand-ins of the users' platform for tests: its object store and its servers, on loopback.
 
-They speak the platform's published protocol and misbehave on request. Written for tests only.
+They implement the platform's published protocol and inject faults on request. For tests only.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as a stand-in got it."""
+    """A request as a stand-in received it."""
 
     method: str
     target: str
@@ -32,12 +32,12 @@
 
     @property
     def request_id(self) -> str:
-        """The client attempt's identity."""
+        """Value of the Request-Id header, which identifies the client's attempt."""
         return self.headers.get("request-id", "")
 
 
 async def read_request(reader: asyncio.StreamReader, connection: int) -> ReceivedRequest | None:
-    """Read one request, None at the end of the connection."""
+    """Read one request; None at the end of the connection."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -58,7 +58,7 @@
 def answer(
     status: int, body: bytes = b"", headers: dict[str, str] | None = None, length: bool = True
 ) -> bytes:
-    """The bytes of an answer."""
+    """Encode an answer."""
     lines = [f"HTTP/1.1 {status} Stand-in"]
     lines.extend(f"{name}: {value}" for name, value in (headers or {}).items())
     if length:
@@ -67,18 +67,18 @@
 
 
 OPERATORS_KINDS = ("config", "versions", "servers")
-"""Kinds that the operator and the servers write."""
+"""Kinds of objects that the operator and the servers write."""
 
 
 @dataclass(frozen=True)
-class StoreCopy:
-    """What the store held at some moment."""
+class StoreSnapshot:
+    """Contents of the store at some time."""
 
     objects: dict[str, dict[str, dict[str, Any]]]
     revision: int
 
-    def without(self, kind: str, names: Iterable[str]) -> StoreCopy:
-        """The same as if some objects of a kind had been made later."""
+    def without(self, kind: str, names: Iterable[str]) -> StoreSnapshot:
+        """The same snapshot without some objects of a kind, as if these had been created later."""
         kept = dict(self.objects.get(kind, {}))
         for name in names:
             kept.pop(name, None)
@@ -86,24 +86,24 @@
 
 
 class StandinStore:
-    """Objects by kind with revisions, lists, watches, compare-and-set.
+    """Object store with objects by kind, revisions, lists, watches and compare-and-set.
 
     Attributes:
-        era: Told in all answers, None for a store that tells none yet; rises with each return.
-        stale_shows_lost: Stale lists show what was lost with the latest return.
+        era: Sent in all answers and incremented by each restore; None for a store without eras.
+        stale_shows_lost: Stale lists include objects that the latest restore lost.
     """
 
     def __init__(self) -> None:
         self.objects: dict[str, dict[str, dict[str, Any]]] = {}
         self.era: int | None = 0
         self._lost: dict[str, dict[str, dict[str, Any]]] = {}
-        self._returned_at = 0
+        self._restored_revision = 0
         self.stale_shows_lost = False
-        self.cut_at = float("-inf")
+        self.reset_at = float("-inf")
         self.revision = 0
         self.history: list[tuple[int, str, dict[str, Any], bool]] = []
         self.journal: list[tuple[int, str, dict[str, Any], bool]] = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.silent = False
         self.unavailable = False
         self.unavailable_kinds: set[str] = set()
@@ -124,19 +124,19 @@
         self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
-        """End at once."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
-        self.cut()
+        self.reset_connections()
 
-    def cut(self) -> None:
-        """Reset all connections, waiting watches among them."""
-        self.cut_at = time.monotonic()
+    def reset_connections(self) -> None:
+        """Reset all connections, including those of pending watches."""
+        self.reset_at = time.monotonic()
         for writer in list(self._writers):
             writer.transport.abort()
 
     def put(self, kind: str, name: str, spec: Any) -> int:
-        """The operator or a server writes an object."""
+        """Write an object as the operator or a server."""
         self.revision += 1
         stored = {
             "Metadata": {"Name": name, "Revision": self.revision, "Finalizers": []},
@@ -148,15 +148,15 @@
         return self.revision
 
     def put_unseen(self, kind: str, name: str, spec: Any) -> None:
-        """A change that watches don't hear of before its history is dropped."""
+        """Write an object and compact the history before watches can deliver the change."""
         self.revision += 1
         stored = {"Metadata": {"Name": name, "Revision": self.revision}, "Spec": spec}
         self.objects[kind][name] = stored
         self.journal.append((self.revision, kind, stored, False))
-        self.forget_history()
+        self.compact_history()
 
     def remove(self, kind: str, name: str) -> None:
-        """An object goes; one that the store has lost isn't written again."""
+        """Remove an object; one that a restore lost is not rewritten any more."""
         was_lost = self._lost.get(kind, {}).pop(name, None) is not None
         if was_lost and name not in self.objects.get(kind, {}):
             return
@@ -164,46 +164,50 @@
         self.revision += 1
         self._note(kind, stored, True)
 
-    def forget_history(self) -> None:
-        """Watches from before now get 410."""
-        self.forgotten = self.revision
+    def compact_history(self) -> None:
+        """Compact the history: watches from earlier revisions receive 410."""
+        self.compacted_revision = self.revision
         self.history.clear()
 
-    def copy(self) -> StoreCopy:
-        """A copy that the store may come back from."""
+    def take_snapshot(self) -> StoreSnapshot:
+        """Take a snapshot to which the store can be restored."""
         objects = {kind: dict(items) for kind, items in self.objects.items()}
-        return StoreCopy(objects, self.revision)
+        return StoreSnapshot(objects, self.revision)
 
-    def come_back(self, copy: StoreCopy, cut: bool = True, writes_again: bool = True) -> None:
-        """Lose what came after a copy, and give its revisions out again.
+    def restore(
+        self, snapshot: StoreSnapshot, resets_connections: bool = True, rewrites_lost: bool = True
+    ) -> None:
+        """Restore the store to a snapshot; revisions after it are assigned again.
 
         Args:
-            copy: What is left.
-            cut: Its connections break; without that, watches that wait go on waiting.
-            writes_again: The operator and the servers write theirs again at once; otherwise they do
-                with `write_again`.
+            snapshot: Contents after the restore.
+            resets_connections: Reset all connections; otherwise pending watches continue.
+            rewrites_lost: The operator and the servers rewrite lost objects immediately; otherwise
+                `rewrite_lost` does it.
         """
         self._lost = self.objects
-        self.objects = {kind: dict(items) for kind, items in copy.objects.items()}
-        self.revision = self._returned_at = copy.revision
+        self.objects = {kind: dict(items) for kind, items in snapshot.objects.items()}
+        self.revision = self._restored_revision = snapshot.revision
         if not self.stale_shows_lost:
             left = [
-                (kind, stored) for kind, items in copy.objects.items() for stored in items.values()
+                (kind, stored)
+                for kind, items in snapshot.objects.items()
+                for stored in items.values()
             ]
             left.sort(key=lambda item: item[1]["Metadata"]["Revision"])
             self.journal = [(item[1]["Metadata"]["Revision"], *item, False) for item in left]
-        self.history = [entry for entry in self.history if entry[0] <= copy.revision]
-        self.forgotten = min(self.forgotten, copy.revision)
+        self.history = [entry for entry in self.history if entry[0] <= snapshot.revision]
+        self.compacted_revision = min(self.compacted_revision, snapshot.revision)
         self.era = (self.era or 0) + 1
-        if writes_again:
-            self.write_again()
-        if cut:
-            self.cut()
+        if rewrites_lost:
+            self.rewrite_lost()
+        if resets_connections:
+            self.reset_connections()
 
-    def write_again(self) -> None:
-        """What the operator and the servers wrote before the latest return is there again.
+    def rewrite_lost(self) -> None:
+        """Rewrite objects of the operator and the servers that the latest restore lost.
 
-        What they have written since then holds.
+        Objects that they have written since the restore are kept.
         """
         for kind in OPERATORS_KINDS:
             before, now = self._lost.get(kind, {}), self.objects.get(kind, {})
@@ -218,12 +222,12 @@
         self._lost = {}
 
     def _is_new(self, stored: dict[str, Any]) -> bool:
-        """Whether an object was written since the latest return."""
-        return bool(stored["Metadata"]["Revision"] > self._returned_at)
+        """Whether an object was written since the latest restore."""
+        return bool(stored["Metadata"]["Revision"] > self._restored_revision)
 
-    def _note(self, kind: str, stored: dict[str, Any], gone: bool) -> None:
-        self.journal.append((self.revision, kind, stored, gone))
-        self.history.append((self.revision, kind, stored, gone))
+    def _note(self, kind: str, stored: dict[str, Any], deleted: bool) -> None:
+        self.journal.append((self.revision, kind, stored, deleted))
+        self.history.append((self.revision, kind, stored, deleted))
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -277,14 +281,14 @@
         return 200, {"items": page, "More": len(items) > self.page_size, "At": at}
 
     def _objects_before(self, kind: str) -> tuple[dict[str, dict[str, Any]], int]:
-        """A kind's objects as they were some changes ago."""
+        """A kind's objects as they were `stale_by` changes ago."""
         shown = self.journal[: max(len(self.journal) - self.stale_by, 0)]
         objects: dict[str, dict[str, Any]] = {}
-        for _, changed, stored, gone in shown:
+        for _, changed, stored, deleted in shown:
             if changed != kind:
                 continue
             objects.pop(stored["Metadata"]["Name"], None)
-            if not gone:
+            if not deleted:
                 objects[stored["Metadata"]["Name"]] = stored
         return objects, shown[-1][0] if shown else 0
 
@@ -305,11 +309,11 @@
     async def _watch(self, kind: str, revision: int, wait_ms: int) -> tuple[int, Any]:
         ends_at = asyncio.get_running_loop().time() + wait_ms / 1000
         while True:
-            if revision < self.forgotten or revision > self.revision:
+            if revision < self.compacted_revision or revision > self.revision:
                 return 410, {}
             events = [
-                {"Gone": gone, "Object": stored}
-                for at, changed, stored, gone in self.history
+                {"Gone": deleted, "Object": stored}
+                for at, changed, stored, deleted in self.history
                 if changed == kind and at > revision
             ]
             left = ends_at - asyncio.get_running_loop().time()
@@ -324,7 +328,7 @@
 Behaviour = Callable[["StandinServer", ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
-def _reserved_port() -> socket.socket:
+def _reserve_port() -> socket.socket:
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     reservation.bind((HOST, 0))
@@ -333,7 +337,7 @@
 
 @dataclass
 class StandinServer:
-    """A server whose answers a test writes."""
+    """A server whose behaviour a test defines."""
 
     name: str
     behaviour: Behaviour
@@ -344,12 +348,12 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self, predecessor: StandinServer | None = None) -> None:
-        """Listen on a free port, or in the place of a server that crashed.
+        """Listen on a free port, or on that of a crashed predecessor.
 
-        The port stays bound by a socket that doesn't listen, so that nobody else gets it while
-        connections to it are refused.
+        The port stays bound by a socket that does not listen, so that no other process gets it
+        while connections to it are refused.
         """
-        self._reservation = predecessor._reservation if predecessor else _reserved_port()
+        self._reservation = predecessor._reservation if predecessor else _reserve_port()
         port = int(self._reservation.getsockname()[1])
         self._server = await asyncio.start_server(self._serve, HOST, port, reuse_port=True)
         self.address = f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
@@ -359,7 +363,7 @@
         self._server.close()
 
     async def crash(self) -> None:
-        """End as a process that is killed: its port is closed, and so are all its connections."""
+        """Close the port and all connections, like a process that is killed."""
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
@@ -368,16 +372,16 @@
         self._writers.add(writer)
         connection = id(writer)
         pending: asyncio.Task[None] | None = None
-        gone = asyncio.ensure_future(writer.wait_closed())
-        gone.add_done_callback(lambda end: end.cancelled() or end.exception())
+        closed = asyncio.ensure_future(writer.wait_closed())
+        closed.add_done_callback(lambda end: end.cancelled() or end.exception())
         try:
             while (request := await read_request(reader, connection)) is not None:
                 self.received.append(request)
                 pending = asyncio.create_task(self.behaviour(self, request, writer))
-                # Reading goes on, so that a closed connection shows while the answer is written.
+                # Keep reading, so that a closed connection is noticed while the answer is written.
                 if request.target.startswith("/held/"):
                     continue
-                await asyncio.wait({pending, gone}, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait({pending, closed}, return_when=asyncio.FIRST_COMPLETED)
                 if pending.done():
                     pending.result()
         except ConnectionResetError:
@@ -387,7 +391,7 @@
         finally:
             self._writers.discard(writer)
             self.closed.append(connection)
-            gone.cancel()
+            closed.cancel()
             if pending is not None:
                 pending.cancel()
             writer.close()
@@ -413,14 +417,14 @@
 
 
 def signed(request: ReceivedRequest, **more: str) -> dict[str, str]:
-    """Header fields of a proper answer."""
+    """Header fields of a valid answer."""
     return {"Request-Id": request.request_id, "Server-Signature": "signature-1", **more}
 
 
 async def serve_whole(
     server: StandinServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    """A proper answer that names its server."""
+    """Send a valid answer whose body is the server's name."""
     writer.write(answer(200, server.name.encode(), signed(request)))
 
 
@@ -494,14 +498,14 @@
 
 
 def open_socket(address: str) -> socket.socket:
-    """A connection that comes up in the kernel, whatever event loops do meanwhile."""
+    """Open a connection in the kernel, independently of any event loop."""
     host, _, port = address.rpartition(":")
     return socket.create_connection((host, int(port)))
 
 
 @dataclass
 class ClientAnswer:
-    """An answer as a client got it; `whole` is false when it was cut."""
+    """An answer as a client received it; `whole` is false if it was truncated."""
 
     status: int
     headers: dict[str, str]
@@ -509,12 +513,12 @@
     whole: bool
 
 
-class NoAnswerError(Exception):
-    """Bytes came in the place of an answer that are none."""
+class InvalidAnswerError(Exception):
+    """The received bytes are not an HTTP answer."""
 
 
 class Client:
-    """A client's connection, written by hand so that it can misbehave."""
+    """A client connection without an HTTP library, so that it can violate the protocol."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -535,7 +539,7 @@
         key: str = "key-1",
         **headers: str,
     ) -> None:
-        """Write a request."""
+        """Send a request."""
         self.writer.write(self.request_bytes(path, request_id, method, body, key, **headers))
 
     @staticmethod
@@ -547,7 +551,7 @@
         key: str = "key-1",
         **headers: str,
     ) -> bytes:
-        """A whole request as it goes over the wire."""
+        """Encode a complete request."""
         fields = {
             "Host": "site.example",
             "Request-Id": request_id,
@@ -561,14 +565,14 @@
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     async def read_answer(self) -> ClientAnswer | None:
-        """Read one answer, None when the connection ends before one."""
+        """Read one answer; None if the connection closes before one."""
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
             return None
         lines = head.decode("latin-1").split("\r\n")
         if not lines[0].startswith("HTTP/1.1 "):
-            raise NoAnswerError(head)
+            raise InvalidAnswerError(head)
         headers = {}
         for line in lines[1:]:
             name, _, value = line.partition(":")
@@ -600,5 +604,5 @@
         return result
 
     def close(self) -> None:
-        """Leave."""
+        """Abort the connection."""
         self.writer.transport.abort()
--- a/tests/soak/answers.py
+++ b/tests/soak/answers.py
@@ -1,4 +1,4 @@
-"""Judges how each request of a soak ended: whether a gateway lost it, or why it did not."""
+"""Classifies the result of each request of a soak: lost by a gateway, or excused and why."""
 
 from __future__ import annotations
 
@@ -6,141 +6,145 @@
 from enum import Enum
 
 
-class End(Enum):
-    """How a request ended at its client."""
+class RequestResult(Enum):
+    """Result of a request as its client observed it."""
 
-    WHOLE = "whole"
-    """A complete answer, of whatever status."""
+    COMPLETE = "whole"
+    """A complete answer with any status."""
     PARTIAL = "partial"
-    """The connection ended in the middle of an answer."""
-    NOTHING = "nothing"
-    """The connection ended without a byte of an answer."""
+    """The connection closed in the middle of an answer."""
+    NO_ANSWER = "nothing"
+    """The connection closed before the first byte of an answer."""
     NO_CONNECTION = "no-connection"
-    """No connection came up, so nothing was sent."""
-    TOO_LONG = "too-long"
-    """The client stopped waiting."""
-    LEFT = "left"
-    """The client left on purpose."""
+    """The connection could not be established, so nothing was sent."""
+    CLIENT_TIMEOUT = "too-long"
+    """The client's timeout expired."""
+    DISCONNECTED = "left"
+    """The client disconnected deliberately."""
 
 
 class Verdict(Enum):
-    """What a request's end says of the gateway."""
+    """Classification of a request: answered, excused, or lost by its gateway."""
 
     ANSWERED = "answered"
     UNFINISHED = "unfinished"
-    """The soak ended before it."""
-    CUT_BY_SERVER = "cut-by-server"
-    """The answer of a server that misbehaves broke off."""
-    BEHIND_CUT = "behind-cut"
-    """Sent at once behind a request whose answer broke off, and the connection with it."""
+    """The soak ended before the request did."""
+    ABORTED_BY_SERVER = "cut-by-server"
+    """A server with injected faults aborted its answer."""
+    BEHIND_ABORTED_ANSWER = "behind-cut"
+    """Pipelined behind a request whose answer was aborted together with the connection."""
     TIMED_OUT = "timed-out"
-    """The time of its route was over in the middle of the answer."""
+    """The route's timeout expired in the middle of the answer."""
     DISTURBED = "disturbed"
-    """Its gateway was killed or frozen meanwhile."""
+    """Its gateway was killed or suspended while the request was running."""
     NEVER_SENT = "never-sent"
-    CLIENT_LEFT = "client-left"
-    CROSSED_CLOSE = "crossed-close"
-    """The gateway had closed a connection on which it had answered, while this was on its way."""
+    CLIENT_DISCONNECTED = "client-left"
+    RACED_WITH_CLOSE = "crossed-close"
+    """Sent on a keep-alive connection while the gateway's close of it was in transit."""
     LOST_FIRST = "lost-first"
-    """First request on a connection that the gateway's kernel had accepted."""
-    LOST_KEPT = "lost-kept"
-    """Written whole on a kept connection, long before that was closed."""
-    LOST_AHEAD = "lost-ahead"
-    """Sent at once behind a request that was answered."""
+    """First request on a connection that the gateway host's kernel had accepted."""
+    LOST_ON_KEEP_ALIVE = "lost-kept"
+    """Written completely on a keep-alive connection, long before the connection was closed."""
+    LOST_PIPELINED = "lost-ahead"
+    """Pipelined behind a request that was answered."""
     LOST_AT_SERVER = "lost-at-server"
-    """It had been passed on to a server."""
+    """The gateway had forwarded the request to a server."""
     LOST_SILENT = "lost-silent"
-    """Nothing came within the client's deadline."""
+    """No answer arrived within the client's deadline."""
 
 
 LOST = frozenset(
     {
         Verdict.LOST_FIRST,
-        Verdict.LOST_KEPT,
-        Verdict.LOST_AHEAD,
+        Verdict.LOST_ON_KEEP_ALIVE,
+        Verdict.LOST_PIPELINED,
         Verdict.LOST_AT_SERVER,
         Verdict.LOST_SILENT,
     }
 )
-ROUTE_SECONDS = 3.0
-"""Time that the routes of the stand-in's configuration allow; a gateway cuts a stream then."""
+ROUTE_TIMEOUT_SECONDS = 3.0
+"""Timeout of the routes in the stand-in configuration; a gateway aborts a stream after it."""
 SEND_SLACK_SECONDS = 0.2
-"""A gateway's time runs from the first byte, the ledger's from the last one on a late loop."""
-CROSSING_SECONDS = 0.2
-"""A close and a request that meet on the way are apart by no more, in one machine's buffers."""
+"""The gateway's timeout starts at the first byte of a request; the rig's clock starts after the
+last byte, and later still when its event loop is delayed."""
+CLOSE_RACE_SECONDS = 0.2
+"""Longest time between a request and a close that cross in the socket buffers of one machine."""
 
 
 @dataclass
-class Asked:
-    """One request as its client saw it.
+class ClientRequest:
+    """One request as its client observed it.
 
     Attributes:
-        request_id: Its identity.
-        kind: Route.
-        was_sent_ahead: Sent at once behind another one.
-        is_behind_cut: The answer of that one broke off.
+        request_id: Value of the Request-Id header.
+        kind: Name of the route.
+        is_pipelined: Sent directly behind another request on the same connection.
+        follows_aborted_answer: The answer to that other request was aborted.
         gateway: Name of the gateway.
-        position: Requests that were sent before it on its connection.
-        sent_at: Seconds at which its last byte was with the kernel, 0 before.
-        ended_at: Seconds at which its end was seen.
-        end: How it ended, None before.
+        position: Number of requests sent earlier on the same connection.
+        sent_at: Monotonic seconds when the kernel had its last byte, 0 before that.
+        ended_at: Monotonic seconds when its result was observed.
+        end: Its result, None while it runs.
     """
 
     request_id: str
     kind: str
-    was_sent_ahead: bool = False
-    is_behind_cut: bool = False
+    is_pipelined: bool = False
+    follows_aborted_answer: bool = False
     gateway: str = ""
     position: int = 0
     sent_at: float = 0.0
     ended_at: float = 0.0
-    end: End | None = None
+    end: RequestResult | None = None
 
 
 @dataclass(frozen=True)
-class Circumstances:
-    """What was true beside a request.
+class RequestContext:
+    """Conditions under which a request ran.
 
     Attributes:
-        runs: How often it began at servers.
-        servers_are_sound: No server broke off or lost an answer by itself.
-        gateway_disturbed: Its gateway was killed or frozen between its send and its end.
+        runs: How many times servers started to execute it.
+        servers_are_healthy: No server aborts or drops answers because of injected faults.
+        gateway_disturbed: Its gateway was killed or suspended between its send and its result.
     """
 
     runs: int = 0
-    servers_are_sound: bool = True
+    servers_are_healthy: bool = True
     gateway_disturbed: bool = False
 
 
 _BY_END = {
     None: Verdict.UNFINISHED,
-    End.WHOLE: Verdict.ANSWERED,
-    End.LEFT: Verdict.CLIENT_LEFT,
-    End.NO_CONNECTION: Verdict.NEVER_SENT,
+    RequestResult.COMPLETE: Verdict.ANSWERED,
+    RequestResult.DISCONNECTED: Verdict.CLIENT_DISCONNECTED,
+    RequestResult.NO_CONNECTION: Verdict.NEVER_SENT,
 }
 
 
-def judge(asked: Asked, beside: Circumstances) -> Verdict:
-    """What a request's end says of its gateway."""
-    if asked.end in _BY_END:
-        return _BY_END[asked.end]
-    if beside.gateway_disturbed:
+def classify(request: ClientRequest, context: RequestContext) -> Verdict:
+    """Classify the result of a request under its conditions."""
+    if request.end in _BY_END:
+        return _BY_END[request.end]
+    if context.gateway_disturbed:
         return Verdict.DISTURBED
-    if asked.end is End.TOO_LONG:
+    if request.end is RequestResult.CLIENT_TIMEOUT:
         return Verdict.LOST_SILENT
-    if asked.is_behind_cut:
-        return Verdict.BEHIND_CUT
-    seconds = asked.ended_at - asked.sent_at
-    if asked.end is End.PARTIAL and seconds >= ROUTE_SECONDS - SEND_SLACK_SECONDS:
+    if request.follows_aborted_answer:
+        return Verdict.BEHIND_ABORTED_ANSWER
+    seconds = request.ended_at - request.sent_at
+    if (
+        request.end is RequestResult.PARTIAL
+        and seconds >= ROUTE_TIMEOUT_SECONDS - SEND_SLACK_SECONDS
+    ):
         return Verdict.TIMED_OUT
-    if asked.end is End.PARTIAL and not beside.servers_are_sound:
-        return Verdict.CUT_BY_SERVER
-    if beside.runs or asked.end is End.PARTIAL:
+    if request.end is RequestResult.PARTIAL and not context.servers_are_healthy:
+        return Verdict.ABORTED_BY_SERVER
+    if context.runs or request.end is RequestResult.PARTIAL:
         return Verdict.LOST_AT_SERVER
-    if asked.was_sent_ahead:
-        return Verdict.LOST_AHEAD
-    if asked.position == 0:
+    if request.is_pipelined:
+        return Verdict.LOST_PIPELINED
+    if request.position == 0:
         return Verdict.LOST_FIRST
-    if seconds < CROSSING_SECONDS:
-        return Verdict.CROSSED_CLOSE
-    return Verdict.LOST_KEPT
+    if seconds < CLOSE_RACE_SECONDS:
+        return Verdict.RACED_WITH_CLOSE
+    return Verdict.LOST_ON_KEEP_ALIVE
--- a/tests/soak/entry_ledger.py
+++ b/tests/soak/entry_ledger.py
@@ -1,4 +1,4 @@
-"""What servers got after the store had acknowledged that they leave, or that they are gone."""
+"""Requests to servers after the store acknowledged that they are draining or removed."""
 
 from __future__ import annotations
 
@@ -8,87 +8,92 @@
 
 from soak.signal_ledger import Arrival, WasDisturbed
 
-KNOWN_SECONDS = 0.5
-"""A gateway that runs undisturbed knows by now what the store has acknowledged."""
-DOUBT_SECONDS = 3.0
-"""After a return an entry may have lapsed with the store, and its server be back in it: one that
-goes without a word in this time counts as gone at its end."""
+PROPAGATION_SECONDS = 0.5
+"""Time within which an undisturbed gateway learns of a change that the store acknowledged."""
+UNVERIFIED_SECONDS = 3.0
+"""After a restore, a missing entry may only have been lost, and its server may rewrite it. An entry
+removed within this time without having been marked as draining counts as removed at its end."""
 
 
 @dataclass
 class EntryLedger:
-    """When the store acknowledged servers' leaving; in monotonic seconds.
+    """Times at which the store acknowledged that servers drain; in monotonic seconds.
 
-    An acknowledgement that the store loses before gateways could know it counts from the return, at
-    which it is given again.
+    An acknowledgement that the store loses before gateways can learn of it counts from the restore,
+    when it is written again.
     """
 
-    leaving_since: dict[str, float] = field(default_factory=dict)
-    _unknown: set[str] = field(default_factory=set)
-    """Servers whose word the store took while it was away, or is about to lose unheard."""
-    is_away: bool = False
-    _returned_at: float = -math.inf
-    returns: list[float] = field(default_factory=list)
-    _gone: set[str] = field(default_factory=set)
-    _in_doubt: set[str] = field(default_factory=set)
-
-    def is_gone(self, server: str) -> bool:
-        """Whether a server's entry went before the server did."""
-        return server in self._gone
-
-    def on_leaving(self, server: str, now: float, is_gone: bool) -> None:
-        """A server's entry says that it leaves, or went."""
-        if is_gone:
-            self._gone.add(server)
-        if server in self.leaving_since:
+    draining_since: dict[str, float] = field(default_factory=dict)
+    _unpropagated: set[str] = field(default_factory=set)
+    """Servers whose draining was recorded while the store was unavailable, or too shortly before
+    for gateways to learn of it."""
+    is_unavailable: bool = False
+    _restored_at: float = -math.inf
+    restores: list[float] = field(default_factory=list)
+    _removed: set[str] = field(default_factory=set)
+    _unverified: set[str] = field(default_factory=set)
+
+    def is_removed(self, server: str) -> bool:
+        """Whether a server's entry was removed before the server terminated."""
+        return server in self._removed
+
+    def on_draining(self, server: str, now: float, is_removed: bool) -> None:
+        """A server's entry is marked as draining, or removed."""
+        if is_removed:
+            self._removed.add(server)
+        if server in self.draining_since:
             return
-        self.leaving_since[server] = now
-        if is_gone and now < self._returned_at + DOUBT_SECONDS:
-            self._in_doubt.add(server)
-        if self.is_away:
-            self._unknown.add(server)
-
-    def on_away(self, now: float) -> None:
-        """The store answers nobody from now on."""
-        self.is_away = True
-        self._unknown |= {
-            server for server, since in self.leaving_since.items() if now - since < KNOWN_SECONDS
+        self.draining_since[server] = now
+        if is_removed and now < self._restored_at + UNVERIFIED_SECONDS:
+            self._unverified.add(server)
+        if self.is_unavailable:
+            self._unpropagated.add(server)
+
+    def on_unavailable(self, now: float) -> None:
+        """The store becomes unavailable."""
+        self.is_unavailable = True
+        self._unpropagated |= {
+            server
+            for server, since in self.draining_since.items()
+            if now - since < PROPAGATION_SECONDS
         }
 
-    def on_return(self, now: float) -> None:
-        """The store has come back; what was lost is written again."""
-        self.is_away = False
-        self._returned_at = now
-        self.returns.append(now)
-        for server in self._unknown:
-            self.leaving_since[server] = now
-            if server in self._gone:
-                self._in_doubt.add(server)
-        self._unknown.clear()
+    def on_restored(self, now: float) -> None:
+        """The store has been restored, and lost objects have been rewritten."""
+        self.is_unavailable = False
+        self._restored_at = now
+        self.restores.append(now)
+        for server in self._unpropagated:
+            self.draining_since[server] = now
+            if server in self._removed:
+                self._unverified.add(server)
+        self._unpropagated.clear()
 
     def late(
         self, arrivals: Iterable[Arrival], bound: float, was_disturbed: WasDisturbed
     ) -> list[Arrival]:
-        """Requests that clients sent too late and that such a server got.
+        """Requests that clients sent after the bound and that a draining server received.
 
         Args:
-            arrivals: What reached servers.
+            arrivals: Requests that reached servers.
             bound: Seconds after the acknowledgement.
-            was_disturbed: Excuses a gateway.
+            was_disturbed: Tells whether a gateway is excused.
         """
-        # Callers that test crashes don't say through which gateway they came.
-        told = (item for item in arrivals if item.gateway)
-        return [item for item in told if self._is_late(item, bound, was_disturbed)]
+        # Clients that test crashes do not record their gateway.
+        attributed = (item for item in arrivals if item.gateway)
+        return [item for item in attributed if self._is_late(item, bound, was_disturbed)]
 
-    def _until(self, arrival: Arrival, since: float, bound: float) -> float:
-        """When gateways must have left a server."""
-        if arrival.server.partition("@")[0] not in self._in_doubt:
+    def _deadline(self, arrival: Arrival, since: float, bound: float) -> float:
+        """Time by which gateways must have stopped sending to a server."""
+        if arrival.server.partition("@")[0] not in self._unverified:
             return since + bound
-        doubts = [at + DOUBT_SECONDS for at in self.returns if at <= since + DOUBT_SECONDS]
-        return max(since + bound, *doubts)
+        verified_at = [
+            at + UNVERIFIED_SECONDS for at in self.restores if at <= since + UNVERIFIED_SECONDS
+        ]
+        return max(since + bound, *verified_at)
 
     def _is_late(self, arrival: Arrival, bound: float, was_disturbed: WasDisturbed) -> bool:
-        since = self.leaving_since.get(arrival.server.partition("@")[0])
-        if since is None or arrival.sent_at <= self._until(arrival, since, bound):
+        since = self.draining_since.get(arrival.server.partition("@")[0])
+        if since is None or arrival.sent_at <= self._deadline(arrival, since, bound):
             return False
         return not was_disturbed(arrival.gateway, arrival.server, since, arrival.at)
--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -1,11 +1,11 @@
-"""Planned work on real gateway processes, before sound servers: no request may be lost.
+"""Planned maintenance on real gateway processes with healthy servers: no request may be lost.
 
 `python3 tests/soak/planned.py [--seeds FIRST:LAST] [--gateways N] [--seconds N] [--clients N]`
 
-Gateways get SIGTERM in turn and start again, some get SIGHUP, the configuration changes and new
-weights are named, all at once and under load. On demand streams pause at their servers, servers
-are full, and gateways are held for a while and judged by what they do after it. Prints one JSON
-line for each seed; the exit code is 1 when a request that was sent whole ended without a complete
+Gateways receive SIGTERM in turn and restart, some receive SIGHUP, the configuration changes and
+weight versions are published, all concurrently and under load. Options make streams pause at their
+servers, servers reject requests as full, and gateways be suspended for a while. Prints one JSON
+line per seed; the exit code is 1 if a request that was sent completely ended without a complete
 answer.
 """
 
@@ -24,20 +24,20 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from soak.answers import LOST, End
-from soak.clients import SHORT_PROMPT, Habits, SoakClient
-from soak.copies import begin_copies, check_after_returns, store_figures
-from soak.entry import Entry
-from soak.large import (
-    TARGET_SECONDS,
+from soak.answers import LOST, RequestResult
+from soak.clients import SHORT_PROMPT, ClientProfile, SoakClient
+from soak.large_configuration import (
+    APPLY_TARGET_SECONDS,
     change_configuration,
     configuration_figures,
     many_routes,
     probe_routes,
 )
 from soak.limits import limit_servers
-from soak.seeds import Report, play_seeds
-from soak.signals import leave_servers, rest_servers
+from soak.load_balancer import LoadBalancer
+from soak.seeds import Report, run_seeds
+from soak.signals import back_off_servers, drain_and_replace_servers
+from soak.store_restores import check_after_restores, start_restores, store_figures
 from soak.world import (
     DEFAULT_GATEWAYS,
     GATEWAY_PROGRAM,
@@ -46,32 +46,37 @@
     SoakWorld,
 )
 
-KEPT = Habits(
+KEEP_ALIVE = ClientProfile(
     SHORT_PROMPT,
     deadline_seconds=6.0,
     pause_seconds=(0.002, 0.04),
-    last_share=0.05,
-    ahead_share=0.1,
+    close_share=0.05,
+    pipelined_share=0.1,
 )
-"""Keeps its connection long, and sends ahead on it at times."""
-SINGLE = replace(KEPT, last_share=1.0, ahead_share=0.0, first_seconds=0.2)
-"""Opens a connection for each request, and sends it a moment later."""
-HABITS = (KEPT, SINGLE)
-"""Taken in turn by the clients."""
+"""Keeps its connection open for long and sometimes pipelines requests on it."""
+CONNECTION_PER_REQUEST = replace(
+    KEEP_ALIVE, close_share=1.0, pipelined_share=0.0, first_request_delay_seconds=0.2
+)
+"""Opens a connection for each request, which it sends after a short delay."""
+PROFILES = (KEEP_ALIVE, CONNECTION_PER_REQUEST)
+"""Assigned to the clients in turn."""
 DEFAULT_CLIENTS = 40
 READY_SECONDS = 30.0
-CALM_SECONDS = 1.0
-HOLD_PAUSE_SECONDS = 1.0
-MAX_OWN_ABSENCE_SECONDS = 0.3
-"""With less standing still of this process in all, no server in it was silent for a second."""
-JUDGEMENTS = ("left", "instance-ejected", "instance-suspected", "stream-cut")
-"""What gateways did to servers and streams, counted from their lines."""
+QUIET_SECONDS = 1.0
+SUSPEND_INTERVAL_SECONDS = 1.0
+MAX_OWN_STALL_SECONDS = 0.3
+"""If this process's event loop stalled for less than this in total, none of the servers that run in
+it was silent for a second."""
+COUNTED_EVENTS = ("left", "instance-ejected", "instance-suspected", "stream-cut")
+"""Gateway actions against servers and streams, counted from log lines."""
 PERCENTILES = {"p50": 0.5, "p99": 0.99}
 MUTANTS_FILE = Path(__file__).parent / "mutants.py"
 
 
-async def roll_gateways(world: SoakWorld, entry: Entry, at_a_time: int) -> None:
-    """SIGTERM to gateways in turn; the next ones when these are back in the entry."""
+async def restart_gateways_in_turn(
+    world: SoakWorld, balancer: LoadBalancer, at_a_time: int
+) -> None:
+    """Send SIGTERM to gateways in turn, each group after the previous one is back in rotation."""
     while True:
         for first in range(0, len(world.gateways), at_a_time):
             group = world.gateways[first : first + at_a_time]
@@ -80,81 +85,81 @@
                 gateway.send(signal.SIGTERM)
                 world.stops += 1
             while any(
-                gateway.starts == starts[gateway.name] or not entry.is_in(gateway)
+                gateway.starts == starts[gateway.name] or not balancer.is_in_rotation(gateway)
                 for gateway in group
             ):
                 await asyncio.sleep(0.05)
 
 
-async def other_planned_work(world: SoakWorld) -> None:
-    """SIGHUP, configurations and weights at random moments."""
+async def make_planned_changes(world: SoakWorld) -> None:
+    """Reload settings, change the configuration and publish weight versions at random times."""
     while True:
         await asyncio.sleep(world.random.uniform(0.3, 1.5))
         drawn = world.random.random()
         if drawn < 0.4:
-            started = [gateway for gateway in world.gateways if entry_has_seen(gateway)]
+            started = [gateway for gateway in world.gateways if has_started(gateway)]
             if started:
                 world.random.choice(started).send(signal.SIGHUP)
         elif drawn < 0.8:
             world.put_configuration()
         else:
-            world.name_version()
+            world.publish_version()
 
 
-def entry_has_seen(gateway: GatewayProcess) -> bool:
-    """Whether a process serves by its own word: before that, SIGHUP ends it as any program."""
+def has_started(gateway: GatewayProcess) -> bool:
+    """Whether a process has logged that it started; before that, SIGHUP would terminate it."""
     return gateway.is_running() and gateway.has_started()
 
 
-async def hold_gateways(world: SoakWorld, seconds: float) -> None:
-    """Processes stand still by turns, as on a machine that others use.
+async def suspend_gateways(world: SoakWorld, seconds: float) -> None:
+    """Suspend gateway processes in turn, as on an overloaded machine.
 
-    That excuses no end of a request, only what a process that stands can know of the store.
+    A suspension excuses no lost request; it only excuses outdated knowledge of the store.
     """
     while True:
-        await asyncio.sleep(HOLD_PAUSE_SECONDS)
+        await asyncio.sleep(SUSPEND_INTERVAL_SECONDS)
         gateway = world.random.choice(world.gateways)
         process = gateway.process
-        if process is None or not entry_has_seen(gateway):
+        if process is None or not has_started(gateway):
             continue
         process.send_signal(signal.SIGSTOP)
-        hold = Disturbance(time.monotonic())
-        gateway.holds.append(hold)
+        suspension = Disturbance(time.monotonic())
+        gateway.suspensions.append(suspension)
         try:
             await asyncio.sleep(seconds)
         finally:
             process.send_signal(signal.SIGCONT)
-            hold.ended_at = time.monotonic()
-        world.holds += 1
+            suspension.ended_at = time.monotonic()
+        world.suspensions += 1
 
 
 @dataclass(frozen=True)
 class PlannedRun:
-    """One run of planned work.
+    """Parameters of one run.
 
     Attributes:
-        gateways: Processes.
-        clients: Callers.
-        seconds: Time of planned work.
-        at_a_time: Gateways that stop together.
-        direct: Clients ask no entry.
+        gateways: Number of gateway processes.
+        clients: Number of clients.
+        seconds: Duration of the maintenance.
+        at_a_time: Number of gateways that stop together.
+        direct: Clients bypass the load balancer.
         mutant: Known defect of the gateways, empty for none.
-        pauses: Share of streams that pause once at their server for a second and more.
-        full: Share of sends that meet a full server.
-        hold_seconds: How long gateways are held, one after the other; 0 for never.
-        stops: Whether gateways stop and start again.
-        limited: Share of the servers that limit their requests, by turns.
-        limit: Requests a second that they take, more or less.
-        descriptors: Most descriptors of a gateway; 0 for the machine's usual bound.
-        resting: Share of the servers that ask for rest, by turns; 0 for none.
-        connections: Connections that each server takes from all gateways; 0 for no bound.
-        leaving: Share of the servers that leave and are replaced, by turns; 0 for none.
-        copies: Whether the store comes back from older copies, beside keys that are revoked and
-            entries that say that their servers leave.
-        link_megabits: Link of each gateway; 0 for no bound.
-        routes: Further routes of the configuration, from the beginning of the work on.
-        change_seconds: The configuration is written again after so long; 0 for the usual changes.
-        calm: No work but these changes.
+        pauses: Share of streams that their server pauses once for more than a second.
+        full: Share of sends that servers reject as full.
+        suspend_seconds: Duration of gateway suspensions, one at a time; 0 for none.
+        stops: Whether gateways stop and restart.
+        limited: Share of servers that announce rate limits, in turn.
+        limit: Average announced limit in requests per second.
+        descriptors: File descriptor limit of a gateway; 0 for the machine's default.
+        backing_off: Share of servers that ask for back-off, in turn; 0 for none.
+        connections: Connections that each server accepts from all gateways; 0 for no limit.
+        draining: Share of servers that drain and are replaced, in turn; 0 for none.
+        restores_store: Whether the store is restored from older snapshots, while keys are revoked
+            and servers' entries are marked as draining.
+        link_megabits: Bandwidth of each gateway's link; 0 for no limit.
+        routes: Additional routes of the configuration, from the start of the maintenance.
+        change_seconds: Interval of configuration writes; 0 for the usual changes.
+        changes_only: Nothing but these writes happens.
     """
 
     gateways: int = DEFAULT_GATEWAYS
@@ -165,33 +170,33 @@
     mutant: str = ""
     pauses: float = 0.0
     full: float = 0.0
-    hold_seconds: float = 0.0
+    suspend_seconds: float = 0.0
     stops: bool = True
     limited: float = 0.0
     limit: float = 1.0
     descriptors: int = 0
-    resting: float = 0.0
-    leaving: float = 0.0
+    backing_off: float = 0.0
+    draining: float = 0.0
     connections: int = 0
-    copies: bool = False
+    restores_store: bool = False
     link_megabits: float = 0.0
     routes: int = 0
     change_seconds: float = 0.0
-    calm: bool = False
+    changes_only: bool = False
 
     @property
     def is_large(self) -> bool:
-        """Whether the configuration's way to the gateways is looked at."""
+        """Whether the propagation of the configuration is measured."""
         return bool(self.link_megabits or self.routes or self.change_seconds)
 
     @property
     def program(self) -> tuple[str, ...]:
-        """Arguments of Python that run a gateway."""
+        """Arguments of the Python interpreter that run a gateway."""
         return (str(MUTANTS_FILE), self.mutant) if self.mutant else GATEWAY_PROGRAM
 
 
 async def planned_soak(seed: int, folder: Path, run: PlannedRun) -> Report:
-    """One soak; returns its report."""
+    """Run one soak and return its report."""
     world = SoakWorld(seed, folder, run.gateways, run.program)
     background: list[asyncio.Task[None]] = []
     large: dict[str, Any] = {}
@@ -200,50 +205,52 @@
         world.max_connections = run.connections
         world.link_megabits = run.link_megabits
         world.link_callers = bool(run.link_megabits) and not run.stops
-        world.shows_state = run.copies
+        world.serves_state = run.restores_store
         await world.start()
         for server in world.servers.values():
-            server.mood.pause = run.pauses
-            server.mood.shed = run.full
-        entry = Entry(world.gateways, world.random)
-        duties = (entry.run(), world.beat(), world.watch_own_pauses())
-        background = [asyncio.create_task(work) for work in duties]
+            server.fault_rates.pause = run.pauses
+            server.fault_rates.shed = run.full
+        balancer = LoadBalancer(world.gateways, world.random)
+        background_work = (balancer.run(), world.send_heartbeats(), world.watch_event_loop())
+        background = [asyncio.create_task(work) for work in background_work]
         async with asyncio.timeout(READY_SECONDS):
-            while not all(entry.is_in(gateway) for gateway in world.gateways):
+            while not all(balancer.is_in_rotation(gateway) for gateway in world.gateways):
                 await asyncio.sleep(0.05)
         callers = [
-            asyncio.create_task(new_client(number, world, entry, run.direct).run())
+            asyncio.create_task(new_client(number, world, balancer, run.direct).run())
             for number in range(run.clients)
         ]
-        background.append(asyncio.create_task(world.keep_gateways()))
-        await asyncio.sleep(CALM_SECONDS)
+        background.append(asyncio.create_task(world.restart_exited_gateways()))
+        await asyncio.sleep(QUIET_SECONDS)
         work = []
         if run.is_large:
             world.routes = many_routes(run.routes, world.random)
             work.append(asyncio.create_task(probe_routes(world)))
         if run.change_seconds:
             work.append(asyncio.create_task(change_configuration(world, run.change_seconds)))
-        if not run.calm:
-            work.append(asyncio.create_task(other_planned_work(world)))
+        if not run.changes_only:
+            work.append(asyncio.create_task(make_planned_changes(world)))
         if run.stops:
-            work.append(asyncio.create_task(roll_gateways(world, entry, run.at_a_time)))
-        if run.hold_seconds:
-            work.append(asyncio.create_task(hold_gateways(world, run.hold_seconds)))
+            work.append(
+                asyncio.create_task(restart_gateways_in_turn(world, balancer, run.at_a_time))
+            )
+        if run.suspend_seconds:
+            work.append(asyncio.create_task(suspend_gateways(world, run.suspend_seconds)))
         if run.limited:
             work.append(asyncio.create_task(limit_servers(world, run.limited, run.limit)))
-        if run.resting:
-            work.append(asyncio.create_task(rest_servers(world, run.resting)))
-        if run.leaving:
-            work.append(asyncio.create_task(leave_servers(world, run.leaving)))
-        if run.copies:
-            work += begin_copies(world)
+        if run.backing_off:
+            work.append(asyncio.create_task(back_off_servers(world, run.backing_off)))
+        if run.draining:
+            work.append(asyncio.create_task(drain_and_replace_servers(world, run.draining)))
+        if run.restores_store:
+            work += start_restores(world)
         await asyncio.sleep(run.seconds)
         for task in work:
             task.cancel()
-        if run.copies:
-            await check_after_returns(world)
+        if run.restores_store:
+            await check_after_restores(world)
         if run.is_large:
-            await asyncio.sleep(TARGET_SECONDS)
+            await asyncio.sleep(APPLY_TARGET_SECONDS)
             large = configuration_figures(world)
         world.ended = True
         await asyncio.gather(*callers)
@@ -251,8 +258,8 @@
         for task in background:
             task.cancel()
         await world.stop()
-    if not run.hold_seconds:
-        # A gateway that stands still can't end a run.
+    if not run.suspend_seconds:
+        # A suspended gateway cannot abort a stream's previous attempt.
         world.ledger.check_overlaps()
     world.ledger.check_limits()
     world.check_signals()
@@ -260,40 +267,46 @@
     return {**report, "configuration": large} if run.is_large else report
 
 
-def new_client(number: int, world: SoakWorld, entry: Entry, direct: bool) -> SoakClient:
-    """A client that goes through the entry, or to any gateway."""
+def new_client(number: int, world: SoakWorld, balancer: LoadBalancer, direct: bool) -> SoakClient:
+    """A client that uses the load balancer, or connects to a random gateway."""
     source = random.Random(number)
-    habits = HABITS[number % len(HABITS)]
+    profile = PROFILES[number % len(PROFILES)]
 
     def any_gateway() -> GatewayProcess:
         return source.choice(world.gateways)
 
-    return SoakClient(number, world, source, any_gateway if direct else entry.choose, habits)
+    return SoakClient(number, world, source, any_gateway if direct else balancer.choose, profile)
 
 
 def report_of(seed: int, world: SoakWorld, servers_are_silent: bool) -> Report:
-    """Counts by verdict, and each lost request."""
-    may_blame = servers_are_silent or world.clock.stalled_seconds > MAX_OWN_ABSENCE_SECONDS
+    """Report with counts by verdict and the first lost requests."""
+    servers_may_be_silent = servers_are_silent or world.clock.stalled_seconds > MAX_OWN_STALL_SECONDS
     verdicts = world.verdicts()
-    lost = [item for item in world.asked if verdicts[item.request_id] in LOST]
+    lost = [item for item in world.requests if verdicts[item.request_id] in LOST]
     events: Counter[str] = Counter()
     for gateway in world.gateways:
         for line in gateway.log_lines():
             if line["event"] == "attempt-failed" and line["loss"] == "aborted":
                 events["left"] += 1
             events[line["event"]] += 1
-            if is_blame(line) and not may_blame and line["instance"] not in world.ended_servers:
-                world.ledger.violate("blamed", f"a server that was never silent: {line}")
+            if (
+                is_silence_verdict(line)
+                and not servers_may_be_silent
+                and line["instance"] not in world.terminated_servers
+            ):
+                world.ledger.violate(
+                    "blamed", f"gateway ejected or aborted a server that was never silent: {line}"
+                )
             if line["event"] == "task-failed":
                 world.ledger.violate("defect", f"{gateway.name}: {line}")
     return {
         "seed": seed,
         "stops": world.stops,
-        "requests": len(world.asked),
+        "requests": len(world.requests),
         "pauses": world.ledger.pauses,
-        "holds": world.holds,
+        "holds": world.suspensions,
         "own_absence": round(world.clock.stalled_seconds, 2),
-        "judged": {name: events[name] for name in JUDGEMENTS if events[name]},
+        "judged": {name: events[name] for name in COUNTED_EVENTS if events[name]},
         "limits": world.ledger.limits.figures(time.monotonic()),
         "resets": sum(server.resets for server in world.servers.values()),
         "signals": world.ledger.signals.figures(),
@@ -318,15 +331,19 @@
 
 
 def answer_times(world: SoakWorld) -> dict[str, float]:
-    """Median and 99th percentile of the time until an answer was whole."""
-    times = sorted(item.ended_at - item.sent_at for item in world.asked if item.end is End.WHOLE)
+    """Median and 99th percentile of the time until an answer was complete."""
+    times = sorted(
+        item.ended_at - item.sent_at
+        for item in world.requests
+        if item.end is RequestResult.COMPLETE
+    )
     if not times:
         return {}
     return {name: round(times[int(len(times) * share)], 3) for name, share in PERCENTILES.items()}
 
 
-def is_blame(line: dict[str, Any]) -> bool:
-    """Whether a gateway left, or judged, a server for its silence."""
+def is_silence_verdict(line: dict[str, Any]) -> bool:
+    """Whether a log line reports that a gateway ejected or abandoned a server as silent."""
     if line["event"] == "instance-ejected":
         return True
     return line["event"] == "attempt-failed" and line["left"] == "silent"
@@ -335,29 +352,45 @@
 def main() -> int:
     """Run all seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", default="", help="FIRST:LAST; a fresh one without it")
-    parser.add_argument("--seconds", type=float, default=30.0, help="time of planned work a seed")
+    parser.add_argument("--seeds", default="", help="FIRST:LAST; default: one new seed")
+    parser.add_argument(
+        "--seconds", type=float, default=30.0, help="duration of maintenance per seed"
+    )
     parser.add_argument("--gateways", type=int, default=DEFAULT_GATEWAYS, help="processes")
     parser.add_argument("--clients", type=int, default=DEFAULT_CLIENTS)
     parser.add_argument("--at-a-time", type=int, default=1, help="gateways that stop together")
-    parser.add_argument("--direct", action="store_true", help="clients ask no entry")
+    parser.add_argument("--direct", action="store_true", help="clients bypass the load balancer")
     parser.add_argument("--mutant", default="", help="a known defect, see soak/mutants.py")
-    parser.add_argument("--keep", type=Path, help="folder that keeps the gateways' logs")
+    parser.add_argument("--keep", type=Path, help="folder in which to keep the gateways' logs")
     parser.add_argument("--pauses", type=float, default=0.0, help="share of streams that pause")
-    parser.add_argument("--full", type=float, default=0.0, help="share of sends turned away")
-    parser.add_argument("--hold", type=float, default=0.0, help="seconds that gateways are held")
-    parser.add_argument("--no-stops", action="store_true", help="no gateway stops")
+    parser.add_argument(
+        "--full", type=float, default=0.0, help="share of sends that servers reject as full"
+    )
+    parser.add_argument(
+        "--hold", type=float, default=0.0, help="seconds for which gateways are suspended"
+    )
+    parser.add_argument("--no-stops", action="store_true", help="do not stop gateways")
     parser.add_argument("--limited", type=float, default=0.0, help="share of servers with limits")
-    parser.add_argument("--limit", type=float, default=1.0, help="requests a second that they take")
-    parser.add_argument("--descriptors", type=int, default=0, help="most of a gateway")
-    parser.add_argument("--resting", type=float, default=0.0, help="share of servers that rest")
-    parser.add_argument("--connections", type=int, default=0, help="that a server takes")
-    parser.add_argument("--leaving", type=float, default=0.0, help="share of servers that leave")
-    parser.add_argument("--copies", action="store_true", help="the store comes back from copies")
-    parser.add_argument("--link", type=float, default=0.0, help="Mbit/s of each gateway")
-    parser.add_argument("--routes", type=int, default=0, help="further routes")
-    parser.add_argument("--changes", type=float, default=0.0, help="seconds between versions")
-    parser.add_argument("--calm", action="store_true", help="nothing else happens")
+    parser.add_argument(
+        "--limit", type=float, default=1.0, help="average limit in requests per second"
+    )
+    parser.add_argument(
+        "--descriptors", type=int, default=0, help="file descriptor limit of a gateway"
+    )
+    parser.add_argument(
+        "--resting", type=float, default=0.0, help="share of servers that ask for back-off"
+    )
+    parser.add_argument("--connections", type=int, default=0, help="connection limit of a server")
+    parser.add_argument("--leaving", type=float, default=0.0, help="share of servers that drain")
+    parser.add_argument("--copies", action="store_true", help="restore the store from snapshots")
+    parser.add_argument(
+        "--link", type=float, default=0.0, help="link bandwidth of each gateway in Mbit/s"
+    )
+    parser.add_argument("--routes", type=int, default=0, help="additional routes")
+    parser.add_argument(
+        "--changes", type=float, default=0.0, help="seconds between configuration versions"
+    )
+    parser.add_argument("--calm", action="store_true", help="make no other changes")
     arguments = parser.parse_args()
     run = PlannedRun(
         arguments.gateways,
@@ -382,7 +415,7 @@
         arguments.changes,
         arguments.calm,
     )
-    return play_seeds(
+    return run_seeds(
         arguments.seeds, arguments.keep, lambda seed, folder: planned_soak(seed, folder, run)
     )
 
--- a/tests/soak/signal_ledger.py
+++ b/tests/soak/signal_ledger.py
@@ -1,4 +1,4 @@
-"""What servers got after they had said that they leave, or asked for rest."""
+"""Requests to servers after they announced that they are draining, or asked for back-off."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-REST_SLACK_SECONDS = 0.5
-"""What arrives so soon after a server asked for rest may have been on its way."""
-MOST_IN_A_REST = 2
+BACK_OFF_SLACK_SECONDS = 0.5
+"""Requests that arrive this soon after a back-off request may have been in transit."""
+MAX_SENDS_IN_BACK_OFF = 2
 WasDisturbed = Callable[[str, str, float, float], bool]
-"""Whether a gateway was killed, stopped or frozen, or its way to a server was cut: their names, and
-two monotonic times."""
+"""Whether a gateway was killed, stopped or suspended, or was partitioned from a server. Arguments:
+names of the gateway and the server, and begin and end of an interval in monotonic seconds."""
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request reaches a server, whatever becomes of it.
+    """A request that reached a server, whether or not it was executed.
 
     Attributes:
-        server: Name and start of the server.
-        gateway: Gateway that sent it there.
-        at: Monotonic time.
+        server: Incarnation of the server.
+        gateway: Gateway that forwarded it.
+        at: Monotonic time of arrival.
         sent_at: Monotonic time at which its client sent it.
     """
 
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True)
-class Rest:
-    """A server turned a request away, and asked the gateway that sent it for rest."""
+class BackOff:
+    """A server rejected a request and asked the gateway that sent it to back off."""
 
     server: str
     gateway: str
@@ -43,88 +43,90 @@
 
 @dataclass
 class SignalLedger:
-    """Arrivals at servers, and what these said."""
+    """Arrivals at servers, and the signals that the servers sent."""
 
     arrivals: list[Arrival] = field(default_factory=list)
-    rests: list[Rest] = field(default_factory=list)
-    leaving_since: dict[str, float] = field(default_factory=dict)
-    """When a server first said that it leaves, to anybody."""
-    told_leaving: dict[tuple[str, str], float] = field(default_factory=dict)
-    """When a gateway first passed on an answer that said so, by server and gateway."""
+    back_offs: list[BackOff] = field(default_factory=list)
+    draining_since: dict[str, float] = field(default_factory=dict)
+    """Time at which each server first announced that it is draining, to any gateway."""
+    draining_relayed_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    """Time at which a gateway first relayed such an answer, by server and gateway."""
 
     def on_arrival(self, arrival: Arrival) -> None:
         """A request reaches a server."""
         self.arrivals.append(arrival)
 
-    def on_rest(self, rest: Rest) -> None:
-        """A server asks a gateway for rest."""
-        self.rests.append(rest)
+    def on_back_off(self, back_off: BackOff) -> None:
+        """A server asks a gateway to back off."""
+        self.back_offs.append(back_off)
 
-    def on_leaving_answer(self, server: str, at: float) -> None:
-        """A server writes an answer that says that it leaves."""
-        self.leaving_since.setdefault(server, at)
+    def on_draining_answer(self, server: str, at: float) -> None:
+        """A server writes an answer that announces that it is draining."""
+        self.draining_since.setdefault(server, at)
 
-    def on_passed_on(self, server: str, gateway: str, at: float) -> None:
-        """A client has such an answer."""
-        self.told_leaving.setdefault((server, gateway), at)
+    def on_relayed(self, server: str, gateway: str, at: float) -> None:
+        """A client received such an answer."""
+        self.draining_relayed_at.setdefault((server, gateway), at)
 
     def late_sends(self, bound: float, was_disturbed: WasDisturbed) -> list[Arrival]:
-        """Requests that clients sent too late and that a leaving server got.
+        """Requests that clients sent after the bound and that a draining server received.
 
         Args:
-            bound: Seconds after a gateway passed on the word.
-            was_disturbed: Excuses a gateway.
+            bound: Seconds after the gateway relayed the announcement.
+            was_disturbed: Tells whether a gateway is excused.
         """
         return [
             item
             for item in self.arrivals
-            if item.sent_at > self._told_at(item) + bound
-            and not was_disturbed(item.gateway, item.server, self._told_at(item), item.at)
+            if item.sent_at > self._relayed_at(item) + bound
+            and not was_disturbed(item.gateway, item.server, self._relayed_at(item), item.at)
         ]
 
-    def _told_at(self, arrival: Arrival) -> float:
-        return self.told_leaving.get((arrival.server, arrival.gateway), math.inf)
+    def _relayed_at(self, arrival: Arrival) -> float:
+        return self.draining_relayed_at.get((arrival.server, arrival.gateway), math.inf)
 
-    def broken_rests(self, was_disturbed: WasDisturbed) -> list[tuple[Rest, int]]:
-        """Rests in which their gateway sent more than two requests, with how many.
+    def violated_back_offs(self, was_disturbed: WasDisturbed) -> list[tuple[BackOff, int]]:
+        """Back-offs during which their gateway sent more than two requests, and how many.
 
         Args:
-            was_disturbed: Excuses a gateway.
+            was_disturbed: Tells whether a gateway is excused.
         """
         times: dict[tuple[str, str], list[float]] = {}
         for item in self.arrivals:
             times.setdefault((item.server, item.gateway), []).append(item.at)
         found = []
-        for rest in self.rests:
-            end = rest.at + rest.seconds
-            begin = rest.at + REST_SLACK_SECONDS
-            arrived = times.get((rest.server, rest.gateway), [])
+        for back_off in self.back_offs:
+            end = back_off.at + back_off.seconds
+            begin = back_off.at + BACK_OFF_SLACK_SECONDS
+            arrived = times.get((back_off.server, back_off.gateway), [])
             count = sum(begin < at < end for at in arrived)
-            if count <= MOST_IN_A_REST:
+            if count <= MAX_SENDS_IN_BACK_OFF:
                 continue
-            if not was_disturbed(rest.gateway, rest.server, rest.at, end):
-                found.append((rest, count))
+            if not was_disturbed(back_off.gateway, back_off.server, back_off.at, end):
+                found.append((back_off, count))
         return found
 
     def figures(self) -> dict[str, int]:
-        """What there was to keep to, and how much of it could be seen."""
+        """Counts of signals, and of requests that arrived after them."""
         after = sum(item.at > self._since(item.server) for item in self.arrivals)
-        in_rests = sum(self._is_in_rest(item) for item in self.arrivals) if self.rests else 0
+        in_back_offs = (
+            sum(self._is_in_back_off(item) for item in self.arrivals) if self.back_offs else 0
+        )
         counted = {
-            "leaving": len(self.leaving_since),
-            "rests": len(self.rests),
+            "leaving": len(self.draining_since),
+            "rests": len(self.back_offs),
             "sent_to_leaving": after,
-            "sent_in_rests": in_rests,
+            "sent_in_rests": in_back_offs,
         }
         return {name: count for name, count in counted.items() if count}
 
     def _since(self, server: str) -> float:
-        return self.leaving_since.get(server, math.inf)
+        return self.draining_since.get(server, math.inf)
 
-    def _is_in_rest(self, arrival: Arrival) -> bool:
+    def _is_in_back_off(self, arrival: Arrival) -> bool:
         return any(
-            rest.server == arrival.server
-            and rest.gateway == arrival.gateway
-            and rest.at + REST_SLACK_SECONDS < arrival.at < rest.at + rest.seconds
-            for rest in self.rests
+            back_off.server == arrival.server
+            and back_off.gateway == arrival.gateway
+            and back_off.at + BACK_OFF_SLACK_SECONDS < arrival.at < back_off.at + back_off.seconds
+            for back_off in self.back_offs
         )
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes, and everything round them in one event loop."""
+"""Gateways as real processes, with their whole environment in one event loop."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from child_processes import start_child
 from gateway_standin import StandinStore, configuration
 from milletcourse.runtime.responsive_clock import ResponsiveClock
-from soak.answers import Asked, Circumstances, Verdict, judge
+from soak.answers import ClientRequest, RequestContext, Verdict, classify
 from soak.entry_ledger import EntryLedger
-from soak.ledger import Ledger, name_of
+from soak.ledger import Ledger, server_name
 from soak.links import Link
 from soak.proxy import FaultProxy
 from soak.server import MODEL, SoakServer
 
 HOST = "127.0.0.1"
 ZONES = ("zone-1", "zone-2")
-"""One gateway of each zone reads the store; the others follow it."""
+"""In each zone, one gateway reads the store and the others follow it."""
 DEFAULT_GATEWAYS = 5
 GATEWAY_PROGRAM = ("-m", "milletcourse.platform")
 GATEWAY_KIND = "milletcourse-gateways"
@@ -50,22 +50,22 @@
 }
 CONFIG_APPLY_SECONDS = BOUNDS["ConfigApplyMs"] / 1000
 TENANTS = {"key-1": "tenant-1", "key-2": "tenant-2", "key-3": "tenant-3", "key-4": "tenant-4"}
-TURN_SECONDS = 0.05
-RETIRE_SECONDS = 6.0
-SPENT_KEYS = 3
-LISTENS_SECONDS = 10.0
-"""A process that was launched says by now that it listens, however busy the machine is."""
-START_SECONDS = 1.0
-"""A process may have begun so long before it knows anything."""
+LOOP_INTERVAL_SECONDS = 0.05
+RETIRE_TIMEOUT_SECONDS = 6.0
+MAX_REVOKED_CLIENT_KEYS = 3
+LISTEN_TIMEOUT_SECONDS = 10.0
+"""Time within which a launched process logs that it listens, even on a busy machine."""
+STARTUP_SECONDS = 1.0
+"""Time after its launch during which a process may not know the store yet."""
 STABLE_SECONDS = 3.0
-"""An acknowledgement counts from a store that was well so long before it."""
-ENTRY_SECONDS = 1.0
-"""The entry of a server that crashed stands this long after its successor's came."""
+"""An acknowledgement counts only if the store was undisturbed for this long before it."""
+STALE_ENTRY_SECONDS = 1.0
+"""Time for which a crashed server's entry remains after its successor's was written."""
 ISOLATED = frozenset({"tenant-1"})
 
 
 def newest_route(version: int) -> dict[str, Any]:
-    """A route that only this version has."""
+    """A route that only this configuration version has."""
     return {
         "Name": f"since-{version}",
         "Host": "site.example",
@@ -76,11 +76,11 @@
     }
 
 
-def reserved_port() -> socket.socket:
-    """Keeps a port for a process that ends and starts again.
+def reserve_port() -> socket.socket:
+    """Reserve a port for a process that restarts.
 
-    Bound and not listening, so that the process may listen there and nobody else gets the port
-    while it is down.
+    The socket is bound but does not listen, so that the process can listen on the port, and no
+    other process gets it while this one is down.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -90,14 +90,14 @@
 
 @dataclass
 class Disturbance:
-    """A gateway was killed until it starts again, or frozen; in monotonic seconds."""
+    """Interval in which a gateway was killed or suspended, in monotonic seconds."""
 
     began_at: float
     ended_at: float = math.inf
 
 
 class GatewayProcess:
-    """One gateway on a fixed address, started again when it ends."""
+    """One gateway on fixed addresses, which is restarted when it exits."""
 
     def __init__(
         self,
@@ -112,15 +112,15 @@
         self.name = name
         self._program = program
         self.link = Link(link_megabits) if link_megabits else None
-        """What the store, followers and, on demand, callers share; None for no bound."""
+        """Link shared by the store, followers and, if requested, clients; None for no limit."""
         links = (self.link,) if self.link is not None else ()
         self.store = FaultProxy(store, links)
-        self._reservations = [reserved_port() for _ in range(4)]
+        self._reservations = [reserve_port() for _ in range(4)]
         ports = [item.getsockname()[1] for item in self._reservations]
         frontend, readiness, internal, operators = ports
         self.operators = f"{HOST}:{operators}"
-        """Where operators ask it, when it was started with `shows_state`."""
-        self.shows_state = False
+        """Address of the operator API, if it was started with `serves_state`."""
+        self.serves_state = False
         self.frontend = f"{HOST}:{frontend}"
         self.readiness = f"{HOST}:{readiness}"
         self.starts = 0
@@ -140,15 +140,15 @@
         self._document = document
         self.process: subprocess.Popen[bytes] | None = None
         self.descriptors = 0
-        """Most descriptors that the process may have open; 0 for the machine's usual bound."""
-        self.holds: list[Disturbance] = []
-        """When it was held for a moment, and judged all the same by how requests end."""
+        """File descriptor limit of the process; 0 for the machine's default."""
+        self.suspensions: list[Disturbance] = []
+        """Short suspensions, which do not excuse lost requests."""
         self._disturbances: list[Disturbance] = []
         self._started_at: list[float] = []
-        self._listens_since: float | None = None
+        self._listening_since: float | None = None
 
-    async def open_ways(self) -> None:
-        """What stands before the store, the followers and, on a bounded link, the callers."""
+    async def open_proxies(self) -> None:
+        """Start the proxies for the store, the feed and, on a limited link, the clients."""
         await self.store.start()
         await self.feed.start()
         if self._callers is not None:
@@ -157,8 +157,8 @@
         document = {**self._document, "Platform": {"Address": self.store.address}}
         self._settings.write_text(json.dumps(document))
 
-    async def close_ways(self) -> None:
-        """Nothing reaches it any more."""
+    async def close_proxies(self) -> None:
+        """Close the proxies."""
         await self.store.close()
         await self.feed.close()
         if self._callers is not None:
@@ -168,7 +168,7 @@
         """Start the process."""
         self.starts += 1
         self._started_at.append(time.monotonic())
-        self._listens_since = None
+        self._listening_since = None
         if self._disturbances:
             last = self._disturbances[-1]
             last.ended_at = min(last.ended_at, time.monotonic())
@@ -186,10 +186,10 @@
 
     def _operator_arguments(self) -> list[str]:
         port = self.operators.rpartition(":")[2]
-        return [f"{port}/metrics"] if self.shows_state else []
+        return [f"{port}/metrics"] if self.serves_state else []
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal if the process runs."""
         if self.process is None or self.process.poll() is not None:
             return
         now = time.monotonic()
@@ -200,73 +200,73 @@
         self.process.send_signal(number)
 
     def was_disturbed(self, begin: float, end: float) -> bool:
-        """Whether it was killed or frozen at some time of a stretch."""
+        """Whether it was killed or suspended at any time in an interval."""
         return any(item.began_at <= end and item.ended_at >= begin for item in self._disturbances)
 
-    def was_held(self, begin: float, end: float) -> bool:
-        """Whether it stood still for a moment in a stretch."""
-        return any(item.began_at <= end and item.ended_at >= begin for item in self.holds)
+    def was_suspended(self, begin: float, end: float) -> bool:
+        """Whether it had a short suspension in an interval."""
+        return any(item.began_at <= end and item.ended_at >= begin for item in self.suspensions)
 
     def has_run_undisturbed(self, begin: float, end: float) -> bool:
-        """Whether it ran and reached the store for a whole stretch, by all that is known of it."""
-        if not self.is_running() or self.was_beginning(begin, end):
+        """Whether it ran and could reach the store and its feed during a whole interval."""
+        if not self.is_running() or self.was_starting(begin, end):
             return False
-        if self.was_held(begin, end):
+        if self.was_suspended(begin, end):
             return False
-        ways = (self.store, self.feed)
+        proxies = (self.store, self.feed)
         return not self.was_disturbed(begin, end) and not any(
-            way.was_cut(begin, end) for way in ways
+            proxy.was_blocked(begin, end) for proxy in proxies
         )
 
     def has_started_between(self, begin: float, end: float) -> bool:
-        """Whether a process of it started in a stretch, and knew nothing of what was before."""
+        """Whether a process of it was launched in an interval, and so lost all earlier state."""
         return any(begin <= at <= end for at in self._started_at)
 
-    def was_beginning(self, begin: float, end: float) -> bool:
-        """Whether the running process was launched, or said that it listens, in a stretch or later.
+    def was_starting(self, begin: float, end: float) -> bool:
+        """Whether the running process was launched in an interval, or listens only since its begin.
 
-        On a busy machine seconds go by between the two.
+        On a busy machine these two can be seconds apart.
         """
-        began_at = self.listens_since()
+        began_at = self.listening_since()
         return began_at is None or began_at >= begin or self.has_started_between(begin, end)
 
-    def listens_since(self) -> float | None:
-        """Monotonic time at which the running process said that it listens; None before."""
-        if self._listens_since is None:
-            self._listens_since = self._read_listens_since()
-        return self._listens_since
+    def listening_since(self) -> float | None:
+        """Monotonic time at which the running process logged that it listens; None before that."""
+        if self._listening_since is None:
+            self._listening_since = self._read_listening_since()
+        return self._listening_since
 
-    def _read_listens_since(self) -> float | None:
+    def _read_listening_since(self) -> float | None:
         said = [line["timestamp"] for line in self.log_lines() if line["event"] == "started"]
         if not said:
             return None
         ago = time.time() - datetime.fromisoformat(said[-1]).timestamp()
         at = time.monotonic() - ago
-        # An earlier process may have ended before it said so.
+        # The last line may be that of an earlier process.
         return at if at >= self._started_at[-1] else None
 
     def is_late(self, now: float) -> bool:
-        """Whether the running process should have said that it listens."""
-        if not self.is_running() or self.listens_since() is not None:
+        """Whether the running process has exceeded the time to log that it listens."""
+        if not self.is_running() or self.listening_since() is not None:
             return False
         since = self._started_at[-1]
-        return now - since > LISTENS_SECONDS and not self.was_disturbed(since, now)
+        return now - since > LISTEN_TIMEOUT_SECONDS and not self.was_disturbed(since, now)
 
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def has_started(self) -> bool:
-        """Whether the running process has said that it listens."""
-        return self.listens_since() is not None
+        """Whether the running process has logged that it listens."""
+        return self.listening_since() is not None
 
-    def give_ports_back(self) -> None:
-        """It isn't started again."""
+    def release_ports(self) -> None:
+        """Release the reserved ports once it is not restarted any more."""
         for reservation in self._reservations:
             reservation.close()
 
     def log_lines(self) -> list[dict[str, Any]]:
-        """The JSON lines that it has written."""
+        """All JSON log lines of its processes."""
         found = []
         for line in self._log.read_text(errors="replace").splitlines():
             if line.startswith("{"):
@@ -278,7 +278,7 @@
 
 
 class SoakWorld:
-    """Store, servers behind proxies, gateways, operator."""
+    """Store, servers behind proxies, gateways and operator."""
 
     def __init__(
         self,
@@ -290,18 +290,19 @@
         self._gateway_count = gateways
         self.descriptors = 0
         self.link_megabits = 0.0
-        """Link of each gateway; 0 for no bound."""
+        """Link bandwidth of each gateway; 0 for no limit."""
         self.link_callers = False
-        """Whether callers come over the link, too: not where gateways end, since what stands before
-        them takes connections in their place."""
+        """Whether clients share the link. Not usable if gateways stop, since the proxy would accept
+        connections in their place."""
         self.routes: list[dict[str, Any]] = []
-        """Further routes of the configuration."""
+        """Additional routes of the configuration."""
         self.configurations: list[tuple[float, int]] = []
-        """Monotonic time of each acknowledgement, and its version."""
+        """Monotonic time of each acknowledgement, with the configuration version."""
         self.probes: Counter[int] = Counter()
-        """Answers to requests for routes that must be in force, by status."""
+        """Number of answers to requests for routes that must be in force, by status."""
         self.max_connections = 0
-        """Connections that each server takes, as the configuration says; 0 for no bound."""
+        """Connection limit of each server, also in the configuration; 0 for none at servers and the
+        default in the configuration."""
         self._program = program
         self.random = random.Random(seed)
         self.folder = folder
@@ -311,50 +312,50 @@
         )
         self.servers: dict[str, SoakServer] = {}
         self.server_proxies: dict[str, FaultProxy] = {}
-        self._ways: dict[str, list[FaultProxy]] = {}
-        """All proxies that ever stood before a server."""
+        self._all_server_proxies: dict[str, list[FaultProxy]] = {}
+        """All proxies that each server ever had."""
         self.gateways: list[GatewayProcess] = []
         self.version = 1
         self.configuration_version = 1
         self.keys = dict(TENANTS)
         self.client_keys = list(TENANTS)
-        """What clients use: keys that are valid, and some that were taken away."""
+        """API keys that clients use: valid ones and some revoked ones."""
         self.ended = False
-        self._are_all_back = False
-        self._all_ended_at = time.monotonic()
-        self.shows_state = False
-        """Whether operators may ask the gateways what they know of the store."""
-        self.store_returned = asyncio.Event()
-        self.returns: list[float] = []
-        """Monotonic times at which the store came back from a copy."""
-        self.is_returning = False
-        """The store is away, or lacks what the operator and the servers write again."""
-        self.own_cut_at = float("-inf")
-        """When the store's connections were last broken by a return."""
+        self._have_all_listened = False
+        self._all_killed_at = time.monotonic()
+        self.serves_state = False
+        """Whether gateways serve their view of the store to operators."""
+        self.store_restored = asyncio.Event()
+        self.restores: list[float] = []
+        """Monotonic times at which the store was restored from a snapshot."""
+        self.is_restoring = False
+        """The store is unavailable for a restore, or lost objects are not rewritten yet."""
+        self.own_reset_at = float("-inf")
+        """Time at which a restore last reset the store's connections."""
         self._unacknowledged_keys: set[str] = set()
-        """Revoked while the store answered nobody, the operator included."""
+        """Keys revoked while the store was unavailable, also to the operator."""
         self.store_disturbances: list[float] = []
-        """Monotonic times at which the store, or the way to it, was seen away or slow, but for
-        returns from copies."""
-        self.ended_servers: set[str] = set()
-        """Their entries may stand for a while, or be back with a copy."""
-        self.entry_words = EntryLedger()
-        self.compared = 0
-        """Gateways that knew what the store held, when they were asked after a return."""
+        """Monotonic times at which the store, or a connection to it, was observed as unavailable or
+        slow for reasons other than restores."""
+        self.terminated_servers: set[str] = set()
+        """Servers that have exited; their entries may remain for a while, or reappear."""
+        self.entry_ledger = EntryLedger()
+        self.matched = 0
+        """Number of checks after restores in which a gateway knew the store's contents."""
         self.stops = 0
-        self.holds = 0
+        self.suspensions = 0
         self.clock = ResponsiveClock()
-        # A close that waits in this process, which carries it, is not the gateway's delay.
+        # A close that waits in this process's proxies is not a delay of the gateway.
         self.ledger.now = self.clock.seconds
-        self.asked: list[Asked] = []
-        self.servers_are_sound = True
+        self.requests: list[ClientRequest] = []
+        self.servers_are_healthy = True
         self._numbers = 0
         self._restarts: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Everything up and ready."""
+        """Start store, servers and gateways."""
         await self.store.start()
-        self.name_version()
+        self.publish_version()
         self.put_configuration()
         for _ in range(ENGINES):
             await self.add_server("engine")
@@ -371,38 +372,38 @@
                 self.link_megabits,
                 self.link_callers,
             )
-            await gateway.open_ways()
+            await gateway.open_proxies()
             gateway.descriptors = self.descriptors
-            gateway.shows_state = self.shows_state
+            gateway.serves_state = self.serves_state
             gateway.start()
             self.gateways.append(gateway)
 
     async def add_server(self, service: str) -> SoakServer:
-        """A new incarnation behind a proxy, entered into the store."""
+        """Start a new server behind a proxy and write its entry to the store."""
         self._numbers += 1
         version = self.version if service == "engine" else None
-        # Unlike those of a soak beside this one, whose server may get a port of this one's.
+        # The PID makes names unique: a server of a concurrent soak may get a port freed here.
         name = f"{service}-{self._numbers}-{os.getpid()}"
         server = SoakServer(name, service, self.ledger, self.random, version)
-        server.on_end = self._on_end
+        server.on_crash = self._on_crash
         server.max_connections = self.max_connections
         await server.start()
         proxy = FaultProxy(server.address)
         await proxy.start()
         self.servers[name] = server
         self.server_proxies[name] = proxy
-        self._ways.setdefault(name, []).append(proxy)
-        self.enter(server)
+        self._all_server_proxies.setdefault(name, []).append(proxy)
+        self.write_entry(server)
         return server
 
-    def enter(self, server: SoakServer) -> None:
-        """Write a server's entry."""
+    def write_entry(self, server: SoakServer) -> None:
+        """Write a server's entry to the store."""
         self.store.put(
             "servers", server.name, server.entry(self.server_proxies[server.name].address)
         )
 
     async def restart_server(self, name: str, keeps_port: bool) -> None:
-        """A server ends, and starts again under its name; its entry lags by a heartbeat."""
+        """Restart a server with the same name; its entry is updated with the next heartbeat."""
         before = self.servers.pop(name)
         await before.crash()
         proxy = self.server_proxies[name]
@@ -411,7 +412,7 @@
         if self.ended:
             return
         server = SoakServer(name, before.service, self.ledger, self.random, before.version)
-        server.on_end = self._on_end
+        server.on_crash = self._on_crash
         await server.start()
         self.servers[name] = server
         if keeps_port:
@@ -419,91 +420,99 @@
             return
         await proxy.close()
         self.server_proxies[name] = moved = FaultProxy(server.address)
-        self._ways.setdefault(name, []).append(moved)
+        self._all_server_proxies.setdefault(name, []).append(moved)
         await moved.start()
 
     async def remove_server(self, name: str) -> None:
-        """A server ends at once; its entry goes."""
+        """Terminate a server immediately and remove its entry."""
         server = self.servers.pop(name)
-        self.ended_servers.add(name)
+        self.terminated_servers.add(name)
         await server.crash()
         await self.server_proxies.pop(name).close()
-        if not self.entry_words.is_gone(name):
+        if not self.entry_ledger.is_removed(name):
             self.store.remove("servers", name)
 
-    def say_leaving(self, name: str, in_a_word: bool) -> None:
-        """A server's entry says that it leaves, or goes without a word; it serves on."""
+    def announce_draining(self, name: str, by_state: bool) -> None:
+        """Mark a server's entry as draining, or remove it; the server keeps serving.
+
+        Args:
+            name: Name of the server.
+            by_state: Mark the entry as draining instead of removing it.
+        """
         server = self.servers[name]
         server.draining = True
-        if in_a_word:
-            self.enter(server)
+        if by_state:
+            self.write_entry(server)
         else:
             self.store.remove("servers", name)
-        self.entry_words.on_leaving(name, time.monotonic(), is_gone=not in_a_word)
+        self.entry_ledger.on_draining(name, time.monotonic(), is_removed=not by_state)
 
     async def retire_server(self, name: str) -> None:
-        """A server ends when its work is done, or its patience over."""
+        """Terminate a server when its requests have finished, or after a timeout."""
         server = self.servers.get(name)
-        ends_at = time.monotonic() + RETIRE_SECONDS
+        ends_at = time.monotonic() + RETIRE_TIMEOUT_SECONDS
         while server is not None and server.requests and time.monotonic() < ends_at:
             await asyncio.sleep(0.05)
         if name in self.servers and not self.ended:
             await self.remove_server(name)
 
     def on_all_killed(self) -> None:
-        """All gateways end at the same moment, and know nothing when they start again."""
+        """All gateways were killed at the same time, and restart without any state."""
         self.ledger.on_all_gateways_killed()
-        self._are_all_back = False
-        self._all_ended_at = time.monotonic()
+        self._have_all_listened = False
+        self._all_killed_at = time.monotonic()
 
-    def are_all_back(self, seconds: float) -> bool:
-        """Whether, since all began or ended together, all have listened for so long."""
-        if not self._are_all_back:
-            since = [gateway.listens_since() for gateway in self.gateways]
+    def have_all_listened(self, seconds: float) -> bool:
+        """Whether all gateways have listened for this long since they last started together."""
+        if not self._have_all_listened:
+            since = [gateway.listening_since() for gateway in self.gateways]
             until = time.monotonic() - seconds
-            ended_at = self._all_ended_at
-            self._are_all_back = all(at is not None and ended_at < at <= until for at in since)
-        return self._are_all_back
+            ended_at = self._all_killed_at
+            self._have_all_listened = all(at is not None and ended_at < at <= until for at in since)
+        return self._have_all_listened
 
     def check_own_tasks(self, tasks: Sequence[asyncio.Task[None]]) -> None:
-        """No part of the rig itself has ended by a defect."""
+        """Check that no task of the rig itself has failed."""
         for task in tasks:
             if task.done() and task.exception() is not None:
                 self.ledger.violate("soak", repr(task.exception()))
 
     def check_signals(self) -> None:
-        """Servers that leave or rest got no more than they may from gateways that ran on."""
+        """Check that undisturbed gateways honoured servers' draining and back-off."""
         gateways = {gateway.name: gateway for gateway in self.gateways}
 
         def was_disturbed(name: str, server: str, begin: float, end: float) -> bool:
             gateway = gateways[name]
             is_new = gateway.has_started_between(begin, end)
-            is_cut = any(way.was_cut(begin, end) for way in self._ways.get(name_of(server), ()))
-            return is_new or is_cut or gateway.was_disturbed(begin, end)
+            is_blocked = any(
+                proxy.was_blocked(begin, end)
+                for proxy in self._all_server_proxies.get(server_name(server), ())
+            )
+            return is_new or is_blocked or gateway.was_disturbed(begin, end)
 
         self.ledger.check_signals(BOUNDS["DrainMs"] / 1000, was_disturbed)
 
-        def was_cut_off(name: str, server: str, begin: float, end: float) -> bool:
-            ways = (gateways[name].store, gateways[name].feed)
-            is_cut = any(way.was_cut(begin, end) for way in ways)
+        def was_disconnected(name: str, server: str, begin: float, end: float) -> bool:
+            proxies = (gateways[name].store, gateways[name].feed)
+            is_blocked = any(proxy.was_blocked(begin, end) for proxy in proxies)
             is_unstable = self.was_store_disturbed(begin - STABLE_SECONDS, end)
             gateway = gateways[name]
-            is_new = gateway.has_started_between(begin - START_SECONDS, end)
-            is_held = gateway.was_held(begin, end)
-            is_excused = is_cut or is_unstable or is_held or is_new
+            is_new = gateway.has_started_between(begin - STARTUP_SECONDS, end)
+            is_suspended = gateway.was_suspended(begin, end)
+            is_excused = is_blocked or is_unstable or is_suspended or is_new
             return is_excused or was_disturbed(name, server, begin, end)
 
         arrivals = self.ledger.signals.arrivals
-        for late in self.entry_words.late(arrivals, BOUNDS["DrainMs"] / 1000, was_cut_off):
+        for late in self.entry_ledger.late(arrivals, BOUNDS["DrainMs"] / 1000, was_disconnected):
             self.ledger.violate("draining", f"{late}")
 
-    def _on_end(self, name: str) -> None:
-        """A request ended a server's process."""
+    def _on_crash(self, name: str) -> None:
+        """A request crashed a server's process."""
         self._restarts.add(task := asyncio.create_task(self._restart(name)))
         task.add_done_callback(self._restarts.discard)
 
     async def _restart(self, name: str) -> None:
-        """Its entry stands for some heartbeats; another incarnation comes after a while."""
+        """Add a new server after a delay; the crashed one's entry remains for some heartbeats."""
         server = self.servers.pop(name, None)
         if server is None:
             return
@@ -513,35 +522,35 @@
         if self.ended:
             return
         await self.add_server(server.service)
-        await asyncio.sleep(ENTRY_SECONDS)
+        await asyncio.sleep(STALE_ENTRY_SECONDS)
         self.store.remove("servers", name)
 
     def was_store_disturbed(self, begin: float, end: float) -> bool:
-        """Whether another fault than a return kept the store from gateways in a stretch."""
+        """Whether a fault other than a restore disturbed the store in an interval."""
         return any(begin <= at <= end for at in self.store_disturbances)
 
-    def on_store_away(self) -> None:
-        """The store answers nobody until it returns."""
-        self.entry_words.on_away(time.monotonic())
+    def on_store_unavailable(self) -> None:
+        """The store becomes unavailable until it is restored."""
+        self.entry_ledger.on_unavailable(time.monotonic())
 
-    def on_store_return(self) -> None:
-        """The store has come back from a copy."""
+    def on_store_restored(self) -> None:
+        """The store has been restored from a snapshot."""
         now = time.monotonic()
-        self.returns.append(now)
-        self.entry_words.on_return(now)
+        self.restores.append(now)
+        self.entry_ledger.on_restored(now)
         for key in self._unacknowledged_keys:
             self.ledger.revoked_at[key] = now
         self._unacknowledged_keys.clear()
-        self.store_returned.set()
+        self.store_restored.set()
 
-    async def watch_own_pauses(self) -> None:
-        """Servers and clients live in this process: while it stands still, they are silent."""
+    async def watch_event_loop(self) -> None:
+        """Measure event-loop stalls, in which this process's servers and clients are silent."""
         while True:
-            self.clock.on_loop_tick(TURN_SECONDS)
-            await asyncio.sleep(TURN_SECONDS)
+            self.clock.on_loop_tick(LOOP_INTERVAL_SECONDS)
+            await asyncio.sleep(LOOP_INTERVAL_SECONDS)
 
-    async def beat(self) -> None:
-        """Servers show changed versions in their entries, with a lag."""
+    async def send_heartbeats(self) -> None:
+        """Update servers' entries periodically after their state has changed."""
         while not self.ended:
             await asyncio.sleep(0.6)
             self._put_proxies_before_feeds()
@@ -551,10 +560,10 @@
                 stored = self.store.objects["servers"][server.name]["Spec"]
                 entry = server.entry(self.server_proxies[server.name].address)
                 if entry != stored:
-                    self.enter(server)
+                    self.write_entry(server)
 
     def _put_proxies_before_feeds(self) -> None:
-        """Followers reach their reader through a proxy: its entry is rewritten."""
+        """Rewrite gateways' entries so that followers reach their reader through its proxy."""
         entries = self.store.objects.get(GATEWAY_KIND, {})
         for gateway in self.gateways:
             stored = entries.get(gateway.name)
@@ -562,8 +571,8 @@
                 spec = {**stored["Spec"], "feed": gateway.feed.address}
                 self.store.put(GATEWAY_KIND, gateway.name, spec)
 
-    async def keep_gateways(self) -> None:
-        """The platform starts a process again that has ended."""
+    async def restart_exited_gateways(self) -> None:
+        """Restart gateway processes that have exited, as the platform does."""
         while not self.ended:
             await asyncio.sleep(0.2)
             for gateway in self.gateways:
@@ -571,29 +580,29 @@
                     gateway.start()
 
     def verdicts(self) -> dict[str, Verdict]:
-        """What the end of each request says of its gateway."""
+        """Classify the result of each request."""
         gateways = {gateway.name: gateway for gateway in self.gateways}
         found = {}
-        for asked in self.asked:
-            gateway = gateways.get(asked.gateway)
-            beside = Circumstances(
-                runs=len(self.ledger.runs.get(asked.request_id, ())),
-                servers_are_sound=self.servers_are_sound,
+        for request in self.requests:
+            gateway = gateways.get(request.gateway)
+            context = RequestContext(
+                runs=len(self.ledger.runs.get(request.request_id, ())),
+                servers_are_healthy=self.servers_are_healthy,
                 gateway_disturbed=gateway is not None
-                and gateway.was_disturbed(asked.sent_at, asked.ended_at),
+                and gateway.was_disturbed(request.sent_at, request.ended_at),
             )
-            found[asked.request_id] = judge(asked, beside)
+            found[request.request_id] = classify(request, context)
         return found
 
     # -- operator -------------------------------------------------------------------------------
 
-    def name_version(self) -> None:
-        """Name newer weights."""
+    def publish_version(self) -> None:
+        """Publish a newer weight version."""
         self.version += 1
         self.store.put("versions", MODEL, {"Model": MODEL, "Version": self.version})
 
     def put_configuration(self) -> None:
-        """The next version of the configuration, with the keys that are valid now."""
+        """Write the next configuration version, with the keys that are valid now."""
         self.configuration_version += self.random.randint(1, 3)
         tenants = [
             {"Name": tenant, "ApiKeys": [key], "Isolated": tenant in ISOLATED}
@@ -608,31 +617,31 @@
         self.configurations.append((time.monotonic(), self.configuration_version))
 
     def revoke(self, key: str) -> None:
-        """Take a key away for good."""
+        """Revoke a key permanently."""
         del self.keys[key]
         self.put_configuration()
         self.ledger.revoked_at[key] = asyncio.get_running_loop().time()
-        if self.is_returning and self.store.unavailable:
+        if self.is_restoring and self.store.unavailable:
             self._unacknowledged_keys.add(key)
             self.ledger.revoked_at[key] = math.inf
 
     def replace_key(self, key: str, successor: str) -> None:
-        """Take a key away, and give its tenant another one; clients use both for a while."""
+        """Revoke a key and issue its tenant a new one; clients use both for a while."""
         self.keys[successor] = self.ledger.tenants[successor] = self.keys[key]
         self.revoke(key)
         spent = [used for used in self.client_keys if used not in self.keys]
-        self.client_keys = [*spent[-SPENT_KEYS:], *self.keys]
+        self.client_keys = [*spent[-MAX_REVOKED_CLIENT_KEYS:], *self.keys]
 
     async def stop(self) -> None:
-        """End everything that was started."""
+        """Stop everything that was started."""
         self.ended = True
         for gateway in self.gateways:
             gateway.send(signal.SIGCONT)
             gateway.send(signal.SIGKILL)
             if gateway.process is not None:
                 gateway.process.wait()
-            gateway.give_ports_back()
-            await gateway.close_ways()
+            gateway.release_ports()
+            await gateway.close_proxies()
         for name in list(self.servers):
             await self.servers[name].crash()
             await self.server_proxies[name].close()
--- a/tests/soak/writers.py
+++ b/tests/soak/writers.py
@@ -1,4 +1,4 @@
-"""Servers that start again under their names, and entries of other writers, beside all faults."""
+"""Servers that restart with the same names, and malformed entries of other writers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from soak.world import GATEWAY_KIND, SoakWorld
 
-STRANGE_SPECS: tuple[Any, ...] = (
+MALFORMED_SPECS: tuple[Any, ...] = (
     None,
     [],
     "text",
@@ -27,15 +27,15 @@
 
 
 async def restart_servers(world: SoakWorld) -> None:
-    """One after the other, on the port that it had or another one."""
+    """Restart one server after another, on the same port or a different one."""
     while True:
         await asyncio.sleep(world.random.uniform(*RESTART_SECONDS))
         name = world.random.choice(list(world.servers))
         await world.restart_server(name, keeps_port=world.random.random() < 0.5)
 
 
-async def write_strange_entries(world: SoakWorld) -> None:
-    """Beside the servers' entries and the gateways'; some go again."""
+async def write_malformed_entries(world: SoakWorld) -> None:
+    """Write malformed entries among the servers' and gateways' entries, and remove some again."""
     written = 0
     while True:
         await asyncio.sleep(world.random.uniform(*WRITE_SECONDS))
@@ -45,4 +45,4 @@
         if name in world.store.objects.get(kind, {}) and world.random.random() < 0.3:
             world.store.remove(kind, name)
         else:
-            world.store.put(kind, name, world.random.choice(STRANGE_SPECS))
+            world.store.put(kind, name, world.random.choice(MALFORMED_SPECS))
