--- a/src/milletcourse/cli/simulate.py
+++ b/src/milletcourse/cli/simulate.py
@@ -10,7 +10,7 @@
 
 from milletcourse.errors import FailureError, InvalidObject
 from milletcourse.simulation.runner import run_scenario
-from milletcourse.simulation.scenarios import NAMED, SCENARIOS
+from milletcourse.simulation.scenarios import SCENARIOS, SCRIPTED_SCENARIOS
 
 ALL = "all"
 
@@ -35,7 +35,7 @@
         for item in SCENARIOS.values():
             sys.stdout.write(f"{item.name:26} {item.invariant}\n")
         return
-    names = [item.name for item in NAMED] if scenario == ALL else [scenario]
+    names = [item.name for item in SCRIPTED_SCENARIOS] if scenario == ALL else [scenario]
     if any(name not in SCENARIOS for name in names):
         allowed = ", ".join([ALL, *SCENARIOS])
         raise FailureError(InvalidObject(scenario, None, "scenario", scenario, allowed))
--- a/src/milletcourse/simulation/checks.py
+++ b/src/milletcourse/simulation/checks.py
@@ -15,14 +15,14 @@
 
 CONFIGURATION_BOUND_SECONDS = 5.0
 """An accepted change is in force this soon at today's sizes."""
-LEAVING_BOUND_SECONDS = 3.0
+DRAINING_BOUND_SECONDS = 3.0
 """A leaving back end gets no new work this long after it is known to leave."""
-ACCEPT_SLACK_SECONDS = 0.5
+ACCEPT_DELAY_SECONDS = 0.5
 """Between a router's decision and the engine's acceptance: connection and retries."""
 REFUSAL_BOUND_SECONDS = 0.02
 """Network time of a refusal that needs no back end; the router itself adds nothing."""
-MONITOR_SECONDS = 0.1
-FAULT_MEMORY_SECONDS = 6.0
+MONITOR_INTERVAL_SECONDS = 0.1
+FAULT_RECOVERY_SECONDS = 6.0
 
 
 class PolicyHistory:
@@ -74,26 +74,28 @@
             for router in self._world.routers:
                 if router.host.alive:
                     self._check(router)
-            await asyncio.sleep(MONITOR_SECONDS)
+            await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
 
     def _check(self, router: SimulatedRouter) -> None:
         revision = router.node.store.revision
         key = (router.name, router.node.incarnation)
         if revision < self._highest.get(key, 0):
-            self._world.violate("configuration-never-reverts", f"{router.name} at {revision}")
+            self._world.record_violation(
+                "configuration-never-reverts", f"{router.name} at {revision}"
+            )
         self._highest[key] = max(revision, self._highest.get(key, 0))
-        if self._check_bound and not self._is_disturbed(router):
+        if self._check_bound and not self._is_affected_by_fault(router):
             self._check_in_force(router, revision)
 
-    def _is_disturbed(self, router: SimulatedRouter) -> bool:
+    def _is_affected_by_fault(self, router: SimulatedRouter) -> bool:
         world = self._world
         now = world.now()
-        if router.host.frozen or now - router.disturbed_at < FAULT_MEMORY_SECONDS:
+        if router.host.frozen or now - router.last_fault_at < FAULT_RECOVERY_SECONDS:
             return True
         faults = world.platform.faults
         if faults.down or faults.slow_seconds or world.platform.shown is not world.platform.core:
             return True
-        if now - world.platform_disturbed_at < FAULT_MEMORY_SECONDS:
+        if now - world.platform_last_fault_at < FAULT_RECOVERY_SECONDS:
             return True
         return any(
             world.network.is_partitioned(router.host, other)
@@ -102,12 +104,14 @@
         )
 
     def _check_in_force(self, router: SimulatedRouter, revision: int) -> None:
-        horizon = self._world.now() - CONFIGURATION_BOUND_SECONDS
-        due = [number for number, at in self._world.truth.commits.items() if at <= horizon]
-        if due and revision < max(due):
-            self._world.violate(
+        latest_commit_time = self._world.now() - CONFIGURATION_BOUND_SECONDS
+        due_revisions = [
+            number for number, at in self._world.truth.commits.items() if at <= latest_commit_time
+        ]
+        if due_revisions and revision < max(due_revisions):
+            self._world.record_violation(
                 "configuration-in-force",
-                f"{router.name} at {revision}, {max(due)} accepted before {horizon:.1f}",
+                f"{router.name} at {revision}, {max(due_revisions)} accepted before {latest_commit_time:.1f}",
             )
 
 
@@ -122,18 +126,18 @@
                     allowed |= policy.scope_tenants(record.tenant, rules)
         for source in record.sources:
             if source.weight_version != record.weight_version:
-                world.violate("no-older-weights", f"{record.request_id} {source}")
+                world.record_violation("no-older-weights", f"{record.request_id} {source}")
             if source.tenant not in allowed:
-                world.violate("no-other-tenant", f"{record.tenant} reused {source.tenant}")
+                world.record_violation("no-other-tenant", f"{record.tenant} reused {source.tenant}")
 
 
 def check_placement(world: World, history: PolicyHistory) -> None:
     """Every acceptance was permitted by a policy accepted within the bound."""
     for accept in world.truth.accepts:
-        start = accept.at_seconds - CONFIGURATION_BOUND_SECONDS - ACCEPT_SLACK_SECONDS
+        start = accept.at_seconds - CONFIGURATION_BOUND_SECONDS - ACCEPT_DELAY_SECONDS
         policies = history.current_within(start, accept.at_seconds)
         if not any(_permits(policy, accept) for policy in policies):
-            world.violate(
+            world.record_violation(
                 "placement", f"{accept.tenant} at {accept.engine}, {accept.at_seconds:.2f}"
             )
 
@@ -151,12 +155,12 @@
     )
 
 
-def check_leaving(world: World) -> None:
+def check_draining(world: World) -> None:
     """A back end that leaves gets no new work after the bound."""
     for accept in world.truth.accepts:
-        since = world.truth.leaving_since.get(accept.engine)
-        if since is not None and accept.at_seconds > since + LEAVING_BOUND_SECONDS:
-            world.violate(
+        since = world.truth.draining_since.get(accept.engine)
+        if since is not None and accept.at_seconds > since + DRAINING_BOUND_SECONDS:
+            world.record_violation(
                 "leaving-gets-no-work", f"{accept.engine} {accept.at_seconds - since:.1f}s after"
             )
 
@@ -166,13 +170,13 @@
     executions = {key: len(runs) for key, runs in world.ledger.executions.items()}
     for key, count in executions.items():
         if count > 1:
-            world.violate("at-most-once", f"{key} ran {count} times")
+            world.record_violation("at-most-once", f"{key} ran {count} times")
     for key in totals.done_keys:
         if executions.get(key, 0) != 1:
-            world.violate("done-ran-once", f"{key} ran {executions.get(key, 0)} times")
+            world.record_violation("done-ran-once", f"{key} ran {executions.get(key, 0)} times")
     for key in totals.not_run_keys:
         if executions.get(key, 0):
-            world.violate("not-run-is-true", f"write {key} ran")
+            world.record_violation("not-run-is-true", f"write {key} ran")
 
 
 def check_not_run_requests(world: World, totals: ClientTotals) -> None:
@@ -180,14 +184,14 @@
     accepted = {accept.request_id for accept in world.truth.accepts}
     for request_id in totals.not_run_requests:
         if request_id in accepted:
-            world.violate("not-run-is-true", f"request {request_id} reached an engine")
+            world.record_violation("not-run-is-true", f"request {request_id} reached an engine")
 
 
 def check_refusals_immediate(world: World, totals: ClientTotals) -> None:
     """A final refusal is not held back."""
     for seconds in totals.refusal_seconds:
         if seconds > REFUSAL_BOUND_SECONDS:
-            world.violate("refusal-immediate", f"took {seconds:.2f}s")
+            world.record_violation("refusal-immediate", f"took {seconds:.2f}s")
 
 
 def check_all(world: World, totals: ClientTotals) -> None:
@@ -195,6 +199,6 @@
     history = PolicyHistory(world)
     check_reuse(world, history)
     check_placement(world, history)
-    check_leaving(world)
+    check_draining(world)
     check_operations(world, totals)
     check_not_run_requests(world, totals)
--- a/src/milletcourse/simulation/clients.py
+++ b/src/milletcourse/simulation/clients.py
@@ -12,7 +12,7 @@
 from milletcourse.operations.keys import mint_key
 from milletcourse.runtime.http import HttpRequest, HttpResponse
 from milletcourse.runtime.memory_http import MemoryHttpClient
-from milletcourse.simulation.crashing_prompts import MARK
+from milletcourse.simulation.crashing_prompts import CRASH_MARKER
 from milletcourse.simulation.deployment import (
     APPLICATION,
     CARE_TENANTS,
@@ -24,9 +24,9 @@
 from milletcourse.standins.answers import answer_text
 
 CLIENT_TIMEOUT_SECONDS = 30.0
-STREAM_SILENCE_SECONDS = 60.0
-MAX_TURNS = 6
-DOUBLED_WRITE_SHARE = 0.2
+STREAM_TIMEOUT_SECONDS = 60.0
+MAX_ATTEMPTS = 6
+DUPLICATE_WRITE_SHARE = 0.2
 RULES_CHARACTERS = 9000
 HISTORY_CHARACTERS = 4500
 KNOWN_VERSIONS = ("1", "2", "3")
@@ -120,17 +120,17 @@
             if self._stopping:
                 return
             count += 1
-            draw = self._random.random()
-            if draw < self._write_share:
+            selection = self._random.random()
+            if selection < self._write_share:
                 await self.write(f"swap {number}/{count}")
-            elif draw < self._write_share + 0.05:
+            elif selection < self._write_share + 0.05:
                 await self._read()
             else:
-                await self.ask(number, count)
+                await self.stream_completion(number, count)
 
     # -- inference ------------------------------------------------------------------------------
 
-    async def ask(self, number: int, count: int) -> None:
+    async def stream_completion(self, number: int, count: int) -> None:
         """Stream one answer, resuming at other routers, and check it."""
         tenants = (*CARE_TENANTS, GUARD_TENANT)
         tenant = tenants[number % len(tenants)]
@@ -142,25 +142,25 @@
         )
         stream = _Stream()
         refusal = Refusal("no-router", "not_run", None)
-        for _ in range(MAX_TURNS if self._retry else 1):
+        for _ in range(MAX_ATTEMPTS if self._retry else 1):
             started_at = self.world.now()
             await self._stream_once(tenant, body, stream)
             if stream.done:
                 break
             if stream.refusal is not None:
                 refusal = stream.refusal
-                self._note_refusal(refusal, started_at)
+                self._record_refusal(refusal, started_at)
                 if refusal.retry_after_seconds is None:
                     break
                 await asyncio.sleep(refusal.retry_after_seconds)
                 stream.refusal = None
             if not stream.event_id:
                 stream = _Stream()
-        self._finish_answer(prompt, stream, refusal)
+        self._check_answer(prompt, stream, refusal)
 
-    async def repeat_crashing(self, times: int, pause_seconds: float) -> None:
+    async def repeat_crashing_request(self, times: int, pause_seconds: float) -> None:
         """Send one request that ends engines again and again, as a new request each time."""
-        prompt = f"{MARK} ".ljust(HISTORY_CHARACTERS, "x")
+        prompt = f"{CRASH_MARKER} ".ljust(HISTORY_CHARACTERS, "x")
         body = msgspec.json.encode(
             {"model": MODEL, "prompt": prompt, "max_tokens": self._tokens, "stream": True}
         )
@@ -168,23 +168,23 @@
             await self._stream_once(CARE_TENANTS[0], body, _Stream())
             await asyncio.sleep(pause_seconds)
 
-    def _note_refusal(self, refusal: Refusal, started_at: float) -> None:
+    def _record_refusal(self, refusal: Refusal, started_at: float) -> None:
         self.totals.refusal_seconds.append(self.world.now() - started_at)
         if refusal.run_state == "not_run" and refusal.request_id:
             self.totals.not_run_requests.append(refusal.request_id)
 
-    def _finish_answer(self, prompt: str, stream: _Stream, refusal: Refusal) -> None:
+    def _check_answer(self, prompt: str, stream: _Stream, refusal: Refusal) -> None:
         answers = [answer_text(MODEL, version, prompt, self._tokens) for version in KNOWN_VERSIONS]
         if stream.done:
             if stream.text not in answers:
-                self.world.violate("stream-complete-in-order", stream.text[:60])
+                self.world.record_violation("stream-complete-in-order", stream.text[:60])
             self.totals.on_served()
-            self.world.note("served")
+            self.world.record_event("served")
             return
         if not any(answer.startswith(stream.text) for answer in answers):
-            self.world.violate("stream-correct-prefix", stream.text[:60])
+            self.world.record_violation("stream-correct-prefix", stream.text[:60])
         self.totals.on_refused(refusal.type)
-        self.world.note(f"refused {refusal.type}")
+        self.world.record_event(f"refused {refusal.type}")
 
     async def _stream_once(self, tenant: str, body: bytes, stream: _Stream) -> None:
         headers = {"Authorization": f"Bearer {key_of(tenant)}"}
@@ -197,7 +197,7 @@
             if response.status != 200:
                 stream.refusal = _refusal(response, await response.read())
                 return
-            async with asyncio.timeout(STREAM_SILENCE_SECONDS):
+            async with asyncio.timeout(STREAM_TIMEOUT_SECONDS):
                 await self._read_events(response, stream)
         except (FailureError, TimeoutError):
             return
@@ -237,7 +237,7 @@
     async def write(self, text: str) -> None:
         """One swap, sometimes sent twice at the same time under the same key."""
         key = mint_key(self.world.wall(), self._random)
-        senders = 2 if self._random.random() < DOUBLED_WRITE_SHARE else 1
+        senders = 2 if self._random.random() < DUPLICATE_WRITE_SHARE else 1
         await asyncio.gather(*(self._write_once(text, key) for _ in range(senders)))
 
     async def _write_once(self, text: str, key: str) -> None:
@@ -248,7 +248,7 @@
             "Content-Type": "text/plain",
         }
         outcome = "unknown"
-        for _ in range(MAX_TURNS if self._retry else 1):
+        for _ in range(MAX_ATTEMPTS if self._retry else 1):
             response = await self._send(
                 "POST", f"/apps/{APPLICATION}/swaps", text.encode(), headers
             )
@@ -273,7 +273,7 @@
         self._finish_write(key, outcome)
 
     def _finish_write(self, key: str, outcome: str) -> None:
-        self.world.note(f"write {outcome}")
+        self.world.record_event(f"write {outcome}")
         if outcome == "done":
             self.totals.done_keys.append(key)
             self.totals.on_served()
@@ -282,7 +282,7 @@
 
     async def _read(self) -> None:
         headers = {"Authorization": f"Bearer {key_of(CARE_TENANTS[0])}"}
-        for _ in range(MAX_TURNS):
+        for _ in range(MAX_ATTEMPTS):
             response = await self._send("GET", f"/apps/{APPLICATION}/shifts", b"", headers)
             if response is None:
                 continue
--- a/src/milletcourse/simulation/cluster_records.py
+++ b/src/milletcourse/simulation/cluster_records.py
@@ -28,7 +28,7 @@
     host: MemoryHost
     node: RouterNode
     started_at: float
-    disturbed_at: float
+    last_fault_at: float
 
 
 @dataclass(slots=True)
@@ -55,5 +55,5 @@
 
     accepts: list[AcceptRecord] = field(default_factory=list)
     reuse: list[ReuseRecord] = field(default_factory=list)
-    leaving_since: dict[str, float] = field(default_factory=dict)
+    draining_since: dict[str, float] = field(default_factory=dict)
     commits: dict[int, float] = field(default_factory=dict)
--- a/src/milletcourse/simulation/crashing_prompts.py
+++ b/src/milletcourse/simulation/crashing_prompts.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-MARK = "ends its engine"
+CRASH_MARKER = "ends its engine"
 """A prompt that holds this ends its engine."""
-CRASH_SECONDS = 0.001
+CRASH_DELAY_SECONDS = 0.001
 """From the begin to the end: before the first token."""
-DOWN_SECONDS = 3.0
+ENGINE_DOWNTIME_SECONDS = 3.0
 
 
 class CrashingPrompts:
@@ -31,19 +31,19 @@
         self._kill = kill
         self._restart = restart
         self._crashes: set[asyncio.Future[None]] = set()
-        self.ends = 0
+        self.crash_count = 0
 
     def on_accept(self, engine: str, prompt: str) -> None:
         """An engine begins a prompt."""
-        if MARK not in prompt:
+        if CRASH_MARKER not in prompt:
             return
-        self.ends += 1
+        self.crash_count += 1
         crash = asyncio.ensure_future(self._crash(engine))
         self._crashes.add(crash)
         crash.add_done_callback(self._crashes.discard)
 
     async def _crash(self, engine: str) -> None:
-        await asyncio.sleep(CRASH_SECONDS)
+        await asyncio.sleep(CRASH_DELAY_SECONDS)
         self._kill(engine)
-        await asyncio.sleep(DOWN_SECONDS)
+        await asyncio.sleep(ENGINE_DOWNTIME_SECONDS)
         await self._restart(engine)
--- a/src/milletcourse/simulation/operators.py
+++ b/src/milletcourse/simulation/operators.py
@@ -53,11 +53,11 @@
             response = await self._client.send(request, OPERATOR_TIMEOUT_SECONDS)
             document = msgspec.json.decode(await response.read())
         except FailureError:
-            return self._note(change_id, "unknown")
+            return self._record_answer(change_id, "unknown")
         if response.status == 200:
-            return self._note(change_id, "accepted")
+            return self._record_answer(change_id, "accepted")
         answer = "refused" if document["run_state"] == "not_run" else "unknown"
-        return self._note(change_id, answer)
+        return self._record_answer(change_id, answer)
 
     async def _version(self, address: str, path: str, headers: dict[str, str]) -> int:
         request = HttpRequest("GET", address, path, b"", headers)
@@ -65,8 +65,8 @@
         body = await response.read()
         return int(msgspec.json.decode(body)["version"]) if response.status == 200 else 0
 
-    def _note(self, change_id: str, answer: str) -> str:
-        self.world.note(f"operator {self._name} {answer}")
+    def _record_answer(self, change_id: str, answer: str) -> str:
+        self.world.record_event(f"operator {self._name} {answer}")
         getattr(self.answers, answer).append(change_id)
         return answer
 
@@ -75,7 +75,7 @@
         committed = self.world.platform.core.committed_change_ids
         for change_id in self.answers.accepted:
             if change_id not in committed:
-                self.world.violate("accepted-is-true", change_id)
+                self.world.record_violation("accepted-is-true", change_id)
         for change_id in self.answers.refused:
             if change_id in committed:
-                self.world.violate("refused-is-true", change_id)
+                self.world.record_violation("refused-is-true", change_id)
--- a/src/milletcourse/simulation/runner.py
+++ b/src/milletcourse/simulation/runner.py
@@ -16,7 +16,7 @@
 from milletcourse.simulation.outcome import SimulationReport
 from milletcourse.simulation.world import NodeFactory, World
 
-QUIET_SECONDS = 3.0
+SETTLE_SECONDS = 3.0
 """After the last request, so that late executions would be seen."""
 
 Script = Callable[[World, SimulatedClients], Awaitable[None]]
@@ -89,7 +89,7 @@
     clients.start(scenario.callers)
     await scenario.script(world, clients)
     await clients.finish()
-    await asyncio.sleep(QUIET_SECONDS)
+    await asyncio.sleep(SETTLE_SECONDS)
     monitor.cancel()
     check_all(world, clients.totals)
     report = _report(scenario, seed, world, clients)
@@ -103,7 +103,7 @@
     totals = clients.totals
     share = totals.served / totals.requests if totals.requests else 0.0
     if share < scenario.floor:
-        world.violate("availability", f"served {share:.3f}, floor {scenario.floor}")
+        world.record_violation("availability", f"served {share:.3f}, floor {scenario.floor}")
     return SimulationReport(
         scenario=scenario.name,
         seed=seed,
--- a/src/milletcourse/simulation/scenarios/__init__.py
+++ b/src/milletcourse/simulation/scenarios/__init__.py
@@ -12,7 +12,7 @@
     stops,
 )
 
-NAMED = (
+SCRIPTED_SCENARIOS = (
     *steady.SCENARIOS,
     *crashes.SCENARIOS,
     *platform.SCENARIOS,
@@ -22,5 +22,5 @@
 """Scenarios with a fixed script; `all` on the command line."""
 
 SCENARIOS: dict[str, Scenario] = {
-    scenario.name: scenario for scenario in (*NAMED, random_faults.SCENARIO)
+    scenario.name: scenario for scenario in (*SCRIPTED_SCENARIOS, random_faults.SCENARIO)
 }
--- a/src/milletcourse/simulation/scenarios/crashes.py
+++ b/src/milletcourse/simulation/scenarios/crashes.py
@@ -13,7 +13,7 @@
 
 LATE_EFFECT_SECONDS = 12.0
 """Longer than a router waits for an application's answer."""
-CRASHING_REPEATS = 16
+CRASHING_REQUEST_REPEATS = 16
 """Of one request that ends engines, at any router."""
 RESTART_BOUND_SECONDS = 1.0
 """A restarted router serves within this time, also while the platform is down."""
@@ -36,11 +36,11 @@
 
 async def _crashing_request(world: World, clients: SimulatedClients) -> None:
     await asyncio.sleep(2)
-    await clients.repeat_crashing(CRASHING_REPEATS, 2.0)
+    await clients.repeat_crashing_request(CRASHING_REQUEST_REPEATS, 2.0)
     bound = CONTAINMENT_CRASHES * len(world.routers)
-    ends = world.crashing_prompts.ends
-    if ends > bound:
-        world.violate("crashing-request-contained", f"{ends} engines ended")
+    crash_count = world.crashing_prompts.crash_count
+    if crash_count > bound:
+        world.record_violation("crashing-request-contained", f"{crash_count} engines ended")
     await asyncio.sleep(8)
 
 
@@ -54,7 +54,7 @@
     await asyncio.sleep(5)
 
 
-async def _herd(world: World, clients: SimulatedClients) -> None:
+async def _restart_all_routers(world: World, clients: SimulatedClients) -> None:
     _slow_applications(world, 1.0)
     for _ in range(2):
         await asyncio.sleep(5)
@@ -65,7 +65,7 @@
     await asyncio.sleep(8)
 
 
-async def _replicas_in_turn(world: World, clients: SimulatedClients) -> None:
+async def _restart_replicas_in_turn(world: World, clients: SimulatedClients) -> None:
     """Replicas restart one after another, faster than claims are settled."""
     _slow_applications(world, 1.5)
     for index in (0, 1, 2, 0, 1, 2):
@@ -95,7 +95,7 @@
 
 async def _restart_without_platform(world: World, clients: SimulatedClients) -> None:
     await asyncio.sleep(2)
-    world.platform_fault(down=True)
+    world.set_platform_fault(down=True)
     for index in range(len(world.routers)):
         await asyncio.sleep(4)
         await world.restart_router(index)
@@ -104,10 +104,12 @@
         try:
             await world.wait_until(functools.partial(_serves, router), RESTART_BOUND_SECONDS)
         except TimeoutError:
-            world.violate("restart-serves-at-once", f"{router.name} does not serve in time")
-        world.note(f"{router.name} serves after {world.now() - started_at:.3f}")
+            world.record_violation(
+                "restart-serves-at-once", f"{router.name} does not serve in time"
+            )
+        world.record_event(f"{router.name} serves after {world.now() - started_at:.3f}")
     await asyncio.sleep(5)
-    world.platform_fault()
+    world.set_platform_fault()
     await asyncio.sleep(3)
 
 
@@ -131,12 +133,15 @@
         floor=0.9,
     ),
     Scenario(
-        "herd-restart", "all routers restart at once, twice; at most once holds", _herd, floor=0.75
+        "herd-restart",
+        "all routers restart at once, twice; at most once holds",
+        _restart_all_routers,
+        floor=0.75,
     ),
     Scenario(
         "replica-restarts",
         "replicas restart one after another; a write runs at most once",
-        _replicas_in_turn,
+        _restart_replicas_in_turn,
         floor=0.6,
         write_share=0.8,
     ),
--- a/src/milletcourse/simulation/scenarios/partitions.py
+++ b/src/milletcourse/simulation/scenarios/partitions.py
@@ -12,10 +12,10 @@
 from milletcourse.simulation.runner import Scenario
 from milletcourse.simulation.world import World
 
-WIDE = ("shared", "guarded")
+BOTH_POOLS = ("shared", "guarded")
 
 
-async def _narrow(world: World, operator: SimulatedOperator, router: int) -> None:
+async def _narrow_placement(world: World, operator: SimulatedOperator, router: int) -> None:
     """Take the guarded pool away from the care tenants."""
     for attempt in range(3):
         spec = care_workload()
@@ -29,56 +29,64 @@
     operator = SimulatedOperator(world, "one")
     for index in range(3):
         other = (index + 1) % 3
-        await operator.change("Workload", "care-checks", care_workload(WIDE), other)
+        await operator.change("Workload", "care-checks", care_workload(BOTH_POOLS), other)
         await asyncio.sleep(8)
         world.freeze(world.routers[index])
         await asyncio.sleep(1)
-        await _narrow(world, operator, other)
+        await _narrow_placement(world, operator, other)
         await asyncio.sleep(12)
         world.thaw(world.routers[index])
         await asyncio.sleep(4)
     operator.check()
 
 
-async def _narrow_behind_cuts(world: World, cut: Callable[[SimulatedRouter], None]) -> None:
+async def _narrow_during_partitions(
+    world: World, isolate: Callable[[SimulatedRouter], None]
+) -> None:
     """Cut off each router in turn and narrow a selector behind its back."""
     operator = SimulatedOperator(world, "one")
     for index in range(3):
         other = (index + 1) % 3
-        await operator.change("Workload", "care-checks", care_workload(WIDE), other)
+        await operator.change("Workload", "care-checks", care_workload(BOTH_POOLS), other)
         await asyncio.sleep(8)
-        cut(world.routers[index])
+        isolate(world.routers[index])
         await asyncio.sleep(1)
-        await _narrow(world, operator, other)
+        await _narrow_placement(world, operator, other)
         await asyncio.sleep(12)
         world.heal()
         await asyncio.sleep(4)
     operator.check()
 
 
-async def _cut_both(world: World, clients: SimulatedClients) -> None:
-    await _narrow_behind_cuts(world, lambda router: world.cut_router(router, True, True))
+async def _partition_both_ways(world: World, clients: SimulatedClients) -> None:
+    await _narrow_during_partitions(
+        world, lambda router: world.partition_router(router, True, True)
+    )
 
 
-async def _cut_inbound(world: World, clients: SimulatedClients) -> None:
-    await _narrow_behind_cuts(world, lambda router: world.cut_router(router, True, False))
+async def _partition_inbound(world: World, clients: SimulatedClients) -> None:
+    await _narrow_during_partitions(
+        world, lambda router: world.partition_router(router, True, False)
+    )
 
 
-async def _cut_outbound(world: World, clients: SimulatedClients) -> None:
-    await _narrow_behind_cuts(world, lambda router: world.cut_router(router, False, True))
+async def _partition_outbound(world: World, clients: SimulatedClients) -> None:
+    await _narrow_during_partitions(
+        world, lambda router: world.partition_router(router, False, True)
+    )
 
 
-async def _cut_from_control(world: World, clients: SimulatedClients) -> None:
+async def _partition_from_control(world: World, clients: SimulatedClients) -> None:
     """A router reaches the engines but neither the platform nor its peers."""
 
-    def cut(router: SimulatedRouter) -> None:
+    def isolate(router: SimulatedRouter) -> None:
         peers = [item.host for item in world.routers if item is not router]
         control = [world.platform_host, *peers]
-        world.note(f"cut {router.name} from control")
+        world.record_event(f"cut {router.name} from control")
         world.network.partition(control, [router.host])
         world.network.partition([router.host], control)
 
-    await _narrow_behind_cuts(world, cut)
+    await _narrow_during_partitions(world, isolate)
 
 
 async def _scope_change(world: World, clients: SimulatedClients) -> None:
@@ -110,16 +118,16 @@
     Scenario(
         "cut-both-ways",
         "a router cut off obeys a narrowed selector",
-        _cut_both,
+        _partition_both_ways,
         floor=0.7,
         callers=4,
     ),
-    Scenario("cut-inbound", "the same for a one-way cut", _cut_inbound, floor=0.6, callers=4),
-    Scenario("cut-outbound", "the same the other way", _cut_outbound, floor=0.6, callers=4),
+    Scenario("cut-inbound", "the same for a one-way cut", _partition_inbound, floor=0.6, callers=4),
+    Scenario("cut-outbound", "the same the other way", _partition_outbound, floor=0.6, callers=4),
     Scenario(
         "cut-from-control",
         "a router that still reaches engines refuses regulated work when it may be out of date",
-        _cut_from_control,
+        _partition_from_control,
         floor=0.8,
         callers=4,
     ),
--- a/src/milletcourse/simulation/scenarios/platform.py
+++ b/src/milletcourse/simulation/scenarios/platform.py
@@ -16,30 +16,30 @@
 async def _outage(world: World, clients: SimulatedClients) -> None:
     operator = SimulatedOperator(world, "one")
     await asyncio.sleep(5)
-    world.platform_fault(down=True)
+    world.set_platform_fault(down=True)
     await asyncio.sleep(OUTAGE_SECONDS / 2)
     await operator.change("Workload", "care-checks", care_workload(("shared", "guarded")), 0)
     await asyncio.sleep(OUTAGE_SECONDS / 2)
-    world.platform_fault()
+    world.set_platform_fault()
     await asyncio.sleep(2)
     await operator.change("Workload", "care-checks", care_workload(("shared", "guarded")), 1)
     await asyncio.sleep(15)
     operator.check()
     if not operator.answers.accepted:
-        world.violate("availability", "no change was accepted after the outage")
+        world.record_violation("availability", "no change was accepted after the outage")
 
 
-async def _slow(world: World, clients: SimulatedClients) -> None:
+async def _slow_platform(world: World, clients: SimulatedClients) -> None:
     operator = SimulatedOperator(world, "one")
     await asyncio.sleep(5)
-    world.platform_fault(slow_seconds=2.0)
+    world.set_platform_fault(slow_seconds=2.0)
     for index in range(4):
         await asyncio.sleep(10)
         pools = ("shared",) if index % 2 else ("shared", "guarded")
         await operator.change("Workload", "care-checks", care_workload(pools), index % 3)
-    world.platform_fault(slow_seconds=10.0)
+    world.set_platform_fault(slow_seconds=10.0)
     await asyncio.sleep(30)
-    world.platform_fault()
+    world.set_platform_fault()
     await asyncio.sleep(15)
     operator.check()
 
@@ -60,21 +60,21 @@
         operator.check()
 
 
-async def _older_state(world: World, clients: SimulatedClients) -> None:
+async def _serve_older_state(world: World, clients: SimulatedClients) -> None:
     operator = SimulatedOperator(world, "one")
-    older = world.platform.snapshot()
+    older_state = world.platform.snapshot()
     await asyncio.sleep(3)
     await operator.change("Workload", "care-checks", care_workload(("shared", "guarded")), 0)
     await asyncio.sleep(6)
-    world.note("platform shows older state")
-    world.platform.show_older_state(older)
-    world.platform_disturbed_at = world.now()
+    world.record_event("platform shows older state")
+    world.platform.show_older_state(older_state)
+    world.platform_last_fault_at = world.now()
     await asyncio.sleep(4)
     await world.restart_router(1)
     await asyncio.sleep(6)
-    world.note("platform shows present state")
+    world.record_event("platform shows present state")
     world.platform.show_older_state(None)
-    world.platform_disturbed_at = world.now()
+    world.platform_last_fault_at = world.now()
     world.platform.core.lose_history()
     world.platform.wake_watches()
     await asyncio.sleep(8)
@@ -94,7 +94,7 @@
     Scenario(
         "platform-slow",
         "a slow platform: requests are served, changes end truly",
-        _slow,
+        _slow_platform,
         floor=0.95,
         callers=3,
     ),
@@ -107,7 +107,7 @@
     Scenario(
         "older-state",
         "the platform shows an older state and loses its history; nothing reverts",
-        _older_state,
+        _serve_older_state,
         floor=0.9,
     ),
 )
--- a/src/milletcourse/simulation/scenarios/random_faults.py
+++ b/src/milletcourse/simulation/scenarios/random_faults.py
@@ -24,35 +24,35 @@
         self._world = world
         self._random = derived_random_source(world.seed, "faults")
         self.operators = [SimulatedOperator(world, name) for name in ("one", "two")]
-        self._kinds: tuple[Callable[[], Awaitable[None]], ...] = (
+        self._fault_types: tuple[Callable[[], Awaitable[None]], ...] = (
             self._kill_router,
             self._kill_engine,
-            self._herd,
+            self._restart_all_routers,
             self._freeze,
-            self._cut,
-            self._platform_down,
-            self._platform_slow,
+            self._partition_router,
+            self._take_platform_down,
+            self._slow_platform,
             self._lose_answers,
             self._lose_history,
-            self._older_state,
-            self._event_faults,
-            self._datagram_faults,
-            self._crossed,
-            self._app_faults,
-            self._race,
-            self._weights,
+            self._serve_older_state,
+            self._disturb_events,
+            self._disturb_datagrams,
+            self._cross_tokens,
+            self._disturb_application,
+            self._race_operators,
+            self._change_weights,
             self._stop_engine,
         )
 
     async def run(self) -> None:
         """Run the drawn faults, some of them twice, at overlapping times."""
-        drawn = [self._random.choice(self._kinds) for _ in range(FAULTS)]
+        drawn = [self._random.choice(self._fault_types) for _ in range(FAULTS)]
         drawn.append(drawn[0])
-        await asyncio.gather(*(self._later(kind) for kind in drawn))
+        await asyncio.gather(*(self._run_at_random_time(fault_type) for fault_type in drawn))
 
-    async def _later(self, kind: Callable[[], Awaitable[None]]) -> None:
+    async def _run_at_random_time(self, fault_type: Callable[[], Awaitable[None]]) -> None:
         await asyncio.sleep(self._random.uniform(0.5, FAULT_WINDOW_SECONDS))
-        await kind()
+        await fault_type()
 
     async def _pause(self) -> None:
         await asyncio.sleep(self._random.choice((0.1, 1.0, 4.0, 9.0)))
@@ -82,7 +82,7 @@
             await self._pause()
             await self._world.restart_engine(index)
 
-    async def _herd(self) -> None:
+    async def _restart_all_routers(self) -> None:
         """Not while the platform shows an older state: no copy of the accepted one would be left.
 
         `docs/PROOFS.md` lists this as not provable without another durable place.
@@ -101,46 +101,46 @@
             await self._pause()
             self._world.thaw(router)
 
-    async def _cut(self) -> None:
+    async def _partition_router(self) -> None:
         router = self._world.routers[self._router()]
         inbound, outbound = self._random.choice(((True, True), (True, False), (False, True)))
-        self._world.cut_router(router, inbound, outbound)
+        self._world.partition_router(router, inbound, outbound)
         await self._pause()
         self._world.heal()
 
-    async def _platform_down(self) -> None:
-        self._world.platform_fault(down=True)
+    async def _take_platform_down(self) -> None:
+        self._world.set_platform_fault(down=True)
         await self._pause()
-        self._world.platform_fault()
+        self._world.set_platform_fault()
 
-    async def _platform_slow(self) -> None:
-        self._world.platform_fault(slow_seconds=self._random.choice((0.5, 2.0, 5.0)))
+    async def _slow_platform(self) -> None:
+        self._world.set_platform_fault(slow_seconds=self._random.choice((0.5, 2.0, 5.0)))
         await self._pause()
-        self._world.platform_fault()
+        self._world.set_platform_fault()
 
     async def _lose_answers(self) -> None:
         self._world.platform.faults.lose_answers = 2
-        await self._race()
+        await self._race_operators()
 
     async def _lose_history(self) -> None:
         self._world.platform.core.lose_history()
         self._world.platform.wake_watches()
 
-    async def _older_state(self) -> None:
-        older = self._world.platform.snapshot()
-        await self._race()
-        self._world.platform.show_older_state(older)
-        self._world.platform_disturbed_at = self._world.now()
+    async def _serve_older_state(self) -> None:
+        older_state = self._world.platform.snapshot()
+        await self._race_operators()
+        self._world.platform.show_older_state(older_state)
+        self._world.platform_last_fault_at = self._world.now()
         await self._pause()
         self._world.platform.show_older_state(None)
-        self._world.platform_disturbed_at = self._world.now()
+        self._world.platform_last_fault_at = self._world.now()
 
-    async def _event_faults(self) -> None:
+    async def _disturb_events(self) -> None:
         for engine in self._world.engines:
             engine.app.faults.event_loss = 0.3
             engine.app.faults.event_delay_seconds = 3.0
 
-    async def _datagram_faults(self) -> None:
+    async def _disturb_datagrams(self) -> None:
         faults = self._world.network.faults
         faults.datagram_loss = 0.2
         faults.datagram_duplicate = 0.2
@@ -148,12 +148,12 @@
         await self._pause()
         faults.datagram_loss = faults.datagram_duplicate = faults.datagram_delay_seconds = 0.0
 
-    async def _crossed(self) -> None:
+    async def _cross_tokens(self) -> None:
         engine = self._world.engines[self._engine()]
         engine.app.faults.cross_tokens = True
         engine.app.faults.duplicate_tokens = True
 
-    async def _app_faults(self) -> None:
+    async def _disturb_application(self) -> None:
         application = self._random.choice(self._world.applications)
         application.faults.crash_before = self._random.randrange(3)
         application.faults.crash_after = self._random.randrange(3)
@@ -161,7 +161,7 @@
         await self._pause()
         application.faults.slow_seconds = 0.0
 
-    async def _race(self) -> None:
+    async def _race_operators(self) -> None:
         pools = self._random.choice((("shared",), ("shared", "guarded")))
         await asyncio.gather(
             self.operators[0].change(
@@ -170,7 +170,7 @@
             self.operators[1].change("Workload", "care-checks", care_workload(), self._router()),
         )
 
-    async def _weights(self) -> None:
+    async def _change_weights(self) -> None:
         version = self._random.choice(("1", "2", "3"))
         await self.operators[0].change("Model", MODEL, {"weight_version": version}, self._router())
 
@@ -179,7 +179,7 @@
     faults = _RandomFaults(world)
     await faults.run()
     world.heal()
-    world.platform_fault()
+    world.set_platform_fault()
     world.platform.show_older_state(None)
     await asyncio.sleep(RECOVERY_SECONDS)
     for operator in faults.operators:
--- a/src/milletcourse/simulation/scenarios/steady.py
+++ b/src/milletcourse/simulation/scenarios/steady.py
@@ -16,7 +16,7 @@
     await asyncio.sleep(20)
 
 
-async def _crossed(world: World, clients: SimulatedClients) -> None:
+async def _cross_tokens(world: World, clients: SimulatedClients) -> None:
     for engine in world.engines:
         engine.app.faults.duplicate_tokens = True
         engine.app.faults.cross_tokens = True
@@ -48,7 +48,7 @@
     await asyncio.sleep(20)
     check_refusals_immediate(world, clients.totals)
     if not clients.totals.refusal_seconds:
-        world.violate("availability", "the limit never refused")
+        world.record_violation("availability", "the limit never refused")
 
 
 SCENARIOS = (
@@ -56,7 +56,7 @@
     Scenario(
         "crossed-answers",
         "each caller gets its own whole answer, with crossed and duplicated events",
-        _crossed,
+        _cross_tokens,
         floor=1.0,
     ),
     Scenario(
--- a/src/milletcourse/simulation/scenarios/stops.py
+++ b/src/milletcourse/simulation/scenarios/stops.py
@@ -35,8 +35,8 @@
 async def _machine_list(world: World, clients: SimulatedClients) -> None:
     """Only the platform's list says that a machine leaves; the engine does not know."""
     await asyncio.sleep(4)
-    world.note("machine engine-1 leaves")
-    world.machine_leaves("engine-1")
+    world.record_event("machine engine-1 leaves")
+    world.mark_machine_leaving("engine-1")
     await asyncio.sleep(15)
 
 
@@ -48,7 +48,9 @@
         await asyncio.sleep(WEIGHTS_BOUND_SECONDS)
         for engine in world.engines:
             if engine.app.core.loaded.get(MODEL) != version:
-                world.violate("weights-in-service", f"{engine.name} lacks version {version}")
+                world.record_violation(
+                    "weights-in-service", f"{engine.name} lacks version {version}"
+                )
     operator.check()
 
 
@@ -57,18 +59,18 @@
     for application in world.applications:
         application.faults.slow_seconds = 0.5
     operator = SimulatedOperator(world, "one")
-    everyone = [
+    all_members = [
         {"name": item.name, "address": item.host.address, "place": item.host.place}
         for item in world.routers
     ]
-    present = everyone
-    for epoch, members in ((2, everyone[:1]), (3, everyone[1:])):
+    current_members = all_members
+    for epoch, members in ((2, all_members[:1]), (3, all_members[1:])):
         await asyncio.sleep(4)
         world.freeze(world.routers[epoch - 2])
         spec = {
             "epoch": epoch,
             "members": members,
-            "previous_members": present,
+            "previous_members": current_members,
             "from_mint_seconds": world.wall() + 3.0,
             "confirmed": False,
         }
@@ -78,8 +80,8 @@
         await asyncio.sleep(ROUTER_SET_BOUND_SECONDS)
         stored = world.platform.core.get("RouterSet", "default")
         if stored is None or not stored.spec.get("confirmed", True):
-            world.violate("router-set-changes", f"epoch {epoch} is not confirmed")
-        present = members
+            world.record_violation("router-set-changes", f"epoch {epoch} is not confirmed")
+        current_members = members
     await asyncio.sleep(4)
     operator.check()
 
--- a/src/milletcourse/simulation/world.py
+++ b/src/milletcourse/simulation/world.py
@@ -77,13 +77,13 @@
         self.trace = Trace()
         self.truth = GroundTruth()
         self.violations: list[Violation] = []
-        self.crashing_prompts = CrashingPrompts(self._kill_engine_named, self._revive_engine)
+        self.crashing_prompts = CrashingPrompts(self._kill_engine_named, self._restart_engine_named)
         self.random = derived_random_source(seed, "world")
         self.network = MemoryNetwork(derived_random_source(seed, "network"))
         self.routers: list[SimulatedRouter] = []
         self.engines: list[SimulatedEngine] = []
         self.ledger = AppLedger()
-        self.platform_disturbed_at = float("-inf")
+        self.platform_last_fault_at = float("-inf")
         self._node_factory = node_factory
         self._pools = engine_pools
         self._profile = profile
@@ -195,14 +195,14 @@
             while not condition():
                 await asyncio.sleep(0.02)
 
-    def note(self, text: str) -> None:
+    def record_event(self, text: str) -> None:
         """Add an event to the trace."""
         self.trace.add(self.now(), text)
 
-    def violate(self, invariant: str, detail: str) -> None:
+    def record_violation(self, invariant: str, detail: str) -> None:
         """Record a broken invariant."""
         self.violations.append(Violation(invariant, round(self.now(), 3), detail))
-        self.note(f"violation {invariant} {detail}")
+        self.record_event(f"violation {invariant} {detail}")
 
     def _on_accept(self, engine: str, completion: EngineCompletion) -> None:
         self.crashing_prompts.on_accept(engine, completion.prompt)
@@ -213,7 +213,7 @@
     def _kill_engine_named(self, name: str) -> None:
         self.kill_engine(self._engine_index(name))
 
-    async def _revive_engine(self, name: str) -> None:
+    async def _restart_engine_named(self, name: str) -> None:
         index = self._engine_index(name)
         if not self.engines[index].host.alive:
             await self.restart_engine(index)
@@ -231,7 +231,7 @@
         router = self.routers[index]
         if not router.host.alive:
             return
-        self.note(f"kill {router.name}")
+        self.record_event(f"kill {router.name}")
         router.node.tasks.cancel_all()
         router.host.kill()
 
@@ -240,13 +240,13 @@
         former = self.routers[index]
         if former.host.alive:
             self.kill_router(index)
-        self.note(f"start {former.name}")
+        self.record_event(f"start {former.name}")
         self.routers[index] = await self._start_router(self.network.replace_host(former.host))
 
     async def stop_router(self, index: int) -> None:
         """Planned stop."""
         router = self.routers[index]
-        self.note(f"stop {router.name}")
+        self.record_event(f"stop {router.name}")
         await router.node.drain()
         await router.host.finish_requests()
         await router.node.close()
@@ -257,7 +257,7 @@
         engine = self.engines[index]
         if not engine.host.alive:
             return
-        self.note(f"kill {engine.name}")
+        self.record_event(f"kill {engine.name}")
         self._collect_reuse(engine)
         engine.app.kill()
         engine.host.kill()
@@ -271,42 +271,42 @@
         former = self.engines[index]
         if former.host.alive:
             self.kill_engine(index)
-        self.note(f"start {former.name}")
+        self.record_event(f"start {former.name}")
         host = self.network.replace_host(former.host)
-        version = self.wanted_version()
+        version = self.desired_version()
         self.engines[index] = await self._start_engine(host, version, "")
-        self.truth.leaving_since.pop(former.name, None)
+        self.truth.draining_since.pop(former.name, None)
 
     async def stop_engine(self, index: int) -> None:
         """Planned stop: the engine itself and the platform's list say that it leaves."""
         engine = self.engines[index]
-        self.note(f"stop {engine.name}")
-        self.machine_leaves(engine.name)
+        self.record_event(f"stop {engine.name}")
+        self.mark_machine_leaving(engine.name)
         await engine.app.stop()
         await engine.host.finish_requests()
         self._collect_reuse(engine)
         engine.host.kill()
 
-    def machine_leaves(self, name: str) -> None:
+    def mark_machine_leaving(self, name: str) -> None:
         """The platform learns that a machine leaves."""
         self.platform.core.set_machine(name, MachineState.LEAVING, self.now())
         shown_at = self.now() + self.platform.machine_lag_seconds
-        self.truth.leaving_since.setdefault(name, shown_at)
+        self.truth.draining_since.setdefault(name, shown_at)
 
     def freeze(self, router: SimulatedRouter) -> None:
         """The machine of a router stops running."""
-        self.note(f"freeze {router.name}")
+        self.record_event(f"freeze {router.name}")
         router.host.freeze()
 
     def thaw(self, router: SimulatedRouter) -> None:
         """It runs again."""
-        self.note(f"thaw {router.name}")
+        self.record_event(f"thaw {router.name}")
         router.host.thaw()
-        router.disturbed_at = self.now()
+        router.last_fault_at = self.now()
 
-    def cut_router(self, router: SimulatedRouter, inbound: bool, outbound: bool) -> None:
+    def partition_router(self, router: SimulatedRouter, inbound: bool, outbound: bool) -> None:
         """Cut a router from everything except the clients."""
-        self.note(f"cut {router.name} in={inbound} out={outbound}")
+        self.record_event(f"cut {router.name} in={inbound} out={outbound}")
         others = [item for item in self.all_hosts() if item not in (router.host, self.client_host)]
         if inbound:
             self.network.partition(others, [router.host])
@@ -315,10 +315,10 @@
 
     def heal(self) -> None:
         """All links work again."""
-        self.note("heal")
+        self.record_event("heal")
         self.network.heal()
         for router in self.routers:
-            router.disturbed_at = self.now()
+            router.last_fault_at = self.now()
 
     def all_hosts(self) -> list[MemoryHost]:
         """Every machine."""
@@ -326,15 +326,15 @@
         hosts += [item.host for item in self.engines]
         return hosts + [item.host for item in self.routers]
 
-    def platform_fault(self, down: bool = False, slow_seconds: float = 0.0) -> None:
+    def set_platform_fault(self, down: bool = False, slow_seconds: float = 0.0) -> None:
         """The platform is down or slow; both False and 0 end it."""
-        self.note(f"platform down={down} slow={slow_seconds}")
+        self.record_event(f"platform down={down} slow={slow_seconds}")
         self.platform.faults.down = down
         self.platform.faults.slow_seconds = slow_seconds
         self.platform.wake_watches()
-        self.platform_disturbed_at = self.now()
+        self.platform_last_fault_at = self.now()
 
-    def wanted_version(self) -> str:
+    def desired_version(self) -> str:
         """Weight version that the platform's Model object asks for."""
         stored: StoredObject | None = self.platform.core.get("Model", MODEL)
         return str(stored.spec["weight_version"]) if stored else "1"
