--- a/src/milletcourse/simulation/checks.py
+++ b/src/milletcourse/simulation/checks.py
@@ -93,7 +93,11 @@
         if router.host.frozen or now - router.last_fault_at < FAULT_RECOVERY_SECONDS:
             return True
         faults = world.platform.faults
-        if faults.down or faults.slow_seconds or world.platform.shown is not world.platform.core:
+        if (
+            faults.down
+            or faults.slow_seconds
+            or world.platform.visible_core is not world.platform.core
+        ):
             return True
         if now - world.platform_last_fault_at < FAULT_RECOVERY_SECONDS:
             return True
@@ -104,14 +108,14 @@
         )
 
     def _check_in_force(self, router: SimulatedRouter, revision: int) -> None:
-        latest_commit_time = self._world.now() - CONFIGURATION_BOUND_SECONDS
+        deadline = self._world.now() - CONFIGURATION_BOUND_SECONDS
         due_revisions = [
-            number for number, at in self._world.truth.commits.items() if at <= latest_commit_time
+            number for number, at in self._world.truth.commits.items() if at <= deadline
         ]
         if due_revisions and revision < max(due_revisions):
             self._world.record_violation(
                 "configuration-in-force",
-                f"{router.name} at {revision}, {max(due_revisions)} accepted before {latest_commit_time:.1f}",
+                f"{router.name} at {revision}, {max(due_revisions)} accepted before {deadline:.1f}",
             )
 
 
--- a/src/milletcourse/simulation/scenarios/random_faults.py
+++ b/src/milletcourse/simulation/scenarios/random_faults.py
@@ -87,7 +87,7 @@
 
         `docs/PROOFS.md` lists this as not provable without another durable place.
         """
-        if self._world.platform.shown is not self._world.platform.core:
+        if self._world.platform.visible_core is not self._world.platform.core:
             return
         for index in range(len(self._world.routers)):
             self._world.kill_router(index)
@@ -124,15 +124,15 @@
 
     async def _lose_history(self) -> None:
         self._world.platform.core.lose_history()
-        self._world.platform.wake_watches()
+        self._world.platform.notify_watches()
 
     async def _serve_older_state(self) -> None:
         older_state = self._world.platform.snapshot()
         await self._race_operators()
-        self._world.platform.show_older_state(older_state)
+        self._world.platform.serve_older_state(older_state)
         self._world.platform_last_fault_at = self._world.now()
         await self._pause()
-        self._world.platform.show_older_state(None)
+        self._world.platform.serve_older_state(None)
         self._world.platform_last_fault_at = self._world.now()
 
     async def _disturb_events(self) -> None:
@@ -180,7 +180,7 @@
     await faults.run()
     world.heal()
     world.set_platform_fault()
-    world.platform.show_older_state(None)
+    world.platform.serve_older_state(None)
     await asyncio.sleep(RECOVERY_SECONDS)
     for operator in faults.operators:
         operator.check()
--- a/src/milletcourse/simulation/world.py
+++ b/src/milletcourse/simulation/world.py
@@ -331,7 +331,7 @@
         self.record_event(f"platform down={down} slow={slow_seconds}")
         self.platform.faults.down = down
         self.platform.faults.slow_seconds = slow_seconds
-        self.platform.wake_watches()
+        self.platform.notify_watches()
         self.platform_last_fault_at = self.now()
 
     def desired_version(self) -> str:
--- a/src/milletcourse/standins/answers.py
+++ b/src/milletcourse/standins/answers.py
@@ -7,8 +7,8 @@
 
 from blake3 import blake3
 
-MULTIPLIER = 0x9E3779B97F4A7C15
-MASK = (1 << 32) - 1
+TOKEN_MULTIPLIER = 0x9E3779B97F4A7C15
+TOKEN_MASK = (1 << 32) - 1
 
 
 def answer_seed(model: str, weight_version: str, prompt: str) -> int:
@@ -19,8 +19,8 @@
 
 def answer_token(seed: int, offset: int) -> str:
     """Text of the token at an offset."""
-    value = (seed + (offset + 1) * MULTIPLIER) >> 16
-    return f"w{value & MASK:08x} "
+    value = (seed + (offset + 1) * TOKEN_MULTIPLIER) >> 16
+    return f"w{value & TOKEN_MASK:08x} "
 
 
 def answer_text(model: str, weight_version: str, prompt: str, tokens: int) -> str:
--- a/src/milletcourse/standins/application.py
+++ b/src/milletcourse/standins/application.py
@@ -51,7 +51,7 @@
     crash_after: int = 0
 
 
-class _ConnectionDiesError(Exception):
+class _DropConnectionError(Exception):
     """Makes the server drop the connection without an answer."""
 
 
@@ -64,19 +64,19 @@
         self.faults = AppFaults()
         self._tasks = TaskSet("application")
         falcon_app = new_application()
-        falcon_app.add_error_handler(_ConnectionDiesError, self._die)
+        falcon_app.add_error_handler(_DropConnectionError, self._drop_connection)
         falcon_app.add_route("/standin/faults", self, suffix="faults")
         falcon_app.add_route("/standin/executions", self, suffix="executions")
         falcon_app.add_route("/operations/{key}", self, suffix="operation")
         falcon_app.add_route("/livez", self, suffix="live")
-        falcon_app.add_sink(self._any_path, prefix="/")
+        falcon_app.add_sink(self._handle_any_path, prefix="/")
         self.application: AsgiApplication = RequestGuard(falcon_app)
 
     @staticmethod
-    async def _die(*_: object, **__: object) -> None:
+    async def _drop_connection(*_: object, **__: object) -> None:
         raise ConnectionAbortedError("the stand-in drops the connection")
 
-    async def _any_path(
+    async def _handle_any_path(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response | None, **_: object
     ) -> None:
         assert resp is not None
@@ -90,13 +90,13 @@
         key = request.get_header(OPERATION_KEY_HEADER) or ""
         if self.faults.crash_before:
             self.faults.crash_before -= 1
-            raise _ConnectionDiesError
+            raise _DropConnectionError
         execution = AppExecution(key, request.path, body)
         running = self._tasks.spawn(self._execute(execution, self.faults.slow_seconds), "write")
         runs = await asyncio.shield(running)
         if self.faults.crash_after:
             self.faults.crash_after -= 1
-            raise _ConnectionDiesError
+            raise _DropConnectionError
         respond_json(response, {"operation": key, "runs": runs}, status=201)
 
     async def _execute(self, execution: AppExecution, slow_seconds: float) -> int:
--- a/src/milletcourse/standins/engine_app.py
+++ b/src/milletcourse/standins/engine_app.py
@@ -61,9 +61,9 @@
         """Add an event and wake the readers."""
         self.tokens.append(token)
         self.ended = token.usage is not None or bool(token.error)
-        self.wake()
+        self.notify_readers()
 
-    def wake(self) -> None:
+    def notify_readers(self) -> None:
         """Let waiting readers look again."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -95,9 +95,9 @@
         self.on_accept: Callable[[EngineCompletion], None] | None = None
         self._random = random_source
         self._tasks = TaskSet(f"engine/{name}")
-        self._work = asyncio.Event()
+        self._work_available = asyncio.Event()
         self._feed: deque[tuple[float, CacheEvent]] = deque(maxlen=20_000)
-        self._fed_sequence = 1
+        self._next_published_sequence = 1
         self._loads: deque[tuple[float, EngineLoad]] = deque()
         self._transfers = asyncio.Lock()
 
@@ -125,8 +125,8 @@
         while True:
             duration = self.core.begin_step()
             if duration is None:
-                self._work.clear()
-                await self._work.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
                 continue
             await self.clock.sleep(duration + self.faults.stall_seconds)
             for emission in self.core.finish_step():
@@ -141,25 +141,25 @@
                     )
                 )
                 if emission.usage is not None:
-                    self._tasks.spawn(self._forget_later(stream), "forget")
+                    self._tasks.spawn(self._remove_after_resume_window(stream), "forget")
             self._publish()
 
     def _publish(self) -> None:
         now = self.clock.monotonic()
-        for event in self.core.events_after(self._fed_sequence, MAX_PAGE_EVENTS):
-            self._fed_sequence = event.sequence + 1
+        for event in self.core.events_after(self._next_published_sequence, MAX_PAGE_EVENTS):
+            self._next_published_sequence = event.sequence + 1
             if self._random.random() >= self.faults.event_loss:
                 self._feed.append((now + self.faults.event_delay_seconds, event))
         self._loads.append((now, self.core.load()))
         while len(self._loads) > 1 and self._loads[1][0] <= now - self.faults.load_lag_seconds:
             self._loads.popleft()
 
-    async def _forget_later(self, stream: AnswerStream) -> None:
+    async def _remove_after_resume_window(self, stream: AnswerStream) -> None:
         await self.clock.sleep(RESUME_WINDOW_SECONDS)
         if self.streams.get(stream.request_id) is stream:
             del self.streams[stream.request_id]
 
-    def shown_load(self) -> EngineLoad:
+    def reported_load(self) -> EngineLoad:
         """The lagged load report."""
         self._publish()
         since, load = self._loads[0]
@@ -168,7 +168,7 @@
             load, leaving=self.core.leaving, models=dict(self.core.loaded), age_seconds=age
         )
 
-    def shown_events(self, after: int) -> CacheEvents:
+    def visible_events(self, after: int) -> CacheEvents:
         """Events from a sequence number on that are visible by now."""
         now = self.clock.monotonic()
         visible = tuple(
@@ -213,8 +213,8 @@
         transfer = completion.kv_transfer_params
         self.core.submit(request, importing=transfer is not None)
         if transfer is not None:
-            self._tasks.spawn(self._import_for(request, transfer), "import")
-        self._work.set()
+            self._tasks.spawn(self._import_for_request(request, transfer), "import")
+        self._work_available.set()
         return stream
 
     def cancel(self, request_id: str) -> None:
@@ -225,14 +225,14 @@
             offset = stream.first_offset + len(stream.tokens)
             stream.append(EngineToken(request_id, stream.attempt, offset, error="cancelled"))
 
-    async def _import_for(self, request: EngineRequest, transfer: KvTransfer) -> None:
+    async def _import_for_request(self, request: EngineRequest, transfer: KvTransfer) -> None:
         try:
             await self.import_blocks(transfer.source, request.blocks.hashes[: transfer.blocks])
         except FailureError:
             pass
         finally:
             self.core.import_finished(request.request_id)
-            self._work.set()
+            self._work_available.set()
 
     async def import_blocks(self, source: str, chain: tuple[BlockHash, ...]) -> int:
         """Fetch the missing blocks of a chain; returns how many came."""
@@ -264,7 +264,7 @@
         self._publish()
         return len(blocks)
 
-    def held(self, keys: tuple[str, ...]) -> KvBlocks:
+    def cached_blocks(self, keys: tuple[str, ...]) -> KvBlocks:
         """The leading run of the asked blocks that are cached here."""
         found = []
         for key in keys:
@@ -285,13 +285,13 @@
 
     async def export_blocks(self, order: KvExport) -> int:
         """Send cached blocks to a store; returns how many."""
-        held = self.held(order.blocks)
-        if held.blocks:
-            request = json_request("POST", order.store, "/v1/blocks", held)
+        cached_blocks = self.cached_blocks(order.blocks)
+        if cached_blocks.blocks:
+            request = json_request("POST", order.store, "/v1/blocks", cached_blocks)
             await send_for_body(self.client, request, TRANSFER_TIMEOUT_SECONDS)
-        return len(held.blocks)
+        return len(cached_blocks.blocks)
 
-    async def follow_order(self, order: EngineOrder) -> None:
+    async def execute_order(self, order: EngineOrder) -> None:
         """Follow a fenced order.
 
         Raises:
--- a/src/milletcourse/standins/engine_core.py
+++ b/src/milletcourse/standins/engine_core.py
@@ -15,7 +15,7 @@
 from milletcourse.prefix.blocks import BLOCK_TOKENS, BlockHash, PromptBlocks
 from milletcourse.standins.block_pool import BlockPool, PoolChanges, Provenance
 
-EVENT_HISTORY = 20_000
+EVENT_HISTORY_EVENTS = 20_000
 """Events kept for followers; older ones are lost, as engines do."""
 
 
@@ -140,7 +140,7 @@
         self.leaving = False
         self.fencing_token = 0
         self.next_sequence = 1
-        self._events: deque[CacheEvent] = deque(maxlen=EVENT_HISTORY)
+        self._events: deque[CacheEvent] = deque(maxlen=EVENT_HISTORY_EVENTS)
         self._arrivals = 0
         self._step: list[EngineRequest] = []
 
@@ -213,7 +213,7 @@
         chain = request.blocks.hashes
         cached = self.pool.cached_prefix(chain)
         needed = len(chain) - cached + 1
-        if self.pool.free_blocks < needed and self._someone_runs():
+        if self.pool.free_blocks < needed and self._has_running_requests():
             return False
         self.pool.pin(chain[:cached])
         request.pinned = cached
@@ -225,7 +225,7 @@
             self._record_reuse(request, chain[:cached])
         return True
 
-    def _someone_runs(self) -> bool:
+    def _has_running_requests(self) -> bool:
         phases = (RequestPhase.PREFILL, RequestPhase.DECODE)
         return any(item.phase in phases for item in self.requests.values())
 
--- a/src/milletcourse/standins/engine_resources.py
+++ b/src/milletcourse/standins/engine_resources.py
@@ -79,7 +79,7 @@
 class _Feed(_Resource):
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         after = request.get_param_as_int("after", default=1)
-        document = EngineFeed(self._app.shown_load(), self._app.shown_events(after))
+        document = EngineFeed(self._app.reported_load(), self._app.visible_events(after))
         respond_json(response, document)
 
     async def on_get_live(
@@ -114,7 +114,7 @@
 class _Orders(_Resource):
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         order = decode_json(await request.stream.read(), EngineOrder)
-        await self._app.follow_order(order)
+        await self._app.execute_order(order)
         respond_json(response, {"models": self._app.core.loaded})
 
 
@@ -136,7 +136,7 @@
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
         keys = decode_json(await request.stream.read(), KvKeys)
-        respond_json(response, self._app.held(keys.blocks))
+        respond_json(response, self._app.cached_blocks(keys.blocks))
 
     async def on_get_blocks(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
--- a/src/milletcourse/standins/kv_store.py
+++ b/src/milletcourse/standins/kv_store.py
@@ -65,13 +65,13 @@
         application.add_route("/livez", self, suffix="live")
         self.application: AsgiApplication = RequestGuard(application)
 
-    def _check_up(self) -> None:
+    def _require_available(self) -> None:
         if self.down:
             raise FailureError(BackendUnreachable("the store is down"))
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         """Store blocks."""
-        self._check_up()
+        self._require_available()
         blocks = decode_json(await request.stream.read(), KvBlocks)
         respond_json(response, {"new": self.core.store(blocks.blocks)})
 
@@ -79,7 +79,7 @@
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
         """Return the leading run of the asked blocks."""
-        self._check_up()
+        self._require_available()
         keys = decode_json(await request.stream.read(), KvKeys)
         respond_json(response, KvBlocks(tuple(self.core.fetch(keys.blocks))))
 
--- a/src/milletcourse/standins/platform_app.py
+++ b/src/milletcourse/standins/platform_app.py
@@ -38,7 +38,7 @@
 BOOKMARK_SECONDS = 0.5
 DEFAULT_MAX_WATCHES = 16
 DEFAULT_MACHINE_LAG_SECONDS = 2.0
-UNANSWERED_SECONDS = 3600.0
+LOST_ANSWER_DELAY_SECONDS = 3600.0
 
 
 class PlatformFaults(msgspec.Struct):
@@ -71,7 +71,7 @@
         self.max_watches = max_watches
         self.machine_lag_seconds = machine_lag_seconds
         self.watches = 0
-        self._older: PlatformCore | None = None
+        self._older_state: PlatformCore | None = None
         self._changed = asyncio.Event()
         self.application: AsgiApplication = RequestGuard(self._routes())
 
@@ -87,24 +87,24 @@
         return application
 
     @property
-    def shown(self) -> PlatformCore:
+    def visible_core(self) -> PlatformCore:
         """The state that reads show: an older one while that fault is on."""
-        return self._older or self.core
+        return self._older_state or self.core
 
-    def show_older_state(self, older: PlatformCore | None) -> None:
+    def serve_older_state(self, older: PlatformCore | None) -> None:
         """Fault: reads show a former state; None ends it."""
-        self._older = older
-        self.wake_watches()
+        self._older_state = older
+        self.notify_watches()
 
     def snapshot(self) -> PlatformCore:
-        """A copy of the present state, for `show_older_state`."""
+        """A copy of the present state, for `serve_older_state`."""
         hook, self.core.on_commit = self.core.on_commit, None
         try:
             return copy.deepcopy(self.core)
         finally:
             self.core.on_commit = hook
 
-    def wake_watches(self) -> None:
+    def notify_watches(self) -> None:
         """Let watches send what changed."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -117,18 +117,18 @@
         except TimeoutError:
             return
 
-    async def enter(self) -> None:
+    async def apply_request_faults(self) -> None:
         """Apply the faults that come before a request is handled."""
         if self.faults.down:
             raise FailureError(PlatformUnavailable("down"))
         if self.faults.slow_seconds:
             await self.clock.sleep(self.faults.slow_seconds)
 
-    async def maybe_lose_answer(self) -> None:
+    async def apply_answer_faults(self) -> None:
         """Apply the fault that comes after a write took effect."""
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
-            await self.clock.sleep(UNANSWERED_SECONDS)
+            await self.clock.sleep(LOST_ANSWER_DELAY_SECONDS)
 
 
 class _Objects:
@@ -136,8 +136,8 @@
         self._app = app
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        await self._app.enter()
-        respond_json(response, self._app.shown.list_objects())
+        await self._app.apply_request_faults()
+        respond_json(response, self._app.visible_core.list_objects())
 
 
 class _Revision:
@@ -145,8 +145,8 @@
         self._app = app
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        await self._app.enter()
-        respond_json(response, RevisionAnswer(self._app.shown.revision))
+        await self._app.apply_request_faults()
+        respond_json(response, RevisionAnswer(self._app.visible_core.revision))
 
 
 class _Object:
@@ -156,8 +156,8 @@
     async def on_get(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, kind: str, name: str
     ) -> None:
-        await self._app.enter()
-        stored = self._app.shown.get(kind, name)
+        await self._app.apply_request_faults()
+        stored = self._app.visible_core.get(kind, name)
         if stored is None:
             raise FailureError(NotFound(f"{kind} {name}"))
         respond_json(response, stored)
@@ -165,7 +165,7 @@
     async def on_put(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, kind: str, name: str
     ) -> None:
-        await self._app.enter()
+        await self._app.apply_request_faults()
         write = decode_json(await request.stream.read(), PutObject)
         if write.spec is not None and kind != LEASE_KIND:
             checked = parse_spec(kind, name, write.spec)
@@ -174,8 +174,8 @@
         result = self._app.core.put(kind, name, write)
         if not is_successful(result):
             raise FailureError(result.failure())
-        self._app.wake_watches()
-        await self._app.maybe_lose_answer()
+        self._app.notify_watches()
+        await self._app.apply_answer_faults()
         respond_json(response, result.unwrap())
 
 
@@ -184,11 +184,11 @@
         self._app = app
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        await self._app.enter()
+        await self._app.apply_request_faults()
         if self._app.watches >= self._app.max_watches:
             raise FailureError(TooManyWatches(f"{self._app.max_watches} watches are open", 5.0))
         after = request.get_param_as_int("after", default=0)
-        result = self._app.shown.changes_after(after)
+        result = self._app.visible_core.changes_after(after)
         if not is_successful(result):
             raise FailureError(result.failure())
         response.content_type = "application/jsonl"
@@ -200,13 +200,13 @@
             while not self._app.faults.down:
                 if self._app.faults.slow_seconds:
                     await self._app.clock.sleep(self._app.faults.slow_seconds)
-                result = self._app.shown.changes_after(after)
+                result = self._app.visible_core.changes_after(after)
                 if not is_successful(result):
                     return
                 for change in result.unwrap():
                     yield msgspec.json.encode(WatchLine(change.revision, change)) + b"\n"
                     after = change.revision
-                yield msgspec.json.encode(WatchLine(self._app.shown.revision)) + b"\n"
+                yield msgspec.json.encode(WatchLine(self._app.visible_core.revision)) + b"\n"
                 await self._app.wait_for_change()
         finally:
             self._app.watches -= 1
@@ -217,7 +217,7 @@
         self._app = app
 
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        await self._app.enter()
+        await self._app.apply_request_faults()
         now = self._app.clock.monotonic()
         machines = self._app.core.machines(now, self._app.machine_lag_seconds)
         respond_json(response, MachineList(tuple(machines)))
@@ -235,7 +235,7 @@
 
     async def on_put(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         self._app.faults = decode_json(await request.stream.read(), PlatformFaults)
-        self._app.wake_watches()
+        self._app.notify_watches()
         respond_json(response, self._app.faults)
 
 
--- a/src/milletcourse/standins/platform_core.py
+++ b/src/milletcourse/standins/platform_core.py
@@ -25,7 +25,7 @@
 from milletcourse.policy.objects import ObjectKey, StoredObject
 
 DEFAULT_HISTORY_CHANGES = 1000
-KEPT_CHANGE_IDS = 8
+MAX_CHANGE_IDS = 8
 LEASE_KIND = "Lease"
 
 
@@ -47,7 +47,7 @@
         self._objects: dict[ObjectKey, StoredObject] = {}
         self._history: deque[ObjectChange] = deque(maxlen=history_changes)
         self._machines: dict[str, tuple[MachineState, float]] = {}
-        self._machines_before: dict[str, MachineState] = {}
+        self._previous_machine_states: dict[str, MachineState] = {}
 
     def get(self, kind: str, name: str) -> StoredObject | None:
         """One object, None when it does not exist."""
@@ -68,8 +68,10 @@
         current = self._objects.get(key)
         current_version = current.version if current else 0
         if current_version != write.expected_version:
-            shown = msgspec.json.encode(current).decode()
-            return Err(VersionConflict("another change came first", None, current_version, shown))
+            current_json = msgspec.json.encode(current).decode()
+            return Err(
+                VersionConflict("another change came first", None, current_version, current_json)
+            )
         return Success(self._commit(key, current, write))
 
     def _commit(
@@ -88,7 +90,7 @@
         self.committed_change_ids[write.change_id] = version
         change_ids = (*(current.change_ids if current else ()), write.change_id)
         stored = StoredObject(
-            key.kind, key.name, version, write.spec or {}, change_ids[-KEPT_CHANGE_IDS:]
+            key.kind, key.name, version, write.spec or {}, change_ids[-MAX_CHANGE_IDS:]
         )
         if write.spec is None:
             self._objects.pop(key, None)
@@ -117,15 +119,15 @@
     def set_machine(self, name: str, state: MachineState, now: float) -> None:
         """The platform learns a machine's state; the list shows it after its lag."""
         if name in self._machines:
-            self._machines_before[name] = self._machines[name][0]
+            self._previous_machine_states[name] = self._machines[name][0]
         self._machines[name] = (state, now)
 
     def machines(self, now: float, lag_seconds: float) -> list[Machine]:
         """The list as it is shown."""
-        shown = []
+        listed = []
         for name, (state, since) in sorted(self._machines.items()):
             if now - since >= lag_seconds:
-                shown.append(Machine(name, state))
-            elif name in self._machines_before:
-                shown.append(Machine(name, self._machines_before[name]))
-        return shown
+                listed.append(Machine(name, state))
+            elif name in self._previous_machine_states:
+                listed.append(Machine(name, self._previous_machine_states[name]))
+        return listed
--- a/src/milletcourse/standins/weight_store.py
+++ b/src/milletcourse/standins/weight_store.py
@@ -8,7 +8,7 @@
 from milletcourse.runtime.clock import Clock
 from milletcourse.runtime.server import AsgiApplication
 
-FULL_SPEED_LOADS = 2
+FULL_SPEED_CONCURRENT_LOADS = 2
 """More loads at once share the bandwidth of this many."""
 
 
@@ -19,7 +19,7 @@
         self.clock = clock
         self.load_seconds = load_seconds
         self.running = 0
-        self.most_at_once = 0
+        self.max_concurrent_loads = 0
         application = new_application()
         application.add_route("/v1/weights/{model}/{version}", self)
         application.add_route("/livez", self, suffix="live")
@@ -34,10 +34,10 @@
     ) -> None:
         """Transfer weights; the answer comes when the transfer is complete."""
         self.running += 1
-        self.most_at_once = max(self.most_at_once, self.running)
+        self.max_concurrent_loads = max(self.max_concurrent_loads, self.running)
         try:
-            crowding = max(1.0, self.running / FULL_SPEED_LOADS)
-            await self.clock.sleep(self.load_seconds * crowding)
+            slowdown = max(1.0, self.running / FULL_SPEED_CONCURRENT_LOADS)
+            await self.clock.sleep(self.load_seconds * slowdown)
         finally:
             self.running -= 1
         respond_json(response, {"model": model, "version": version})
@@ -46,4 +46,4 @@
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
         """Liveness."""
-        respond_json(response, {"live": True, "most_at_once": self.most_at_once})
+        respond_json(response, {"live": True, "most_at_once": self.max_concurrent_loads})
