--- a/src/milletcourse/simulation/checks.py
+++ b/src/milletcourse/simulation/checks.py
@@ -1,4 +1,4 @@
-"""Invariant checks over ground truth kept by the stand-ins, never over what routers believe."""
+"""Invariant checks over the ground truth that the stand-ins record, not over routers' state."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from milletcourse.simulation.world import World
 
 CONFIGURATION_BOUND_SECONDS = 5.0
-"""An accepted change is in force this soon at today's sizes."""
+"""An accepted change is in force at every router within this time, at current cluster sizes."""
 DRAINING_BOUND_SECONDS = 3.0
-"""A leaving back end gets no new work this long after it is known to leave."""
+"""A draining back end must get no new work later than this after routers can see the drain."""
 ACCEPT_DELAY_SECONDS = 0.5
-"""Between a router's decision and the engine's acceptance: connection and retries."""
+"""Time from a router's decision to the engine's acceptance, for connecting and retries."""
 REFUSAL_BOUND_SECONDS = 0.02
-"""Network time of a refusal that needs no back end; the router itself adds nothing."""
+"""Network time of a refusal that needs no back end; the router adds no delay of its own."""
 MONITOR_INTERVAL_SECONDS = 0.1
 FAULT_RECOVERY_SECONDS = 6.0
 
 
 class PolicyHistory:
-    """The policy at each revision, compiled from the platform's own history."""
+    """The policy at each revision, compiled from the platform's journal of changes."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._policies: dict[int, CompiledPolicy] = {}
 
     def at_revision(self, revision: int) -> CompiledPolicy:
-        """Policy of one revision."""
+        """Return the policy of one revision."""
         policy = self._policies.get(revision)
         if policy is None:
             policy = CompiledPolicy()
@@ -50,7 +50,7 @@
         return policy
 
     def current_within(self, start: float, end: float) -> list[CompiledPolicy]:
-        """Policies that were the newest accepted one at some moment of an interval."""
+        """Return the policies that were the latest committed one at some time in an interval."""
         commits = sorted(self._world.truth.commits.items())
         policies = []
         for index, (revision, at_seconds) in enumerate(commits):
@@ -61,7 +61,7 @@
 
 
 class ConfigurationMonitor:
-    """Watches revisions while the world runs."""
+    """Checks the routers' configuration revisions while a scenario runs."""
 
     def __init__(self, world: World, check_bound: bool = True) -> None:
         self._world = world
@@ -69,7 +69,7 @@
         self._highest: dict[tuple[str, int], int] = {}
 
     async def run(self) -> None:
-        """Sample for ever."""
+        """Check all running routers periodically until cancelled."""
         while True:
             for router in self._world.routers:
                 if router.host.alive:
@@ -120,7 +120,7 @@
 
 
 def check_reuse(world: World, history: PolicyHistory) -> None:
-    """No block of another scope, of older weights or of a dead engine's memory is relied on."""
+    """No request reuses a KV block of another reuse scope or of another weight version."""
     policies = [history.at_revision(revision) for revision in world.truth.commits]
     for record in world.all_reuse():
         allowed: set[str] = set()
@@ -136,7 +136,7 @@
 
 
 def check_placement(world: World, history: PolicyHistory) -> None:
-    """Every acceptance was permitted by a policy accepted within the bound."""
+    """A policy in force within the configuration bound permits each accepted request."""
     for accept in world.truth.accepts:
         start = accept.at_seconds - CONFIGURATION_BOUND_SECONDS - ACCEPT_DELAY_SECONDS
         policies = history.current_within(start, accept.at_seconds)
@@ -160,7 +160,7 @@
 
 
 def check_draining(world: World) -> None:
-    """A back end that leaves gets no new work after the bound."""
+    """A draining back end gets no new work after the bound."""
     for accept in world.truth.accepts:
         since = world.truth.draining_since.get(accept.engine)
         if since is not None and accept.at_seconds > since + DRAINING_BOUND_SECONDS:
@@ -170,7 +170,7 @@
 
 
 def check_operations(world: World, totals: ClientTotals) -> None:
-    """Writes ran at most once, done ones exactly once, and "not run" ones never."""
+    """Writes ran at most once, acknowledged ones exactly once, and "not run" ones never."""
     executions = {key: len(runs) for key, runs in world.ledger.executions.items()}
     for key, count in executions.items():
         if count > 1:
@@ -192,14 +192,14 @@
 
 
 def check_refusals_immediate(world: World, totals: ClientTotals) -> None:
-    """A final refusal is not held back."""
+    """Refusals reach the client without delay."""
     for seconds in totals.refusal_seconds:
         if seconds > REFUSAL_BOUND_SECONDS:
             world.record_violation("refusal-immediate", f"took {seconds:.2f}s")
 
 
 def check_all(world: World, totals: ClientTotals) -> None:
-    """All checks that look back at the whole run."""
+    """Run all checks that need the complete run."""
     history = PolicyHistory(world)
     check_reuse(world, history)
     check_placement(world, history)
--- a/src/milletcourse/simulation/clients.py
+++ b/src/milletcourse/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated callers: they stream, resume, write, read, and check every answer."""
+"""Simulated clients, which stream, resume, write and read, and verify every answer."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Refusal:
-    """A problem document as a client sees it."""
+    """A problem document received by a client."""
 
     type: str
     run_state: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class ClientTotals:
-    """Results of all clients."""
+    """Totals over all clients."""
 
     requests: int = 0
     served: int = 0
@@ -56,12 +56,12 @@
     refusal_seconds: list[float] = field(default_factory=list)
 
     def on_served(self) -> None:
-        """A request got its whole answer."""
+        """Count a request that received its complete answer."""
         self.requests += 1
         self.served += 1
 
     def on_refused(self, kind: str) -> None:
-        """A request ended without its answer."""
+        """Count a request that ended without a complete answer."""
         self.requests += 1
         self.refused[kind] = self.refused.get(kind, 0) + 1
 
@@ -75,14 +75,14 @@
 
 
 class SimulatedClients:
-    """A number of callers that share one machine.
+    """Concurrent callers that share one host.
 
     Args:
         world: The cluster.
         mean_pause_seconds: Mean time between the requests of one caller.
         write_share: Share of writes among the requests.
-        tokens: Length of an answer.
-        retry: Whether callers go to another router after a failure.
+        tokens: Length of a completion in tokens.
+        retry: Whether callers retry at another router after a failure.
     """
 
     def __init__(
@@ -105,11 +105,11 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, callers: int) -> None:
-        """Begin to send."""
+        """Start the callers."""
         self._tasks = [asyncio.ensure_future(self._caller(number)) for number in range(callers)]
 
     async def finish(self) -> None:
-        """Send nothing new and wait for what runs."""
+        """Stop sending new requests and wait for those in flight."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
@@ -131,7 +131,7 @@
     # -- inference ------------------------------------------------------------------------------
 
     async def stream_completion(self, number: int, count: int) -> None:
-        """Stream one answer, resuming at other routers, and check it."""
+        """Stream one completion, resume it at other routers after failures, and verify it."""
         tenants = (*CARE_TENANTS, GUARD_TENANT)
         tenant = tenants[number % len(tenants)]
         rules = f"rules {number % 2} ".ljust(RULES_CHARACTERS, "r")
@@ -159,7 +159,7 @@
         self._check_answer(prompt, stream, refusal)
 
     async def repeat_crashing_request(self, times: int, pause_seconds: float) -> None:
-        """Send one request that ends engines again and again, as a new request each time."""
+        """Send the same prompt, which crashes engines, several times as separate requests."""
         prompt = f"{CRASH_MARKER} ".ljust(HISTORY_CHARACTERS, "x")
         body = msgspec.json.encode(
             {"model": MODEL, "prompt": prompt, "max_tokens": self._tokens, "stream": True}
@@ -235,13 +235,13 @@
     # -- applications ---------------------------------------------------------------------------
 
     async def write(self, text: str) -> None:
-        """One swap, sometimes sent twice at the same time under the same key."""
+        """Send one write, sometimes as two concurrent requests with the same idempotency key."""
         key = mint_key(self.world.wall(), self._random)
         senders = 2 if self._random.random() < DUPLICATE_WRITE_SHARE else 1
         await asyncio.gather(*(self._write_once(text, key) for _ in range(senders)))
 
     async def _write_once(self, text: str, key: str) -> None:
-        """The same key through several routers until the end is known."""
+        """Send one idempotency key through several routers until its outcome is known."""
         headers = {
             "Authorization": f"Bearer {key_of(CARE_TENANTS[0])}",
             "Idempotency-Key": key,
@@ -301,7 +301,7 @@
     async def _send(
         self, method: str, path: str, body: bytes, headers: dict[str, str]
     ) -> HttpResponse | None:
-        """Send to a router that accepts connections, picked at random; None when it was lost."""
+        """Send to a random router that accepts connections; None when no answer arrives."""
         routers = list(self.world.routers)
         self._random.shuffle(routers)
         for router in routers:
--- a/src/milletcourse/simulation/cluster_records.py
+++ b/src/milletcourse/simulation/cluster_records.py
@@ -1,4 +1,4 @@
-"""What a simulated cluster consists of, and what really happened in it."""
+"""Records of the processes in a simulated cluster and of the ground truth for the checks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class SimulatedRouter:
-    """One router incarnation and its machine."""
+    """One router incarnation and its host."""
 
     name: str
     host: MemoryHost
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class SimulatedEngine:
-    """One engine incarnation and its machine."""
+    """One engine incarnation and its host."""
 
     name: str
     host: MemoryHost
@@ -44,13 +44,13 @@
 
 @dataclass(slots=True)
 class GroundTruth:
-    """What really happened, for the checks.
+    """Events observed outside the routers, which the checks compare with the invariants.
 
     Attributes:
         accepts: Requests accepted by engines.
-        reuse: Reuse records of engines that are gone.
-        leaving_since: Time at which a back end began to leave, by name.
-        commits: Commit time by revision.
+        reuse: Reuse records of engines that have stopped or crashed.
+        draining_since: Time from which routers can see that a back end is draining, by name.
+        commits: Commit time of each platform revision.
     """
 
     accepts: list[AcceptRecord] = field(default_factory=list)
--- a/src/milletcourse/simulation/crashing_prompts.py
+++ b/src/milletcourse/simulation/crashing_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts that end each engine that begins them; the engine is back after some seconds."""
+"""Prompts that crash every engine that starts them; each engine restarts after a few seconds."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 from collections.abc import Awaitable, Callable
 
 CRASH_MARKER = "ends its engine"
-"""A prompt that holds this ends its engine."""
+"""A prompt that contains this text crashes the engine that runs it."""
 CRASH_DELAY_SECONDS = 0.001
-"""From the begin to the end: before the first token."""
+"""Delay from acceptance to the crash; the crash comes before the first token."""
 ENGINE_DOWNTIME_SECONDS = 3.0
 
 
 class CrashingPrompts:
-    """Ends engines under marked prompts.
+    """Crashes engines that accept a marked prompt.
 
     Attributes:
-        ends: Engines that ended so.
+        crash_count: Number of crashes caused by marked prompts.
     """
 
     def __init__(
         self, kill: Callable[[str], None], restart: Callable[[str], Awaitable[None]]
     ) -> None:
-        """No end yet.
+        """Start without crashes.
 
         Args:
-            kill: Ends an engine by name.
-            restart: Starts it again, unless it lives.
+            kill: Kills an engine, given its name.
+            restart: Restarts an engine, given its name, unless it is running.
         """
         self._kill = kill
         self._restart = restart
@@ -34,7 +34,7 @@
         self.crash_count = 0
 
     def on_accept(self, engine: str, prompt: str) -> None:
-        """An engine begins a prompt."""
+        """Schedule a crash of the engine if the prompt it accepted is marked."""
         if CRASH_MARKER not in prompt:
             return
         self.crash_count += 1
--- a/src/milletcourse/simulation/deployment.py
+++ b/src/milletcourse/simulation/deployment.py
@@ -18,12 +18,12 @@
 
 
 def key_of(tenant: str) -> str:
-    """Bearer key of a tenant."""
+    """Return the bearer key of a tenant."""
     return f"key-{tenant}"
 
 
 def care_workload(pools: tuple[str, ...] = ("shared",)) -> dict[str, Any]:
-    """Spec of the care tenants' workload, allowed in the given engine pools."""
+    """Return the workload spec of the care tenants, which permits the given engine pools."""
     care = {"matchLabels": {"group": "care"}}
     expression = {"key": "pool", "operator": "In", "values": list(pools)}
     return {
@@ -39,13 +39,13 @@
     app_servers: dict[str, tuple[str, str]],
     members: list[dict[str, str]],
 ) -> list[Document]:
-    """All objects.
+    """Return all policy objects of the deployment.
 
     Args:
-        engines: Address, place and pool by engine.
+        engines: Address, place and pool of each engine, by name.
         kv_store: Address of the KV store.
-        app_servers: Address and place by application server.
-        members: Slots of the router set.
+        app_servers: Address and place of each application server, by name.
+        members: Members of the router set.
     """
     documents: list[Document] = [
         ("Place", name, {"labels": {"zone": name}, "region": REGION}) for name in PLACES
--- a/src/milletcourse/simulation/operators.py
+++ b/src/milletcourse/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: they change objects through the administration API and note each answer."""
+"""Simulated operators, who change objects through the administration API."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class OperatorAnswers:
-    """Change ids by the answer that was given for them."""
+    """Change ids, grouped by the answer that the operator received."""
 
     accepted: list[str] = field(default_factory=list)
     refused: list[str] = field(default_factory=list)
@@ -27,7 +27,7 @@
 
 
 class SimulatedOperator:
-    """One operator with a name, so that several can race."""
+    """One named operator; several can change the same object concurrently."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world = world
@@ -37,7 +37,7 @@
         self._client = MemoryHttpClient(world.client_host)
 
     async def change(self, kind: str, name: str, spec: dict[str, Any], router: int) -> str:
-        """Read, then compare-and-set one object through one router.
+        """Read one object and update it by compare-and-set, both through one router.
 
         Returns:
             `accepted`, `refused` or `unknown`.
@@ -71,7 +71,7 @@
         return answer
 
     def check(self) -> None:
-        """Accepted changes were committed, refused ones never."""
+        """Check that accepted changes were committed and refused ones were not."""
         committed = self.world.platform.core.committed_change_ids
         for change_id in self.answers.accepted:
             if change_id not in committed:
--- a/src/milletcourse/simulation/outcome.py
+++ b/src/milletcourse/simulation/outcome.py
@@ -1,4 +1,4 @@
-"""What a simulation run reports."""
+"""Report, invariant violations and event trace of a simulation run."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A broken invariant.
+    """A violated invariant.
 
     Attributes:
         invariant: Short name of the invariant.
-        at_seconds: Virtual time.
-        detail: What was seen.
+        at_seconds: Virtual time of the violation.
+        detail: What the check observed.
     """
 
     invariant: str
@@ -26,14 +26,14 @@
     Attributes:
         scenario: Name of the scenario.
         seed: Seed.
-        requests: Requests that clients sent to their end.
-        served: Requests that got their whole answer.
-        served_share: Served by requests.
-        floor: Least share that the scenario accepts.
-        refused: Final refusals by type.
-        violations: Broken invariants.
+        requests: Requests that clients completed, with or without an answer.
+        served: Requests that received their complete answer.
+        served_share: `served` divided by `requests`.
+        floor: Lowest `served_share` that the scenario accepts.
+        refused: Number of requests without a complete answer, by problem type.
+        violations: Violated invariants, at most the first 20.
         virtual_seconds: Simulated time.
-        trace_hash: Digest of the whole trace.
+        trace_hash: Digest of the event trace; equal for equal arguments.
     """
 
     scenario: str
@@ -49,7 +49,7 @@
 
 
 class Trace:
-    """Digest of everything that happened, in order."""
+    """Running digest of all recorded events, in order."""
 
     def __init__(self) -> None:
         self._hasher = blake3()
@@ -57,12 +57,12 @@
         self.keep_lines = False
 
     def add(self, at_seconds: float, text: str) -> None:
-        """Append one event."""
+        """Add one event to the digest."""
         line = f"{at_seconds:.6f} {text}\n"
         self._hasher.update(line.encode())
         if self.keep_lines:
             self.lines.append(line)
 
     def digest(self) -> str:
-        """Hex digest so far."""
+        """Hex digest of the events added so far."""
         return self._hasher.hexdigest()[:32]
--- a/src/milletcourse/simulation/runner.py
+++ b/src/milletcourse/simulation/runner.py
@@ -17,24 +17,24 @@
 from milletcourse.simulation.world import NodeFactory, World
 
 SETTLE_SECONDS = 3.0
-"""After the last request, so that late executions would be seen."""
+"""Wait after the last request, so that the checks also see late executions."""
 
 Script = Callable[[World, SimulatedClients], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A named run.
+    """A named fault script with its load and its availability floor.
 
     Attributes:
         name: Name on the command line.
-        invariant: What it proves.
-        script: Faults, while clients are sending.
-        floor: Least share of requests that must be served.
-        callers: Number of callers.
-        write_share: Share of writes.
-        retry: Whether callers go to another router after a failure.
-        tokens: Length of an answer.
+        invariant: Description of what the scenario verifies.
+        script: Injects faults while clients send requests.
+        floor: Lowest share of requests that must be served.
+        callers: Number of concurrent callers.
+        write_share: Share of writes among the requests.
+        retry: Whether callers retry at another router after a failure.
+        tokens: Length of a completion in tokens.
     """
 
     name: str
@@ -53,10 +53,10 @@
     node_factory: NodeFactory = RouterNode,
     keep_trace: bool = False,
 ) -> tuple[SimulationReport, World]:
-    """Run one scenario with one seed; same arguments, same report.
+    """Run one scenario with one seed; equal arguments give equal reports.
 
     Returns:
-        The report, and the world for a closer look.
+        The report, and the world for inspection.
     """
     configure_logs("critical")
     loop = looptime.new_event_loop(noop_cycles=0)
--- a/src/milletcourse/simulation/scenarios/__init__.py
+++ b/src/milletcourse/simulation/scenarios/__init__.py
@@ -1,4 +1,4 @@
-"""Simulation scenarios, one module for each family of faults."""
+"""Simulation scenarios, one module for each type of fault."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     *partitions.SCENARIOS,
     *stops.SCENARIOS,
 )
-"""Scenarios with a fixed script; `all` on the command line."""
+"""Scenarios with a fixed fault script; the command line runs them with `all`."""
 
 SCENARIOS: dict[str, Scenario] = {
     scenario.name: scenario for scenario in (*SCRIPTED_SCENARIOS, random_faults.SCENARIO)
--- a/src/milletcourse/simulation/scenarios/crashes.py
+++ b/src/milletcourse/simulation/scenarios/crashes.py
@@ -1,4 +1,4 @@
-"""Engines, routers and applications crash, singly, twice and in herds."""
+"""Crashes of engines, routers and applications: single, repeated and simultaneous."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from milletcourse.simulation.world import World
 
 LATE_EFFECT_SECONDS = 12.0
-"""Longer than a router waits for an application's answer."""
+"""Duration of a write; it exceeds the router's timeout for an application's answer."""
 CRASHING_REQUEST_REPEATS = 16
-"""Of one request that ends engines, at any router."""
+"""Number of times that the clients send the request that crashes engines."""
 RESTART_BOUND_SECONDS = 1.0
-"""A restarted router serves within this time, also while the platform is down."""
+"""A restarted router must be ready within this time, even while the platform is down."""
 
 
 async def _engine_crash(world: World, clients: SimulatedClients) -> None:
@@ -29,7 +29,7 @@
 
 
 def _slow_applications(world: World, seconds: float) -> None:
-    """Keep writes in flight long enough for the faults to meet them."""
+    """Delay writes, so that the injected faults occur while writes are in flight."""
     for application in world.applications:
         application.faults.slow_seconds = seconds
 
@@ -40,7 +40,7 @@
     bound = CONTAINMENT_CRASHES * len(world.routers)
     crash_count = world.crashing_prompts.crash_count
     if crash_count > bound:
-        world.record_violation("crashing-request-contained", f"{crash_count} engines ended")
+        world.record_violation("crashing-request-contained", f"{crash_count} engine crashes")
     await asyncio.sleep(8)
 
 
@@ -66,7 +66,7 @@
 
 
 async def _restart_replicas_in_turn(world: World, clients: SimulatedClients) -> None:
-    """Replicas restart one after another, faster than claims are settled."""
+    """Restart replicas one after another, at intervals shorter than a claim takes to settle."""
     _slow_applications(world, 1.5)
     for index in (0, 1, 2, 0, 1, 2):
         await asyncio.sleep(0.9)
@@ -116,13 +116,13 @@
 SCENARIOS = (
     Scenario(
         "engine-crash",
-        "no reliance on a dead engine; streams go on elsewhere",
+        "requests do not rely on a crashed engine; streams continue at another engine",
         _engine_crash,
         floor=0.99,
     ),
     Scenario(
         "crashing-request",
-        "a request ends three engines at most for each router that it comes to",
+        "a request crashes at most three engines for each router that receives it",
         _crashing_request,
         floor=0.9,
     ),
@@ -134,7 +134,7 @@
     ),
     Scenario(
         "herd-restart",
-        "all routers restart at once, twice; at most once holds",
+        "all routers restart at once, twice; a write runs at most once",
         _restart_all_routers,
         floor=0.75,
     ),
@@ -154,7 +154,7 @@
     ),
     Scenario(
         "restart-without-platform",
-        "a restarted router serves at once from its peers while the platform is down",
+        "a restarted router gets its configuration from peers while the platform is down",
         _restart_without_platform,
         floor=0.85,
     ),
--- a/src/milletcourse/simulation/scenarios/partitions.py
+++ b/src/milletcourse/simulation/scenarios/partitions.py
@@ -1,4 +1,4 @@
-"""Routers are frozen or cut off while placement rules are narrowed."""
+"""Routers are suspended or partitioned while placement rules become stricter."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def _narrow_placement(world: World, operator: SimulatedOperator, router: int) -> None:
-    """Take the guarded pool away from the care tenants."""
+    """Restrict the care tenants to the shared pool, retrying through other routers."""
     for attempt in range(3):
         spec = care_workload()
         answer = await operator.change("Workload", "care-checks", spec, (router + attempt) % 3)
@@ -43,7 +43,7 @@
 async def _narrow_during_partitions(
     world: World, isolate: Callable[[SimulatedRouter], None]
 ) -> None:
-    """Cut off each router in turn and narrow a selector behind its back."""
+    """Partition each router in turn and restrict placement through another router meanwhile."""
     operator = SimulatedOperator(world, "one")
     for index in range(3):
         other = (index + 1) % 3
@@ -77,7 +77,7 @@
 
 
 async def _partition_from_control(world: World, clients: SimulatedClients) -> None:
-    """A router reaches the engines but neither the platform nor its peers."""
+    """Partition routers from the platform and their peers, but not from the engines."""
 
     def isolate(router: SimulatedRouter) -> None:
         peers = [item.host for item in world.routers if item is not router]
@@ -90,7 +90,7 @@
 
 
 async def _scope_change(world: World, clients: SimulatedClients) -> None:
-    """A tenant leaves the group that shares prefixes; emptied engines import what is shared."""
+    """Move a tenant out of its reuse group; restarted engines import only permitted prefixes."""
     operator = SimulatedOperator(world, "one")
     spec = {"labels": {"group": "care"}, "key_hashes": []}
     for index in range(2):
@@ -110,30 +110,42 @@
 SCENARIOS = (
     Scenario(
         "freeze",
-        "a frozen router obeys a narrowed selector when it wakes",
+        "a suspended router enforces a stricter selector once it resumes",
         _freeze,
         floor=0.8,
         callers=4,
     ),
     Scenario(
         "cut-both-ways",
-        "a router cut off obeys a narrowed selector",
+        "a partitioned router enforces a stricter selector",
         _partition_both_ways,
         floor=0.7,
         callers=4,
     ),
-    Scenario("cut-inbound", "the same for a one-way cut", _partition_inbound, floor=0.6, callers=4),
-    Scenario("cut-outbound", "the same the other way", _partition_outbound, floor=0.6, callers=4),
+    Scenario(
+        "cut-inbound",
+        "the same for a partition of inbound traffic",
+        _partition_inbound,
+        floor=0.6,
+        callers=4,
+    ),
+    Scenario(
+        "cut-outbound",
+        "the same for a partition of outbound traffic",
+        _partition_outbound,
+        floor=0.6,
+        callers=4,
+    ),
     Scenario(
         "cut-from-control",
-        "a router that still reaches engines refuses regulated work when it may be out of date",
+        "a router without proof of freshness refuses regulated work, though it reaches engines",
         _partition_from_control,
         floor=0.8,
         callers=4,
     ),
     Scenario(
         "scope-change",
-        "a tenant that leaves a sharing group is cut off from its prefixes",
+        "a tenant removed from a reuse group no longer reuses its prefixes",
         _scope_change,
         floor=0.99,
         callers=8,
--- a/src/milletcourse/simulation/scenarios/platform.py
+++ b/src/milletcourse/simulation/scenarios/platform.py
@@ -1,4 +1,4 @@
-"""The platform is down, slow, loses answers, shows an older state or loses its history."""
+"""The platform is down or slow, loses answers, serves an older state or loses its history."""
 
 from __future__ import annotations
 
@@ -86,27 +86,27 @@
 SCENARIOS = (
     Scenario(
         "platform-outage",
-        "ten minutes without the platform: requests are served on, refused changes never commit",
+        "ten minutes without the platform: requests are served, refused changes never commit",
         _outage,
         floor=0.99,
         callers=2,
     ),
     Scenario(
         "platform-slow",
-        "a slow platform: requests are served, changes end truly",
+        "a slow platform: requests are served, answers to changes match the stored state",
         _slow_platform,
         floor=0.95,
         callers=3,
     ),
     Scenario(
         "lost-answers",
-        "answers of the platform are lost and operators race; every answer given is true",
+        "platform answers are lost while operators race; answers match the stored state",
         _lost_answers,
         floor=0.99,
     ),
     Scenario(
         "older-state",
-        "the platform shows an older state and loses its history; nothing reverts",
+        "the platform serves an older state and loses its history; no router reverts",
         _serve_older_state,
         floor=0.9,
     ),
--- a/src/milletcourse/simulation/scenarios/random_faults.py
+++ b/src/milletcourse/simulation/scenarios/random_faults.py
@@ -1,4 +1,4 @@
-"""Faults drawn at random, together and twice."""
+"""Randomly selected faults, concurrent and repeated."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _RandomFaults:
-    """Draws and runs faults."""
+    """Selects random faults and injects them."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -45,7 +45,7 @@
         )
 
     async def run(self) -> None:
-        """Run the drawn faults, some of them twice, at overlapping times."""
+        """Inject the selected faults at overlapping times; the first one is injected twice."""
         drawn = [self._random.choice(self._fault_types) for _ in range(FAULTS)]
         drawn.append(drawn[0])
         await asyncio.gather(*(self._run_at_random_time(fault_type) for fault_type in drawn))
@@ -83,9 +83,10 @@
             await self._world.restart_engine(index)
 
     async def _restart_all_routers(self) -> None:
-        """Not while the platform shows an older state: no copy of the accepted one would be left.
+        """Restart all routers, unless the platform serves an older state.
 
-        `docs/PROOFS.md` lists this as not provable without another durable place.
+        Otherwise no process would keep a copy of the accepted state. `docs/PROOFS.md` lists this
+        case as not provable without a second durable store.
         """
         if self._world.platform.visible_core is not self._world.platform.core:
             return
@@ -187,5 +188,5 @@
 
 
 SCENARIO = Scenario(
-    "random", "all invariants, under faults drawn together and twice", _script, floor=0.3
+    "random", "all invariants, under random concurrent and repeated faults", _script, floor=0.3
 )
--- a/src/milletcourse/simulation/scenarios/steady.py
+++ b/src/milletcourse/simulation/scenarios/steady.py
@@ -1,4 +1,4 @@
-"""No faults, and faults of the network and of events that callers must not notice."""
+"""No faults, or network and cache event faults that must not affect clients."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 async def _tenant_limit(world: World, clients: SimulatedClients) -> None:
-    """A tenant over its limit is refused at once, and the others are served."""
+    """Requests over a tenant's limit are refused at once; other tenants are served."""
     operator = SimulatedOperator(world, "one")
     stored = world.platform.core.get("Tenant", CARE_TENANTS[0])
     assert stored is not None
@@ -55,25 +55,25 @@
     Scenario("steady", "every permitted request is served", _steady, floor=1.0),
     Scenario(
         "crossed-answers",
-        "each caller gets its own whole answer, with crossed and duplicated events",
+        "each caller gets its own complete answer despite crossed and duplicated events",
         _cross_tokens,
         floor=1.0,
     ),
     Scenario(
         "event-gaps",
-        "lost and late cache events never make a request rely on what is not there",
+        "with lost and late cache events, no request relies on missing blocks",
         _event_gaps,
         floor=1.0,
     ),
     Scenario(
         "datagram-faults",
-        "loss, duplicates and reordering between routers disturb no request",
+        "loss, duplicates and reordering between routers affect no request",
         _datagrams,
         floor=1.0,
     ),
     Scenario(
         "tenant-limit",
-        "a refusal is answered at once with the time to come back",
+        "a refusal is sent at once with a retry time",
         _tenant_limit,
         floor=0.7,
         callers=8,
--- a/src/milletcourse/simulation/scenarios/stops.py
+++ b/src/milletcourse/simulation/scenarios/stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of routers and engines, machines that leave, and new weights."""
+"""Planned stops of routers and engines, draining machines, new weights and member changes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 async def _machine_list(world: World, clients: SimulatedClients) -> None:
-    """Only the platform's list says that a machine leaves; the engine does not know."""
+    """Only the platform's machine list reports a draining machine; the engine does not."""
     await asyncio.sleep(4)
     world.record_event("machine engine-1 leaves")
     world.mark_machine_leaving("engine-1")
@@ -55,7 +55,7 @@
 
 
 async def _router_set(world: World, clients: SimulatedClients) -> None:
-    """The members of the router set change twice while writes go on and a router is frozen."""
+    """Change the router set twice during writes, each time while a router is suspended."""
     for application in world.applications:
         application.faults.slow_seconds = 0.5
     operator = SimulatedOperator(world, "one")
@@ -89,7 +89,7 @@
 SCENARIOS = (
     Scenario(
         "planned-router-stops",
-        "a planned stop of a router cuts no request",
+        "a planned stop of a router interrupts no request",
         _stop_routers,
         floor=1.0,
         write_share=0.0,
@@ -98,19 +98,19 @@
     ),
     Scenario(
         "planned-engine-stops",
-        "a planned stop of an engine cuts no request; a leaving engine gets no new work",
+        "a planned stop of an engine interrupts no request; a draining engine gets no new work",
         _stop_engines,
         floor=1.0,
     ),
     Scenario(
         "machine-list",
-        "a machine that only the platform's list shows as leaving gets no new work",
+        "a machine reported as leaving only by the platform's list gets no new work",
         _machine_list,
         floor=1.0,
     ),
     Scenario(
         "new-weights",
-        "weights change under a fenced lease; no request relies on older ones",
+        "weights change under a fenced lease; no request relies on older weights",
         _new_weights,
         floor=0.9,
         callers=4,
--- a/src/milletcourse/simulation/world.py
+++ b/src/milletcourse/simulation/world.py
@@ -1,4 +1,4 @@
-"""A whole simulated cluster: the real routers and stand-ins on an in-memory network."""
+"""A simulated cluster: production routers and stand-ins of back ends on an in-memory network."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 EPOCH_SECONDS = 1_800_000_000.0
 CLUSTER_KEY = "simulation-cluster-key"
 MAX_SKEW_SECONDS = 0.2
-"""Each clock is off by at most this much, within the bounds that the code assumes."""
+"""Largest offset of a host's clock, within the skew that the routers assume."""
 ENGINE_POOLS = ("shared", "shared", "shared", "guarded", "guarded")
 ROUTERS = 3
 APP_SERVERS = 2
 REPLICA_WARM_UP_SECONDS = 2.0
-"""Replicas vote only on keys minted some time after their start."""
+"""Wait before sending writes: replicas vote only on keys minted some time after their start."""
 ENGINE_PROFILE = EngineProfile(
     capacity_blocks=48,
     prefill_tokens_per_second=30_000.0,
@@ -58,11 +58,11 @@
 
 
 class World:
-    """The cluster with its faults.
+    """The simulated cluster and the faults that scenarios inject.
 
     Args:
-        seed: Determines everything.
-        node_factory: Builds routers; tests pass known-bad variants.
+        seed: Seed of all random sources.
+        node_factory: Creates routers; tests pass known-bad variants.
         engine_pools: Label `pool` of each engine.
     """
 
@@ -92,7 +92,7 @@
     # -- building -------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Start everything and wait until all routers serve."""
+        """Start all processes and wait until all routers are ready."""
         self.platform_host = self.network.add_host("platform", PLACES[0])
         self.platform = PlatformApp(PlatformCore(), self._clock(self.platform_host))
         self.platform.core.on_commit = self._on_commit
@@ -182,15 +182,15 @@
     # -- time and observation -------------------------------------------------------------------
 
     def now(self) -> float:
-        """Virtual seconds."""
+        """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
-        """True wall time."""
+        """Return the wall time of a clock without skew, in seconds."""
         return EPOCH_SECONDS + self.now()
 
     async def wait_until(self, condition: Callable[[], bool], timeout_seconds: float = 60) -> None:
-        """Poll a condition on the virtual clock."""
+        """Poll a condition on the virtual clock until it holds."""
         async with asyncio.timeout(timeout_seconds):
             while not condition():
                 await asyncio.sleep(0.02)
@@ -200,7 +200,7 @@
         self.trace.add(self.now(), text)
 
     def record_violation(self, invariant: str, detail: str) -> None:
-        """Record a broken invariant."""
+        """Record a violated invariant."""
         self.violations.append(Violation(invariant, round(self.now(), 3), detail))
         self.record_event(f"violation {invariant} {detail}")
 
@@ -227,7 +227,7 @@
     # -- faults ---------------------------------------------------------------------------------
 
     def kill_router(self, index: int) -> None:
-        """SIGKILL of a router's process."""
+        """Simulate a SIGKILL of a router process."""
         router = self.routers[index]
         if not router.host.alive:
             return
@@ -236,7 +236,7 @@
         router.host.kill()
 
     async def restart_router(self, index: int) -> None:
-        """A new router process at the same address."""
+        """Start a new router process at the same address, after a kill if the former one runs."""
         former = self.routers[index]
         if former.host.alive:
             self.kill_router(index)
@@ -244,7 +244,7 @@
         self.routers[index] = await self._start_router(self.network.replace_host(former.host))
 
     async def stop_router(self, index: int) -> None:
-        """Planned stop."""
+        """Drain a router and stop it."""
         router = self.routers[index]
         self.record_event(f"stop {router.name}")
         await router.node.drain()
@@ -253,7 +253,7 @@
         router.host.kill()
 
     def kill_engine(self, index: int) -> None:
-        """SIGKILL of an engine's process."""
+        """Simulate a SIGKILL of an engine process."""
         engine = self.engines[index]
         if not engine.host.alive:
             return
@@ -267,7 +267,7 @@
         engine.reuse_collected = True
 
     async def restart_engine(self, index: int) -> None:
-        """A new, empty engine process at the same address."""
+        """Start a new engine process with an empty cache at the same address."""
         former = self.engines[index]
         if former.host.alive:
             self.kill_engine(index)
@@ -278,7 +278,7 @@
         self.truth.draining_since.pop(former.name, None)
 
     async def stop_engine(self, index: int) -> None:
-        """Planned stop: the engine itself and the platform's list say that it leaves."""
+        """Drain and stop an engine; the engine and the platform's machine list report the drain."""
         engine = self.engines[index]
         self.record_event(f"stop {engine.name}")
         self.mark_machine_leaving(engine.name)
@@ -288,24 +288,24 @@
         engine.host.kill()
 
     def mark_machine_leaving(self, name: str) -> None:
-        """The platform learns that a machine leaves."""
+        """Mark a machine as leaving in the platform's list, which shows it after its lag."""
         self.platform.core.set_machine(name, MachineState.LEAVING, self.now())
         shown_at = self.now() + self.platform.machine_lag_seconds
         self.truth.draining_since.setdefault(name, shown_at)
 
     def freeze(self, router: SimulatedRouter) -> None:
-        """The machine of a router stops running."""
+        """Suspend the host of a router."""
         self.record_event(f"freeze {router.name}")
         router.host.freeze()
 
     def thaw(self, router: SimulatedRouter) -> None:
-        """It runs again."""
+        """Resume the host of a router."""
         self.record_event(f"thaw {router.name}")
         router.host.thaw()
         router.last_fault_at = self.now()
 
     def partition_router(self, router: SimulatedRouter, inbound: bool, outbound: bool) -> None:
-        """Cut a router from everything except the clients."""
+        """Partition a router from all hosts except the clients."""
         self.record_event(f"cut {router.name} in={inbound} out={outbound}")
         others = [item for item in self.all_hosts() if item not in (router.host, self.client_host)]
         if inbound:
@@ -314,20 +314,20 @@
             self.network.partition([router.host], others)
 
     def heal(self) -> None:
-        """All links work again."""
+        """Remove all network partitions."""
         self.record_event("heal")
         self.network.heal()
         for router in self.routers:
             router.last_fault_at = self.now()
 
     def all_hosts(self) -> list[MemoryHost]:
-        """Every machine."""
+        """Return all hosts."""
         hosts = [self.platform_host, self.store_host, self.client_host, *self.app_hosts]
         hosts += [item.host for item in self.engines]
         return hosts + [item.host for item in self.routers]
 
     def set_platform_fault(self, down: bool = False, slow_seconds: float = 0.0) -> None:
-        """The platform is down or slow; both False and 0 end it."""
+        """Make the platform unavailable or slow; the default values clear the fault."""
         self.record_event(f"platform down={down} slow={slow_seconds}")
         self.platform.faults.down = down
         self.platform.faults.slow_seconds = slow_seconds
@@ -335,14 +335,14 @@
         self.platform_last_fault_at = self.now()
 
     def desired_version(self) -> str:
-        """Weight version that the platform's Model object asks for."""
+        """Return the weight version in the platform's Model object."""
         stored: StoredObject | None = self.platform.core.get("Model", MODEL)
         return str(stored.spec["weight_version"]) if stored else "1"
 
     # -- end ------------------------------------------------------------------------------------
 
     def all_reuse(self) -> list[ReuseRecord]:
-        """Ground truth of all reuse."""
+        """Return the reuse records of all engines, running and stopped."""
         records = list(self.truth.reuse)
         for engine in self.engines:
             if not engine.reuse_collected:
@@ -350,7 +350,7 @@
         return records
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Stop all processes and cancel their tasks."""
         for router in self.routers:
             if router.host.alive:
                 await router.node.close()
