--- a/src/milletcourse/standins/application.py
+++ b/src/milletcourse/standins/application.py
@@ -1,4 +1,4 @@
-"""Stand-in of the roster and booking applications: counts executions of each operation."""
+"""Stand-in of the roster and booking applications, which counts executions per operation."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 
 class AppLedger:
-    """Ground truth shared by the servers of one application, which share a database."""
+    """Ground truth of executed writes; like a database, all servers of an application share it."""
 
     def __init__(self) -> None:
         self.executions: dict[str, list[AppExecution]] = {}
 
     def execute(self, execution: AppExecution) -> int:
-        """Run a write; returns how often its key has run."""
+        """Record a write and return the number of executions of its key."""
         runs = self.executions.setdefault(execution.key, [])
         runs.append(execution)
         return len(runs)
 
 
 class AppFaults(msgspec.Struct):
-    """Faults that tests switch on.
+    """Faults that tests can inject.
 
     Attributes:
-        slow_seconds: Time before a write takes effect.
-        crash_before: Number of next writes whose connection dies before they take effect.
-        crash_after: Number of next writes whose connection dies after they took effect.
+        slow_seconds: Delay before a write takes effect.
+        crash_before: Number of next writes whose connection drops before they take effect.
+        crash_after: Number of next writes whose connection drops after they take effect.
     """
 
     slow_seconds: float = 0.0
@@ -56,7 +56,7 @@
 
 
 class ApplicationApp:
-    """HTTP application: any write is an operation, reads list what ran."""
+    """HTTP application: every write is an operation; reads return the number of operations."""
 
     def __init__(self, ledger: AppLedger, clock: Clock) -> None:
         self.ledger = ledger
@@ -74,7 +74,7 @@
 
     @staticmethod
     async def _drop_connection(*_: object, **__: object) -> None:
-        raise ConnectionAbortedError("the stand-in drops the connection")
+        raise ConnectionAbortedError("injected fault: the server drops the connection")
 
     async def _handle_any_path(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response | None, **_: object
@@ -100,7 +100,7 @@
         respond_json(response, {"operation": key, "runs": runs}, status=201)
 
     async def _execute(self, execution: AppExecution, slow_seconds: float) -> int:
-        """Runs to its end also when the caller is gone, as applications do."""
+        """Execute a write to its end even if the caller disconnects, as real applications do."""
         if slow_seconds:
             await self.clock.sleep(slow_seconds)
         return self.ledger.execute(execution)
@@ -108,22 +108,22 @@
     async def on_get_operation(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response, key: str
     ) -> None:
-        """Read of an operation's outcome."""
+        """Return the outcome of an operation."""
         if key not in self.ledger.executions:
-            raise FailureError(NotFound("no such operation has run"))
+            raise FailureError(NotFound("no operation with this key has been executed"))
         respond_json(response, {"operation": key, "runs": len(self.ledger.executions[key])})
 
     async def on_put_faults(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
-        """Switch faults."""
+        """Set the injected faults."""
         self.faults = msgspec.json.decode(await request.stream.read(), type=AppFaults)
         respond_json(response, self.faults)
 
     async def on_get_executions(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
-        """Ground truth: how often each key ran."""
+        """Return the number of executions of each key, as ground truth."""
         respond_json(
             response, {key: len(runs) for key, runs in sorted(self.ledger.executions.items())}
         )
@@ -131,5 +131,5 @@
     async def on_get_live(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
-        """Liveness."""
+        """Respond to a liveness probe."""
         respond_json(response, {"live": True})
--- a/src/milletcourse/standins/block_pool.py
+++ b/src/milletcourse/standins/block_pool.py
@@ -1,4 +1,4 @@
-"""KV block pool of the stand-in engine: limited, reference-counted, least recently used out."""
+"""KV block pool of the stand-in engine: bounded, reference-counted, with LRU eviction."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Provenance:
-    """Ground truth of a kept block, for checks only."""
+    """Producer of a cached block; ground truth for checks only."""
 
     tenant: str
     weight_version: str
@@ -29,7 +29,7 @@
 class BlockPool:
     """Cached blocks by chain hash.
 
-    Pinned blocks belong to a running request; unpinned ones stay until memory is needed.
+    Pinned blocks belong to a running request; unpinned ones stay until they are evicted.
     """
 
     def __init__(self, capacity_blocks: int) -> None:
@@ -47,32 +47,32 @@
 
     @property
     def free_blocks(self) -> int:
-        """Blocks that a new request could take."""
+        """Number of blocks that are neither pinned nor reserved."""
         return self.capacity_blocks - len(self._pins) - self.reserved_blocks
 
     def blocks(self) -> list[BlockHash]:
-        """All cached blocks."""
+        """Return all cached blocks."""
         return list(self._provenance)
 
     def provenance(self, block: BlockHash) -> Provenance:
-        """Who computed a cached block."""
+        """Return the producer of a cached block."""
         return self._provenance[block]
 
     def cached_prefix(self, chain: Sequence[BlockHash]) -> int:
-        """Number of leading blocks that are cached."""
+        """Return the number of leading blocks that are cached."""
         for index, block in enumerate(chain):
             if block not in self._provenance:
                 return index
         return len(chain)
 
     def pin(self, blocks: Sequence[BlockHash]) -> None:
-        """Keep cached blocks until `unpin`."""
+        """Protect cached blocks from eviction until `unpin`."""
         for block in blocks:
             self._pins[block] = self._pins.get(block, 0) + 1
             self._evictable.pop(block, None)
 
     def unpin(self, blocks: Sequence[BlockHash]) -> None:
-        """Release pinned blocks; the deepest becomes the next to be evicted."""
+        """Release pinned blocks; the last of the chain is evicted before the others."""
         for block in reversed(blocks):
             count = self._pins[block] - 1
             if count:
@@ -101,7 +101,7 @@
         return True
 
     def clear_unpinned(self, changes: PoolChanges) -> None:
-        """Drop everything that no running request uses."""
+        """Evict all blocks that no running request uses."""
         for block in list(self._evictable):
             del self._provenance[block]
             changes.evicted.append(block)
--- a/src/milletcourse/standins/embedded.py
+++ b/src/milletcourse/standins/embedded.py
@@ -1,4 +1,4 @@
-"""A whole small deployment in one process over loopback, for the demo and for tests."""
+"""A small deployment in one process over loopback, for the demo and for tests."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     ledger: AppLedger = field(init=False, default_factory=AppLedger)
 
     async def start(self) -> None:
-        """Start everything and wait until the routers are ready."""
+        """Start all servers and wait until the routers are ready."""
         self.platform = PlatformServer(HOST, 0)
         self.kv_store = KvStoreServer(HOST, 0)
         self.application = ApplicationServer(HOST, 0, self.ledger)
@@ -66,7 +66,7 @@
             await asyncio.sleep(READY_POLL_SECONDS)
 
     def router_settings(self, index: int) -> RouterSettings:
-        """Settings of one router."""
+        """Return the settings of one router."""
         return RouterSettings(
             name=f"router-{index}",
             place=PLACES[index % len(PLACES)],
@@ -77,7 +77,7 @@
         )
 
     def documents(self) -> list[Document]:
-        """Policy objects of the deployment."""
+        """Return the policy objects of the deployment."""
         members = [
             {"name": f"router-{index}", "address": router.address, "place": PLACES[index % 3]}
             for index, router in enumerate(self.routers)
@@ -90,7 +90,7 @@
         )
 
     async def stop(self) -> None:
-        """Planned stop of everything."""
+        """Stop all servers gracefully, routers first."""
         for router in self.routers:
             await router.stop()
         for engine in self.engines:
@@ -102,13 +102,13 @@
 def deployment_documents(
     engines: list[str], kv_store: str, application: str, members: list[dict[str, str]]
 ) -> list[Document]:
-    """Policy objects: nurses share a prefix scope in two places, security stays in one.
+    """Return policy objects: nurses share prefixes in two places, security runs in a third.
 
     Args:
         engines: Engine addresses, one for each of `PLACES`.
         kv_store: Address of the KV store.
         application: Address of the roster application.
-        members: Slots of the router set.
+        members: Members of the router set.
     """
     documents: list[Document] = [
         ("Place", name, {"labels": {"zone": name}, "region": "central"}) for name in PLACES
--- a/src/milletcourse/standins/engine_app.py
+++ b/src/milletcourse/standins/engine_app.py
@@ -1,4 +1,4 @@
-"""HTTP application of the engine stand-in round `EngineCore`."""
+"""Engine stand-in: runs `EngineCore` in real time and serves its streams, feed and transfers."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 from milletcourse.standins.engine_faults import EngineFaults
 
 RESUME_WINDOW_SECONDS = 5.0
-"""An unread stream is kept this long for a resume, then cancelled."""
+"""Time for which a stream without readers is kept for a resume before it is cancelled."""
 KV_BYTES_PER_BLOCK = 64 * 1024 * 1024
 MAX_PAGE_EVENTS = 500
 TRANSFER_TIMEOUT_SECONDS = 10.0
 
 
 class AnswerStream:
-    """Tokens produced for one request, kept until the resume window has passed."""
+    """Tokens produced for one request, kept until the resume window ends."""
 
     def __init__(self, request_id: str, attempt: int, seed: int, first_offset: int) -> None:
         self.request_id = request_id
@@ -58,23 +58,23 @@
         self._changed = asyncio.Event()
 
     def append(self, token: EngineToken) -> None:
-        """Add an event and wake the readers."""
+        """Append a token and wake the readers."""
         self.tokens.append(token)
         self.ended = token.usage is not None or bool(token.error)
         self.notify_readers()
 
     def notify_readers(self) -> None:
-        """Let waiting readers look again."""
+        """Wake the waiting readers, so that they check for new tokens."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait(self) -> None:
-        """Wait for the next event."""
+        """Wait for the next token."""
         await self._changed.wait()
 
 
 class EngineApp:
-    """One engine incarnation behind HTTP."""
+    """One engine incarnation, as served over HTTP."""
 
     def __init__(
         self,
@@ -103,22 +103,22 @@
 
     @property
     def profile(self) -> EngineProfile:
-        """Speeds of the engine."""
+        """Speeds and sizes of the engine."""
         return self.core.profile
 
     async def start(self) -> None:
-        """Begin to compute."""
+        """Start the computation."""
         self._tasks.spawn(self._compute(), "compute")
 
     async def stop(self) -> None:
-        """Planned stop: refuse new work, finish what runs."""
+        """Refuse new requests, finish the running ones and stop."""
         self.core.leaving = True
         while self.core.requests:
             await self.clock.sleep(0.02)
         await self._tasks.close()
 
     def kill(self) -> None:
-        """Simulated crash."""
+        """Simulate a crash."""
         self._tasks.cancel_all()
 
     async def _compute(self) -> None:
@@ -160,7 +160,7 @@
             del self.streams[stream.request_id]
 
     def reported_load(self) -> EngineLoad:
-        """The lagged load report."""
+        """Return the load report, delayed by the configured lag."""
         self._publish()
         since, load = self._loads[0]
         age = self.clock.monotonic() - since
@@ -169,7 +169,7 @@
         )
 
     def visible_events(self, after: int) -> CacheEvents:
-        """Events from a sequence number on that are visible by now."""
+        """Return the cache events from a sequence number on that are already visible."""
         now = self.clock.monotonic()
         visible = tuple(
             event for due, event in self._feed if due <= now and event.sequence >= after
@@ -178,15 +178,15 @@
         return CacheEvents(self.core.incarnation, after, visible, following)
 
     def accept(self, completion: EngineCompletion) -> AnswerStream:
-        """Check and queue a completion.
+        """Validate and queue a completion.
 
         Raises:
-            FailureError: When the engine is leaving or does not serve the asked weights.
+            FailureError: When the engine is draining or does not serve the requested weights.
         """
         if self.core.leaving:
             raise FailureError(BackendRefused("leaving", None, 503))
         if self.core.loaded.get(completion.model) != completion.weight_version:
-            raise FailureError(BackendRefused("these weights are not loaded", None, 409))
+            raise FailureError(BackendRefused("the requested weights are not loaded", None, 409))
         if completion.max_tokens < 1:
             raise FailureError(MalformedRequest("max_tokens must be at least 1"))
         if self.on_accept is not None:
@@ -218,7 +218,7 @@
         return stream
 
     def cancel(self, request_id: str) -> None:
-        """Stop a request and end its stream."""
+        """Cancel a request and end its stream."""
         stream = self.streams.pop(request_id, None)
         self.core.cancel(request_id)
         if stream is not None and not stream.ended:
@@ -235,7 +235,7 @@
             self._work_available.set()
 
     async def import_blocks(self, source: str, chain: tuple[BlockHash, ...]) -> int:
-        """Fetch the missing blocks of a chain; returns how many came."""
+        """Fetch the missing blocks of a chain and return the number of received ones."""
         missing = chain[self.core.pool.cached_prefix(chain) :]
         if not missing:
             return 0
@@ -247,7 +247,7 @@
                 TRANSFER_TIMEOUT_SECONDS,
             )
             if status != 200:
-                raise FailureError(BackendRefused("import refused", None, status))
+                raise FailureError(BackendRefused("the source refused the import", None, status))
             blocks = msgspec.json.decode(body, type=KvBlocks).blocks
             await self.clock.sleep(len(blocks) * self.profile.import_seconds_per_block)
         self.core.store_imported(
@@ -265,7 +265,7 @@
         return len(blocks)
 
     def cached_blocks(self, keys: tuple[str, ...]) -> KvBlocks:
-        """The leading run of the asked blocks that are cached here."""
+        """Return the requested blocks up to the first one that is not cached."""
         found = []
         for key in keys:
             block = bytes.fromhex(key)
@@ -284,7 +284,7 @@
         return KvBlocks(tuple(found))
 
     async def export_blocks(self, order: KvExport) -> int:
-        """Send cached blocks to a store; returns how many."""
+        """Send cached blocks to a KV store and return their number."""
         cached_blocks = self.cached_blocks(order.blocks)
         if cached_blocks.blocks:
             request = json_request("POST", order.store, "/v1/blocks", cached_blocks)
@@ -292,13 +292,15 @@
         return len(cached_blocks.blocks)
 
     async def execute_order(self, order: EngineOrder) -> None:
-        """Follow a fenced order.
+        """Execute an order with a fencing token.
 
         Raises:
-            FailureError: `FencingTokenSpent` for a lower token than one seen before.
+            FailureError: `FencingTokenSpent` when a higher token was received before.
         """
         if not self.core.accept_token(order.fencing_token):
-            raise FailureError(FencingTokenSpent(f"token {self.core.fencing_token} was seen"))
+            raise FailureError(
+                FencingTokenSpent(f"token {self.core.fencing_token} was received before")
+            )
         if order.kind == "load":
             await self._load_weights(order)
         elif order.kind == "unload":
@@ -314,15 +316,17 @@
             request = json_request("GET", self.weight_store, path)
             status, _ = await send_for_body(self.client, request, TRANSFER_TIMEOUT_SECONDS)
             if status != 200:
-                raise FailureError(BackendRefused("weight store refused", None, status))
+                raise FailureError(
+                    BackendRefused("the weight store refused the request", None, status)
+                )
         else:
             await self.clock.sleep(self.profile.load_seconds)
         if order.fencing_token < self.core.fencing_token:
-            raise FailureError(FencingTokenSpent("a later order came during the load"))
+            raise FailureError(FencingTokenSpent("a later order arrived during the load"))
         self.core.install_weights(order.model, order.weight_version)
 
     async def read(self, stream: AnswerStream, offset: int) -> AsyncIterator[bytes]:
-        """Events of a stream from an offset on, as SSE."""
+        """Yield the tokens of a stream from an offset on, as server-sent events."""
         stream.readers += 1
         try:
             index = max(offset - stream.first_offset, 0)
--- a/src/milletcourse/standins/engine_core.py
+++ b/src/milletcourse/standins/engine_core.py
@@ -1,7 +1,7 @@
-"""Deterministic model of an engine with continuous batching; no input/output.
+"""Deterministic model of an engine with continuous batching, without input/output.
 
-The caller drives it: `begin_step` plans a step and says how long it takes, `finish_step` applies
-it and returns the tokens it produced. Same calls, same results.
+The caller advances it: `begin_step` plans a step and returns its duration, `finish_step` applies
+the step and returns the tokens it produced. Equal calls give equal results.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from milletcourse.standins.block_pool import BlockPool, PoolChanges, Provenance
 
 EVENT_HISTORY_EVENTS = 20_000
-"""Events kept for followers; older ones are lost, as engines do."""
+"""Number of cache events kept for followers; as in real engines, older ones are dropped."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,13 +25,13 @@
 
     Attributes:
         capacity_blocks: KV cache size.
-        max_batch_tokens: Tokens computed in one step at most.
-        max_running: Sequences in the batch at most.
+        max_batch_tokens: Maximum number of tokens computed in one step.
+        max_running: Maximum number of sequences in the batch.
         prefill_tokens_per_second: Speed of prompt computation.
         step_overhead_seconds: Fixed time of a step.
         decode_seconds_per_sequence: Added step time for each generating sequence.
         import_seconds_per_block: Time to import one block; imports are serial.
-        load_seconds: Time to load weights when the weight store is not crowded.
+        load_seconds: Time to load weights without a weight store.
     """
 
     capacity_blocks: int = 512
@@ -45,7 +45,7 @@
 
 
 class RequestPhase(StrEnum):
-    """Where a request stands in the engine."""
+    """Processing phase of a request in the engine."""
 
     IMPORTING = "importing"
     WAITING = "waiting"
@@ -59,13 +59,13 @@
     """One request in the engine.
 
     Attributes:
-        request_id: Key of the request.
-        blocks: Block view of the prompt.
+        request_id: Id of the request.
+        blocks: Token count and block hashes of the prompt.
         output_tokens: Tokens to generate.
         first_offset: Offset of the first token to generate.
-        priority: Lower runs first.
-        tenant: For provenance.
-        weight_version: For provenance.
+        priority: Requests with lower values run first.
+        tenant: Tenant recorded as the producer of new blocks.
+        weight_version: Weight version recorded as the producer of new blocks.
     """
 
     request_id: str
@@ -96,7 +96,7 @@
     Attributes:
         request_id: The request.
         offset: Index of the token in the answer.
-        usage: Present when this was the last token.
+        usage: Token usage of the request, present with the last token.
     """
 
     request_id: str
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReuseRecord:
-    """Ground truth: one request relied on blocks computed by others."""
+    """Ground truth: the producers of the cached blocks that one request reused."""
 
     request_id: str
     tenant: str
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class EngineCounters:
-    """Ground-truth totals."""
+    """Totals of this incarnation; ground truth for checks."""
 
     prompt_tokens: int = 0
     computed_tokens: int = 0
@@ -145,7 +145,7 @@
         self._step: list[EngineRequest] = []
 
     def submit(self, request: EngineRequest, importing: bool = False) -> None:
-        """Queue a request; an importing one waits for `import_finished`."""
+        """Queue a request; one with a pending import is not scheduled before `import_finished`."""
         self._arrivals += 1
         request.arrival = self._arrivals
         request.phase = RequestPhase.IMPORTING if importing else RequestPhase.WAITING
@@ -153,13 +153,13 @@
         self.counters.prompt_tokens += request.blocks.total_tokens
 
     def import_finished(self, request_id: str) -> None:
-        """The request's import ended, whatever it brought."""
+        """Make a request schedulable after its import, whether or not the import succeeded."""
         request = self.requests.get(request_id)
         if request is not None and request.phase is RequestPhase.IMPORTING:
             request.phase = RequestPhase.WAITING
 
     def store_imported(self, blocks: Sequence[tuple[BlockHash, Provenance]]) -> None:
-        """Cache imported blocks with the provenance they came with."""
+        """Cache imported blocks and keep their provenance."""
         changes = PoolChanges()
         for block, provenance in blocks:
             if not self.pool.insert(block, provenance, changes):
@@ -167,7 +167,7 @@
         self._publish(changes)
 
     def cancel(self, request_id: str) -> None:
-        """Drop a request; what it computed stays cached."""
+        """Cancel a request; its computed blocks stay cached."""
         request = self.requests.get(request_id)
         if request is None:
             return
@@ -302,14 +302,14 @@
         self._events.append(event)
 
     def events_after(self, sequence: int, limit: int) -> list[CacheEvent]:
-        """Events with a sequence number of at least `sequence`, oldest first."""
+        """Return up to `limit` events with sequence numbers from `sequence` on, oldest first."""
         if not self._events:
             return []
         skip = max(sequence - self._events[0].sequence, 0)
         return [self._events[i] for i in range(skip, min(skip + limit, len(self._events)))]
 
     def load(self) -> EngineLoad:
-        """The engine's load at this moment."""
+        """Return the current load of the engine."""
         queued: dict[int, int] = {}
         for item in self.requests.values():
             queued[item.priority] = queued.get(item.priority, 0) + item.remaining_prefill
@@ -328,12 +328,12 @@
         )
 
     def accept_token(self, fencing_token: int) -> bool:
-        """Fencing: whether an order under this token may be followed."""
+        """Return whether an order with this fencing token is valid, and store the highest token."""
         if fencing_token < self.fencing_token:
             return False
         self.fencing_token = fencing_token
         return True
 
     def install_weights(self, model: str, weight_version: str) -> None:
-        """Put loaded weights in service; blocks of other weights can't match any more."""
+        """Serve loaded weights; cached blocks of other weights no longer match new requests."""
         self.loaded[model] = weight_version
--- a/src/milletcourse/standins/engine_faults.py
+++ b/src/milletcourse/standins/engine_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the engine stand-in that tests switch on."""
+"""Faults that tests can inject into the engine stand-in."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class EngineFaults(msgspec.Struct):
-    """Faults that tests switch on.
+    """Faults of one engine; by default only small reporting delays.
 
     Attributes:
-        event_delay_seconds: Events are shown this late.
-        event_loss: Share of events that are never shown.
-        load_lag_seconds: Load reports are this old.
-        duplicate_tokens: Every stream event is sent twice.
-        cross_tokens: Events of other requests appear in streams.
-        stall_seconds: Each step takes this much longer.
+        event_delay_seconds: Delay before a cache event becomes visible.
+        event_loss: Share of cache events that never become visible.
+        load_lag_seconds: Age of the load reports.
+        duplicate_tokens: Whether every stream event is sent twice.
+        cross_tokens: Whether streams also contain events of other requests.
+        stall_seconds: Time added to the duration of each step.
     """
 
     event_delay_seconds: float = 0.1
--- a/src/milletcourse/standins/engine_resources.py
+++ b/src/milletcourse/standins/engine_resources.py
@@ -22,7 +22,7 @@
 
 
 def engine_application(app: EngineApp) -> AsgiApplication:
-    """The engine's HTTP interface."""
+    """Return the ASGI application of an engine."""
     transfers = _Transfers(app)
     feed = _Feed(app)
     streams = _Streams(app)
--- a/src/milletcourse/standins/kv_store.py
+++ b/src/milletcourse/standins/kv_store.py
@@ -1,4 +1,4 @@
-"""KV store stand-in: exported blocks by chain hash, in limited memory, least recently used out."""
+"""KV store stand-in: exported blocks by chain hash, bounded, with LRU eviction."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class KvStoreCore:
-    """Blocks by hash; no input/output."""
+    """Blocks by hash with LRU eviction, without input/output."""
 
     def __init__(self, capacity_blocks: int = DEFAULT_CAPACITY_BLOCKS) -> None:
         self.capacity_blocks = capacity_blocks
@@ -31,7 +31,7 @@
         return len(self._blocks)
 
     def store(self, blocks: tuple[KvBlock, ...]) -> int:
-        """Keep blocks; returns how many were new."""
+        """Store blocks and return the number of new ones."""
         new = sum(1 for block in blocks if block.block not in self._blocks)
         for block in blocks:
             self._blocks[block.block] = block
@@ -41,7 +41,7 @@
         return new
 
     def fetch(self, keys: tuple[str, ...]) -> list[KvBlock]:
-        """The leading run of the asked blocks that are kept."""
+        """Return the requested blocks up to the first one that is not stored."""
         found = []
         for key in keys:
             block = self._blocks.get(key)
@@ -67,7 +67,7 @@
 
     def _require_available(self) -> None:
         if self.down:
-            raise FailureError(BackendUnreachable("the store is down"))
+            raise FailureError(BackendUnreachable("the KV store is unavailable"))
 
     async def on_post(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         """Store blocks."""
@@ -78,7 +78,7 @@
     async def on_post_fetch(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
-        """Return the leading run of the asked blocks."""
+        """Return the requested blocks up to the first one that is not stored."""
         self._require_available()
         keys = decode_json(await request.stream.read(), KvKeys)
         respond_json(response, KvBlocks(tuple(self.core.fetch(keys.blocks))))
@@ -86,5 +86,5 @@
     async def on_get_live(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
-        """Liveness."""
+        """Respond to a liveness probe."""
         respond_json(response, {"live": True})
--- a/src/milletcourse/standins/platform_app.py
+++ b/src/milletcourse/standins/platform_app.py
@@ -1,4 +1,4 @@
-"""HTTP application of the platform stand-in, with faults on demand."""
+"""HTTP application of the platform stand-in, with fault injection."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
 
 
 class PlatformFaults(msgspec.Struct):
-    """Faults that tests switch on.
+    """Faults that tests can inject.
 
     Attributes:
         down: Every request fails.
-        slow_seconds: Added before each answer.
-        lose_answers: Number of next writes whose answer is lost after they took effect.
+        slow_seconds: Delay before each answer.
+        lose_answers: Number of following writes whose answer is lost after they take effect.
     """
 
     down: bool = False
@@ -56,7 +56,7 @@
 
 
 class PlatformApp:
-    """Object API, watches, machine list and faults."""
+    """HTTP interface of the platform: objects, watches, machine list and fault injection."""
 
     def __init__(
         self,
@@ -88,16 +88,16 @@
 
     @property
     def visible_core(self) -> PlatformCore:
-        """The state that reads show: an older one while that fault is on."""
+        """The state that reads return: an older one while `serve_older_state` is active."""
         return self._older_state or self.core
 
     def serve_older_state(self, older: PlatformCore | None) -> None:
-        """Fault: reads show a former state; None ends it."""
+        """Fault: reads return an older state; None clears the fault."""
         self._older_state = older
         self.notify_watches()
 
     def snapshot(self) -> PlatformCore:
-        """A copy of the present state, for `serve_older_state`."""
+        """Return a copy of the current state, for `serve_older_state`."""
         hook, self.core.on_commit = self.core.on_commit, None
         try:
             return copy.deepcopy(self.core)
@@ -105,12 +105,12 @@
             self.core.on_commit = hook
 
     def notify_watches(self) -> None:
-        """Let watches send what changed."""
+        """Wake all watches, so that they send new changes."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait_for_change(self) -> None:
-        """Wait for a change, at most until the next bookmark is due."""
+        """Wait for a change or until the next bookmark is due."""
         try:
             async with asyncio.timeout(BOOKMARK_SECONDS):
                 await self._changed.wait()
@@ -118,14 +118,14 @@
             return
 
     async def apply_request_faults(self) -> None:
-        """Apply the faults that come before a request is handled."""
+        """Apply the faults that precede the handling of a request."""
         if self.faults.down:
             raise FailureError(PlatformUnavailable("down"))
         if self.faults.slow_seconds:
             await self.clock.sleep(self.faults.slow_seconds)
 
     async def apply_answer_faults(self) -> None:
-        """Apply the fault that comes after a write took effect."""
+        """Apply the fault that follows a write that took effect."""
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
             await self.clock.sleep(LOST_ANSWER_DELAY_SECONDS)
--- a/src/milletcourse/standins/platform_core.py
+++ b/src/milletcourse/standins/platform_core.py
@@ -1,7 +1,7 @@
-"""Model of the platform's object store; no input/output.
+"""Model of the platform's object store, without input/output.
 
 Policy objects share one revision counter and a history of bounded length. Leases are objects with
-versions of their own, so that renewals don't appear in watches.
+separate versions, so that renewals do not appear in watches.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
 
 
 class PlatformCore:
-    """Objects with versions, compare-and-set and history.
+    """Versioned objects with compare-and-set and a bounded change history.
 
     Attributes:
         revision: Revision of the latest change.
         committed_change_ids: Ground truth for checks: version by change id.
-        journal: Ground truth for checks: all changes, also those that the history lost.
+        journal: Ground truth for checks: all changes, including those that the history has dropped.
         on_commit: Called with the revision of each change.
     """
 
@@ -50,11 +50,11 @@
         self._previous_machine_states: dict[str, MachineState] = {}
 
     def get(self, kind: str, name: str) -> StoredObject | None:
-        """One object, None when it does not exist."""
+        """Return one object, or None when it does not exist."""
         return self._objects.get(ObjectKey(kind, name))
 
     def list_objects(self) -> ObjectList:
-        """All policy objects at the current revision."""
+        """Return all policy objects at the current revision."""
         objects = [item for key, item in sorted(self._objects.items()) if key.kind != LEASE_KIND]
         return ObjectList(self.revision, tuple(objects))
 
@@ -70,7 +70,9 @@
         if current_version != write.expected_version:
             current_json = msgspec.json.encode(current).decode()
             return Err(
-                VersionConflict("another change came first", None, current_version, current_json)
+                VersionConflict(
+                    "the object has changed since that version", None, current_version, current_json
+                )
             )
         return Success(self._commit(key, current, write))
 
@@ -99,7 +101,7 @@
         return stored
 
     def changes_after(self, revision: int) -> Result[list[ObjectChange], Failure]:
-        """Changes later than a revision, or `HistoryExpired` when they are not all kept."""
+        """Return the changes after a revision, or `HistoryExpired` when some are no longer kept."""
         if revision >= self.revision:
             return Success([])
         oldest = self._history[0].revision if self._history else self.revision + 1
@@ -108,22 +110,22 @@
         return Success([change for change in self._history if change.revision > revision])
 
     def lose_history(self) -> None:
-        """Fault: forget all changes; objects stay."""
+        """Fault: drop the change history; objects stay."""
         self._history.clear()
 
     def load(self, documents: list[tuple[str, str, dict[str, Any]]]) -> None:
-        """Put initial objects."""
+        """Store the initial objects."""
         for kind, name, spec in documents:
             self._commit(ObjectKey(kind, name), None, PutObject(spec, 0, "initial"))
 
     def set_machine(self, name: str, state: MachineState, now: float) -> None:
-        """The platform learns a machine's state; the list shows it after its lag."""
+        """Set a machine's state, which the machine list shows after its lag."""
         if name in self._machines:
             self._previous_machine_states[name] = self._machines[name][0]
         self._machines[name] = (state, now)
 
     def machines(self, now: float, lag_seconds: float) -> list[Machine]:
-        """The list as it is shown."""
+        """Return the machine list as readers see it, delayed by the lag."""
         listed = []
         for name, (state, since) in sorted(self._machines.items()):
             if now - since >= lag_seconds:
--- a/src/milletcourse/standins/processes.py
+++ b/src/milletcourse/standins/processes.py
@@ -1,4 +1,4 @@
-"""Stand-ins as servers on loopback TCP, one object each."""
+"""Stand-ins as TCP servers, one class for each kind of back end."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 
 
 class StandinServer:
-    """A stand-in that listens."""
+    """A stand-in application behind an HTTP server."""
 
     def __init__(self, application: AsgiApplication, host: str, port: int) -> None:
         self.server = HttpServer(application, host, port)
 
     @property
     def address(self) -> str:
-        """`host:port`."""
+        """Address as `host:port`."""
         return self.server.address
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start the HTTP server."""
         await self.server.start()
 
     async def stop(self) -> None:
-        """Planned stop."""
+        """Stop the HTTP server gracefully."""
         await self.server.stop()
 
 
 class PlatformServer(StandinServer):
-    """The platform."""
+    """HTTP server of the platform stand-in."""
 
     def __init__(self, host: str, port: int) -> None:
         self.app = PlatformApp(PlatformCore(), LoopClock())
@@ -47,7 +47,7 @@
 
 
 class KvStoreServer(StandinServer):
-    """A KV store."""
+    """HTTP server of the KV store stand-in."""
 
     def __init__(self, host: str, port: int) -> None:
         self.app = KvStoreApp(KvStoreCore(), LoopClock())
@@ -55,7 +55,7 @@
 
 
 class WeightStoreServer(StandinServer):
-    """The weight store."""
+    """HTTP server of the weight store stand-in."""
 
     def __init__(self, host: str, port: int, load_seconds: float) -> None:
         self.app = WeightStoreApp(LoopClock(), load_seconds)
@@ -63,7 +63,7 @@
 
 
 class ApplicationServer(StandinServer):
-    """A server of an application."""
+    """HTTP server of the application stand-in."""
 
     def __init__(self, host: str, port: int, ledger: AppLedger) -> None:
         self.app = ApplicationApp(ledger, LoopClock())
@@ -71,7 +71,7 @@
 
 
 class EngineServer(StandinServer):
-    """An engine with the client that it imports and exports through."""
+    """HTTP server of the engine stand-in, with the client for its imports and exports."""
 
     def __init__(
         self,
@@ -89,12 +89,12 @@
         super().__init__(engine_application(self.app), host, port)
 
     async def start(self) -> None:
-        """Begin to serve and compute."""
+        """Start the HTTP server and the computation."""
         await super().start()
         await self.app.start()
 
     async def stop(self) -> None:
-        """Planned stop: finish what runs."""
+        """Finish running requests, then stop the HTTP server."""
         await self.app.stop()
         await super().stop()
         await self._client.close()
--- a/src/milletcourse/standins/weight_store.py
+++ b/src/milletcourse/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Weight store stand-in: a rate-limited source of weights."""
+"""Weight store stand-in, which serves weights with limited bandwidth."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from milletcourse.runtime.server import AsgiApplication
 
 FULL_SPEED_CONCURRENT_LOADS = 2
-"""More loads at once share the bandwidth of this many."""
+"""Number of concurrent loads at full speed; more loads share the same total bandwidth."""
 
 
 class WeightStoreApp:
-    """Serves weights; each load takes `load_seconds`, longer when the store is crowded."""
+    """Serves weights; a load takes `load_seconds`, or longer when too many run concurrently."""
 
     def __init__(self, clock: Clock, load_seconds: float) -> None:
         self.clock = clock
@@ -32,7 +32,7 @@
         model: str,
         version: str,
     ) -> None:
-        """Transfer weights; the answer comes when the transfer is complete."""
+        """Transfer weights and respond when the transfer is complete."""
         self.running += 1
         self.max_concurrent_loads = max(self.max_concurrent_loads, self.running)
         try:
@@ -45,5 +45,5 @@
     async def on_get_live(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
-        """Liveness."""
+        """Respond to a liveness probe."""
         respond_json(response, {"live": True, "most_at_once": self.max_concurrent_loads})
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway with stand-ins of the users' platform: answers, retries, bad input, planned stop."""
+"""A gateway against a stand-in platform: responses, retries, invalid input, planned stop."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 )
 
 
-def test_passes_a_request_through_unchanged() -> None:
-    """Method, target, body, id and tenant reach the server unchanged; the key doesn't."""
+def test_forwards_a_request_unchanged() -> None:
+    """Method, target, body, id and tenant reach the server unchanged; the API key does not."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -84,7 +84,7 @@
     "fault", [reset, truncated, garbled, unsigned, unframed_reset, promise_without_word]
 )
 def test_unsafe_request_that_may_have_run_is_not_sent_again(fault: Behaviour) -> None:
-    """Without a promise that it was not executed, it runs at most once; the client gets 502."""
+    """Unless the server confirms non-execution, it runs at most once and the client gets 502."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = once_then_whole(fault)
@@ -101,8 +101,8 @@
 @pytest.mark.parametrize(
     "fault", [reset, truncated, garbled, unsigned, unframed_reset, failing, promise_without_word]
 )
-def test_safe_request_is_repeated_at_another_server(fault: Behaviour) -> None:
-    """It is repeated once, within the attempts of its route."""
+def test_safe_request_is_retried_at_another_server(fault: Behaviour) -> None:
+    """The request is retried once, within the attempts of its route."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = once_then_whole(fault)
@@ -116,7 +116,7 @@
 
 
 def test_retry_budget_is_spent_only_by_sends() -> None:
-    """Requests that can't be retried don't consume the budget."""
+    """Requests that cannot be retried do not consume the budget."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", reset)
@@ -135,7 +135,7 @@
     run_with_gateway(scenario)
 
 
-def test_own_failures_are_passed_on_with_their_signature() -> None:
+def test_server_failures_are_forwarded_with_their_signature() -> None:
     """After the last attempt, the client gets the server's failure unchanged."""
 
     async def scenario(harness: Harness) -> None:
@@ -150,8 +150,8 @@
     run_with_gateway(scenario)
 
 
-def test_turned_away_request_goes_elsewhere_or_is_refused_with_a_time() -> None:
-    """A request that was not run may go to another server; with none left: 503, Retry-After."""
+def test_rejected_request_is_retried_elsewhere_or_refused_with_retry_after() -> None:
+    """A request that was not executed is retried; without another server: 503, Retry-After."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", once_then_whole(shedding))
@@ -167,8 +167,8 @@
     run_with_gateway(scenario)
 
 
-def test_foreign_answer_is_dropped_and_its_connection_is_not_reused() -> None:
-    """Answers are matched to requests by the request's id."""
+def test_mismatched_answer_is_dropped_and_its_connection_is_not_reused() -> None:
+    """Answers are matched to requests by the request id."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", once_then_whole(foreign_first))
@@ -181,8 +181,8 @@
     run_with_gateway(scenario)
 
 
-def test_unframed_body_is_whole_when_its_connection_closes() -> None:
-    """The client gets it with a Content-Length."""
+def test_unframed_body_is_complete_when_its_connection_closes() -> None:
+    """The client receives the body with a Content-Length."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", unframed)
@@ -193,8 +193,8 @@
     run_with_gateway(scenario)
 
 
-def test_refused_connection_goes_to_another_server() -> None:
-    """No byte was sent, so even an unsafe request may go to another server."""
+def test_refused_connection_is_retried_at_another_server() -> None:
+    """No byte was sent, so even an unsafe request is retried at another server."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -208,7 +208,7 @@
     run_with_gateway(scenario)
 
 
-# -- bad input ----------------------------------------------------------------------------------
+# -- invalid input ------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -233,8 +233,8 @@
         ),
     ],
 )
-def test_bad_input_gets_a_typed_answer_and_nothing_is_sent(raw: bytes, status: int) -> None:
-    """Each closes its connection; other clients are still served."""
+def test_invalid_input_gets_a_typed_answer_and_nothing_is_sent(raw: bytes, status: int) -> None:
+    """Invalid input closes its connection; other clients are still served."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -252,8 +252,8 @@
 
 
 @pytest.mark.parametrize("torn", [False, True])
-def test_an_offer_of_another_protocol_is_declined(torn: bool) -> None:
-    """Clients that prefer HTTP/2 offer h2c in their first request; it is served in HTTP/1.1."""
+def test_protocol_upgrade_offer_is_declined(torn: bool) -> None:
+    """Clients that prefer HTTP/2 offer h2c in their first request; it is served over HTTP/1.1."""
 
     async def scenario(harness: Harness) -> None:
         server = await harness.add_server("app-1", "app", serve_whole)
@@ -278,7 +278,7 @@
 
 
 def test_pipelined_and_split_requests_are_answered_in_order() -> None:
-    """The answers don't depend on how the bytes are split into packets."""
+    """The answers do not depend on how the bytes are split into packets."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
@@ -305,7 +305,7 @@
 
 
 def test_metrics_show_outcomes_attempts_and_state() -> None:
-    """The metrics path serves them with bounded labels; other paths get 404."""
+    """The metrics path serves metrics with bounded labels; other paths get 404."""
 
     async def scenario(harness: Harness) -> None:
         behaviour = once_then_whole(failing)
@@ -333,7 +333,7 @@
 def test_suspicion_of_a_server_is_logged_when_it_starts_and_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One line when the gateways together suspect a server, and one when they stop doing so."""
+    """One line is logged when the gateways jointly suspect a server, and one when they stop."""
     logged: list[tuple[str, bool]] = []
 
     async def scenario(harness: Harness) -> None:
@@ -341,7 +341,9 @@
         await harness.start()
         assert harness.node is not None
         context = harness.node.context
-        monkeypatch.setattr(context.record, "suspicion", lambda *about: logged.append(about))
+        monkeypatch.setattr(
+            context.record, "suspicion", lambda *arguments: logged.append(arguments)
+        )
         failures = InstanceLoad(short_key("app-1"), 0, 0, failures=3)
         suspecting = PeerMessage("other", 1, [failures], scope=LoadScope.ZONE)
         assert context.loads.on_message(suspecting, context.now())
@@ -355,7 +357,7 @@
 
 
 def test_a_request_is_explained_from_the_logs_of_all_nodes() -> None:
-    """In order of time, with the configuration in force; text before the JSON is ignored."""
+    """Lines appear in order of time with the active configuration; text before JSON is ignored."""
     lines = [
         '3.2 front-2 {"node":"b","event":"request-failed","request_id":"x","code":"overloaded",'
         '"timestamp":"2026-01-01T00:00:03Z"}',
@@ -377,20 +379,20 @@
 # -- planned stop -------------------------------------------------------------------------------
 
 
-def test_planned_stop_serves_on_and_asks_clients_to_disconnect() -> None:
-    """It is not ready at once, serves requests with Connection: close, and then ends."""
+def test_planned_stop_keeps_serving_and_asks_clients_to_disconnect() -> None:
+    """The gateway is unready at once, serves requests with Connection: close, and then exits."""
 
     async def scenario(harness: Harness) -> None:
         await harness.add_server("app-1", "app", serve_whole)
         await harness.start()
         assert harness.node is not None
-        kept = await harness.client()
-        assert (await kept.ask("/safe/", "id-1")).status == 200
+        persistent_client = await harness.client()
+        assert (await persistent_client.ask("/safe/", "id-1")).status == 200
         stop = asyncio.create_task(harness.node.stop())
         await harness.until(lambda: harness.node is not None and harness.node.context.stopping)
         ready = await Client.connect(harness.node.readiness_address)
         assert (await ready.ask("/milletcourse/ready", method="GET", body=b"")).status == 503
-        got = await kept.ask("/safe/", "id-2")
+        got = await persistent_client.ask("/safe/", "id-2")
         assert (got.status, got.headers["connection"]) == (200, "close")
         await stop
 
--- a/tests/known_bad.py
+++ b/tests/known_bad.py
@@ -1,4 +1,4 @@
-"""Known-bad variants of the router: each breaks one rule that a checker must see broken."""
+"""Known-bad router variants: each violates one invariant that a checker must detect."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ResendsWrites(RouterNode):
-    """Sends a write again after its connection was lost."""
+    """Repeats a write after its connection was lost."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -39,7 +39,7 @@
 
 
 class VotesAfterRestart(RouterNode):
-    """Replicas vote on any key as soon as they have started."""
+    """Replicas vote on any key immediately after their start."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -47,37 +47,37 @@
 
 
 class SkipsSecondRound(RouterNode):
-    """Replicas accept any coordinator's record, whatever they promised or accepted."""
+    """Replicas accept any coordinator's record, regardless of earlier promises and records."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.replica = _ForgetfulReplica(self.clock.wall())
+        self.replica = _ResettingReplica(self.clock.wall())
 
 
-class _ForgetfulReplica(ClaimReplica):
+class _ResettingReplica(ClaimReplica):
     def handle(self, request: Any, wall_now: float) -> Any:
         self._claims.clear()
         return super().handle(request, wall_now)
 
 
 class SaysNotRunTooEarly(RouterNode):
-    """Claims that a write did not run when its answer was lost."""
+    """Reports that a write did not run when its answer was lost."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         run = self.coordinator.run
 
-        async def lie(write: Any) -> Any:
+        async def report_not_run(write: Any) -> Any:
             try:
                 return await run(write)
             except FailureError as error:
                 raise FailureError(OperationNotRun(error.failure.detail, 1.0)) from error
 
-        self.coordinator.run = lie  # type: ignore[method-assign]
+        self.coordinator.run = report_not_run  # type: ignore[method-assign]
 
 
 class AppliesAnyRevision(RouterNode):
-    """Puts whatever a page says in force, also a lower revision."""
+    """Applies every page of changes, including one with a lower revision."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -94,23 +94,23 @@
         store.apply = apply_any  # type: ignore[method-assign]
         confirm = self.configuration._confirm
 
-        def reload_what_is_shown(revision: int, wall_seconds: float) -> None:
+        def reload_visible_revision(revision: int, wall_seconds: float) -> None:
             if revision != store.revision:
                 self.tasks.spawn(self.configuration.refresh_from_platform(), "reload")
             confirm(revision, wall_seconds)
 
-        self.configuration._confirm = reload_what_is_shown  # type: ignore[method-assign]
+        self.configuration._confirm = reload_visible_revision  # type: ignore[method-assign]
 
 
 class AlwaysFresh(RouterNode):
-    """Serves regulated work without proof that its configuration is in force."""
+    """Serves regulated work without proof that its configuration is current."""
 
     def is_fresh(self) -> bool:
         return True
 
 
 class IgnoresMachineList(RouterNode):
-    """Sends work to machines that the platform's list shows as leaving."""
+    """Sends work to machines that the platform's list reports as leaving."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -118,7 +118,7 @@
 
 
 class IgnoresPeersAtStart(RouterNode):
-    """Waits for the platform when it starts."""
+    """Loads its configuration at start only from the platform, never from peers."""
 
     def _peer_addresses(self) -> list[str]:
         return []
@@ -128,7 +128,7 @@
 
 
 class RelaysAnything(RouterNode):
-    """Passes every event of a stream on, whosever it is."""
+    """Relays every event of a stream, including those of other requests."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -143,25 +143,25 @@
 
 
 class HoldsRefusalsBack(RouterNode):
-    """Answers a refusal late, so that the client does not ask again."""
+    """Delays refusals, so that the client retries later."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        inner = self.application
+        application = self.application
 
-        async def late(scope: Any, receive: Any, send: Any) -> None:
-            async def hold(message: Any) -> None:
+        async def delay_refusals(scope: Any, receive: Any, send: Any) -> None:
+            async def send_delayed(message: Any) -> None:
                 if message.get("status", 200) >= 400:
                     await asyncio.sleep(2.0)
                 await send(message)
 
-            await inner(scope, receive, hold)
+            await application(scope, receive, send_delayed)
 
-        self.application = late
+        self.application = delay_refusals
 
 
 class SaltWithoutVersion(RouterNode):
-    """Roots prefixes without the weight version."""
+    """Computes prefix hashes without the weight version."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -172,7 +172,7 @@
 
 
 class SaltWithoutScope(RouterNode):
-    """Roots prefixes without the reuse scope."""
+    """Computes prefix hashes without the reuse scope."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -183,7 +183,7 @@
 
 
 class ForgetsRequests(RouterNode):
-    """Remembers nothing of requests under which engines ended."""
+    """Keeps no record of requests that crashed engines."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
--- a/tests/test_known_bad.py
+++ b/tests/test_known_bad.py
@@ -1,4 +1,4 @@
-"""Every checker fails on a known-bad variant and passes on the router that ships."""
+"""Every checker detects the known-bad router variant that violates its invariant."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture(autouse=True)
 def restore_patches() -> Iterator[None]:
-    """Undo what variants replace in modules."""
+    """Restore the module attributes that variants replace."""
     relay, root = answer_service.OrderedRelay, attempt_planner.chain_root
     yield
     answer_service.OrderedRelay, attempt_planner.chain_root = relay, root  # type: ignore[misc]
@@ -43,6 +43,6 @@
     ids=[variant.__name__ for _, variant, _, _ in CASES],
 )
 def test_checker_catches(scenario: str, variant: NodeFactory, invariant: str, seed: int) -> None:
-    """The variant breaks the invariant; the shipped router with the same seed does not."""
-    bad, _ = run_scenario(SCENARIOS[scenario], seed, variant)
-    assert invariant in {item.invariant for item in bad.violations}
+    """A run of the variant reports a violation of the invariant."""
+    report, _ = run_scenario(SCENARIOS[scenario], seed, variant)
+    assert invariant in {item.invariant for item in report.violations}
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Named scenarios with a fixed seed, random ones, and equal traces for equal seeds."""
+"""Scripted scenarios with a fixed seed, random faults, and equal traces for equal seeds."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from milletcourse.simulation.runner import run_scenario
 from milletcourse.simulation.scenarios import SCENARIOS
 
-LONG = {"platform-outage"}
-"""Ten virtual minutes; run by `milletcourse simulate all`."""
-CI_SCENARIOS = sorted(set(SCENARIOS) - LONG - {"random"})
+LONG_SCENARIOS = {"platform-outage"}
+"""Scenarios of ten virtual minutes; `milletcourse simulate all` runs them."""
+CI_SCENARIOS = sorted(set(SCENARIOS) - LONG_SCENARIOS - {"random"})
 RANDOM_SEEDS = range(1, 9)
 
 
 @pytest.mark.parametrize("name", CI_SCENARIOS)
 def test_scenario_holds(name: str) -> None:
-    """No invariant is broken and the availability floor is met."""
+    """No invariant is violated and the availability floor is met."""
     report, _ = run_scenario(SCENARIOS[name], seed=1)
     assert report.violations == ()
 
 
-def test_request_given_up_behind_a_cut_is_not_delivered_after_it() -> None:
-    """Seed 7001: sent 3 ms before the cut, it ran 11 s after its permission had ended."""
+def test_request_abandoned_during_a_partition_is_not_delivered_after_it() -> None:
+    """Seed 7001: a request sent 3 ms before a partition ran 11 s after its permission ended."""
     report, _ = run_scenario(SCENARIOS["cut-both-ways"], 7001)
     assert report.violations == ()
 
 
 @pytest.mark.parametrize("seed", RANDOM_SEEDS)
 def test_random_faults_hold(seed: int) -> None:
-    """The same under faults drawn at random."""
+    """No invariant is violated under random faults."""
     report, _ = run_scenario(SCENARIOS["random"], seed)
     assert report.violations == ()
 
