--- a/src/milletcourse/simulation/checks.py
+++ b/src/milletcourse/simulation/checks.py
@@ -54,8 +54,8 @@
         commits = sorted(self._world.truth.commits.items())
         policies = []
         for index, (revision, at_seconds) in enumerate(commits):
-            ends = commits[index + 1][1] if index + 1 < len(commits) else float("inf")
-            if at_seconds <= end and ends >= start:
+            superseded_at = commits[index + 1][1] if index + 1 < len(commits) else float("inf")
+            if at_seconds <= end and superseded_at >= start:
                 policies.append(self.at_revision(revision))
         return policies
 
--- a/src/milletcourse/simulation/scenarios/crashes.py
+++ b/src/milletcourse/simulation/scenarios/crashes.py
@@ -12,7 +12,7 @@
 from milletcourse.simulation.world import World
 
 LATE_EFFECT_SECONDS = 12.0
-"""Duration of a write; it exceeds the router's timeout for an application's answer."""
+"""Delay of a write; it exceeds the router's timeout for an application's answer."""
 CRASHING_REQUEST_REPEATS = 16
 """Number of times that the clients send the request that crashes engines."""
 RESTART_BOUND_SECONDS = 1.0
--- a/src/milletcourse/simulation/scenarios/random_faults.py
+++ b/src/milletcourse/simulation/scenarios/random_faults.py
@@ -57,26 +57,26 @@
     async def _pause(self) -> None:
         await asyncio.sleep(self._random.choice((0.1, 1.0, 4.0, 9.0)))
 
-    def _router(self) -> int:
+    def _random_router(self) -> int:
         return self._random.randrange(len(self._world.routers))
 
-    def _engine(self) -> int:
+    def _random_engine(self) -> int:
         return self._random.randrange(len(self._world.engines))
 
     async def _kill_router(self) -> None:
-        index = self._router()
+        index = self._random_router()
         self._world.kill_router(index)
         await self._pause()
         await self._world.restart_router(index)
 
     async def _kill_engine(self) -> None:
-        index = self._engine()
+        index = self._random_engine()
         self._world.kill_engine(index)
         await self._pause()
         await self._world.restart_engine(index)
 
     async def _stop_engine(self) -> None:
-        index = self._engine()
+        index = self._random_engine()
         if self._world.engines[index].host.alive:
             await self._world.stop_engine(index)
             await self._pause()
@@ -96,14 +96,14 @@
             await self._world.restart_router(index)
 
     async def _freeze(self) -> None:
-        router = self._world.routers[self._router()]
+        router = self._world.routers[self._random_router()]
         if router.host.alive and not router.host.frozen:
             self._world.freeze(router)
             await self._pause()
             self._world.thaw(router)
 
     async def _partition_router(self) -> None:
-        router = self._world.routers[self._router()]
+        router = self._world.routers[self._random_router()]
         inbound, outbound = self._random.choice(((True, True), (True, False), (False, True)))
         self._world.partition_router(router, inbound, outbound)
         await self._pause()
@@ -150,7 +150,7 @@
         faults.datagram_loss = faults.datagram_duplicate = faults.datagram_delay_seconds = 0.0
 
     async def _cross_tokens(self) -> None:
-        engine = self._world.engines[self._engine()]
+        engine = self._world.engines[self._random_engine()]
         engine.app.faults.cross_tokens = True
         engine.app.faults.duplicate_tokens = True
 
@@ -166,14 +166,18 @@
         pools = self._random.choice((("shared",), ("shared", "guarded")))
         await asyncio.gather(
             self.operators[0].change(
-                "Workload", "care-checks", care_workload(pools), self._router()
+                "Workload", "care-checks", care_workload(pools), self._random_router()
+            ),
+            self.operators[1].change(
+                "Workload", "care-checks", care_workload(), self._random_router()
             ),
-            self.operators[1].change("Workload", "care-checks", care_workload(), self._router()),
         )
 
     async def _change_weights(self) -> None:
         version = self._random.choice(("1", "2", "3"))
-        await self.operators[0].change("Model", MODEL, {"weight_version": version}, self._router())
+        await self.operators[0].change(
+            "Model", MODEL, {"weight_version": version}, self._random_router()
+        )
 
 
 async def _script(world: World, clients: SimulatedClients) -> None:
