--- a/src/milletcourse/simulation/checks.py
+++ b/src/milletcourse/simulation/checks.py
@@ -1,4 +1,4 @@
-"""Invariant checks over ground truth kept by the stand-ins, never over what routers believe."""
+"""Invariant checks over the ground truth that the stand-ins record, not over routers' state."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from milletcourse.simulation.world import World
 
 CONFIGURATION_BOUND_SECONDS = 5.0
-"""An accepted change is in force this soon at today's sizes."""
-LEAVING_BOUND_SECONDS = 3.0
-"""A leaving back end gets no new work this long after it is known to leave."""
-ACCEPT_SLACK_SECONDS = 0.5
-"""Between a router's decision and the engine's acceptance: connection and retries."""
+"""An accepted change is in force at every router within this time, at current cluster sizes."""
+DRAINING_BOUND_SECONDS = 3.0
+"""A draining back end must get no new work later than this after routers can see the drain."""
+ACCEPT_DELAY_SECONDS = 0.5
+"""Time from a router's decision to the engine's acceptance, for connecting and retries."""
 REFUSAL_BOUND_SECONDS = 0.02
-"""Network time of a refusal that needs no back end; the router itself adds nothing."""
-MONITOR_SECONDS = 0.1
-FAULT_MEMORY_SECONDS = 6.0
+"""Network time of a refusal that needs no back end; the router adds no delay of its own."""
+MONITOR_INTERVAL_SECONDS = 0.1
+FAULT_RECOVERY_SECONDS = 6.0
 
 
 class PolicyHistory:
-    """The policy at each revision, compiled from the platform's own history."""
+    """The policy at each revision, compiled from the platform's journal of changes."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._policies: dict[int, CompiledPolicy] = {}
 
     def at_revision(self, revision: int) -> CompiledPolicy:
-        """Policy of one revision."""
+        """Return the policy of one revision."""
         policy = self._policies.get(revision)
         if policy is None:
             policy = CompiledPolicy()
@@ -50,18 +50,18 @@
         return policy
 
     def current_within(self, start: float, end: float) -> list[CompiledPolicy]:
-        """Policies that were the newest accepted one at some moment of an interval."""
+        """Return the policies that were the latest committed one at some time in an interval."""
         commits = sorted(self._world.truth.commits.items())
         policies = []
         for index, (revision, at_seconds) in enumerate(commits):
-            ends = commits[index + 1][1] if index + 1 < len(commits) else float("inf")
-            if at_seconds <= end and ends >= start:
+            superseded_at = commits[index + 1][1] if index + 1 < len(commits) else float("inf")
+            if at_seconds <= end and superseded_at >= start:
                 policies.append(self.at_revision(revision))
         return policies
 
 
 class ConfigurationMonitor:
-    """Watches revisions while the world runs."""
+    """Checks the routers' configuration revisions while a scenario runs."""
 
     def __init__(self, world: World, check_bound: bool = True) -> None:
         self._world = world
@@ -69,31 +69,37 @@
         self._highest: dict[tuple[str, int], int] = {}
 
     async def run(self) -> None:
-        """Sample for ever."""
+        """Check all running routers periodically until cancelled."""
         while True:
             for router in self._world.routers:
                 if router.host.alive:
                     self._check(router)
-            await asyncio.sleep(MONITOR_SECONDS)
+            await asyncio.sleep(MONITOR_INTERVAL_SECONDS)
 
     def _check(self, router: SimulatedRouter) -> None:
         revision = router.node.store.revision
         key = (router.name, router.node.incarnation)
         if revision < self._highest.get(key, 0):
-            self._world.violate("configuration-never-reverts", f"{router.name} at {revision}")
+            self._world.record_violation(
+                "configuration-never-reverts", f"{router.name} at {revision}"
+            )
         self._highest[key] = max(revision, self._highest.get(key, 0))
-        if self._check_bound and not self._is_disturbed(router):
+        if self._check_bound and not self._is_affected_by_fault(router):
             self._check_in_force(router, revision)
 
-    def _is_disturbed(self, router: SimulatedRouter) -> bool:
+    def _is_affected_by_fault(self, router: SimulatedRouter) -> bool:
         world = self._world
         now = world.now()
-        if router.host.frozen or now - router.disturbed_at < FAULT_MEMORY_SECONDS:
+        if router.host.frozen or now - router.last_fault_at < FAULT_RECOVERY_SECONDS:
             return True
         faults = world.platform.faults
-        if faults.down or faults.slow_seconds or world.platform.shown is not world.platform.core:
+        if (
+            faults.down
+            or faults.slow_seconds
+            or world.platform.visible_core is not world.platform.core
+        ):
             return True
-        if now - world.platform_disturbed_at < FAULT_MEMORY_SECONDS:
+        if now - world.platform_last_fault_at < FAULT_RECOVERY_SECONDS:
             return True
         return any(
             world.network.is_partitioned(router.host, other)
@@ -102,17 +108,19 @@
         )
 
     def _check_in_force(self, router: SimulatedRouter, revision: int) -> None:
-        horizon = self._world.now() - CONFIGURATION_BOUND_SECONDS
-        due = [number for number, at in self._world.truth.commits.items() if at <= horizon]
-        if due and revision < max(due):
-            self._world.violate(
+        deadline = self._world.now() - CONFIGURATION_BOUND_SECONDS
+        due_revisions = [
+            number for number, at in self._world.truth.commits.items() if at <= deadline
+        ]
+        if due_revisions and revision < max(due_revisions):
+            self._world.record_violation(
                 "configuration-in-force",
-                f"{router.name} at {revision}, {max(due)} accepted before {horizon:.1f}",
+                f"{router.name} at {revision}, {max(due_revisions)} accepted before {deadline:.1f}",
             )
 
 
 def check_reuse(world: World, history: PolicyHistory) -> None:
-    """No block of another scope, of older weights or of a dead engine's memory is relied on."""
+    """No request reuses a KV block of another reuse scope or of another weight version."""
     policies = [history.at_revision(revision) for revision in world.truth.commits]
     for record in world.all_reuse():
         allowed: set[str] = set()
@@ -122,18 +130,18 @@
                     allowed |= policy.scope_tenants(record.tenant, rules)
         for source in record.sources:
             if source.weight_version != record.weight_version:
-                world.violate("no-older-weights", f"{record.request_id} {source}")
+                world.record_violation("no-older-weights", f"{record.request_id} {source}")
             if source.tenant not in allowed:
-                world.violate("no-other-tenant", f"{record.tenant} reused {source.tenant}")
+                world.record_violation("no-other-tenant", f"{record.tenant} reused {source.tenant}")
 
 
 def check_placement(world: World, history: PolicyHistory) -> None:
-    """Every acceptance was permitted by a policy accepted within the bound."""
+    """A policy in force within the configuration bound permits each accepted request."""
     for accept in world.truth.accepts:
-        start = accept.at_seconds - CONFIGURATION_BOUND_SECONDS - ACCEPT_SLACK_SECONDS
+        start = accept.at_seconds - CONFIGURATION_BOUND_SECONDS - ACCEPT_DELAY_SECONDS
         policies = history.current_within(start, accept.at_seconds)
         if not any(_permits(policy, accept) for policy in policies):
-            world.violate(
+            world.record_violation(
                 "placement", f"{accept.tenant} at {accept.engine}, {accept.at_seconds:.2f}"
             )
 
@@ -151,28 +159,28 @@
     )
 
 
-def check_leaving(world: World) -> None:
-    """A back end that leaves gets no new work after the bound."""
+def check_draining(world: World) -> None:
+    """A draining back end gets no new work after the bound."""
     for accept in world.truth.accepts:
-        since = world.truth.leaving_since.get(accept.engine)
-        if since is not None and accept.at_seconds > since + LEAVING_BOUND_SECONDS:
-            world.violate(
+        since = world.truth.draining_since.get(accept.engine)
+        if since is not None and accept.at_seconds > since + DRAINING_BOUND_SECONDS:
+            world.record_violation(
                 "leaving-gets-no-work", f"{accept.engine} {accept.at_seconds - since:.1f}s after"
             )
 
 
 def check_operations(world: World, totals: ClientTotals) -> None:
-    """Writes ran at most once, done ones exactly once, and "not run" ones never."""
+    """Writes ran at most once, acknowledged ones exactly once, and "not run" ones never."""
     executions = {key: len(runs) for key, runs in world.ledger.executions.items()}
     for key, count in executions.items():
         if count > 1:
-            world.violate("at-most-once", f"{key} ran {count} times")
+            world.record_violation("at-most-once", f"{key} ran {count} times")
     for key in totals.done_keys:
         if executions.get(key, 0) != 1:
-            world.violate("done-ran-once", f"{key} ran {executions.get(key, 0)} times")
+            world.record_violation("done-ran-once", f"{key} ran {executions.get(key, 0)} times")
     for key in totals.not_run_keys:
         if executions.get(key, 0):
-            world.violate("not-run-is-true", f"write {key} ran")
+            world.record_violation("not-run-is-true", f"write {key} ran")
 
 
 def check_not_run_requests(world: World, totals: ClientTotals) -> None:
@@ -180,21 +188,21 @@
     accepted = {accept.request_id for accept in world.truth.accepts}
     for request_id in totals.not_run_requests:
         if request_id in accepted:
-            world.violate("not-run-is-true", f"request {request_id} reached an engine")
+            world.record_violation("not-run-is-true", f"request {request_id} reached an engine")
 
 
 def check_refusals_immediate(world: World, totals: ClientTotals) -> None:
-    """A final refusal is not held back."""
+    """Refusals reach the client without delay."""
     for seconds in totals.refusal_seconds:
         if seconds > REFUSAL_BOUND_SECONDS:
-            world.violate("refusal-immediate", f"took {seconds:.2f}s")
+            world.record_violation("refusal-immediate", f"took {seconds:.2f}s")
 
 
 def check_all(world: World, totals: ClientTotals) -> None:
-    """All checks that look back at the whole run."""
+    """Run all checks that need the complete run."""
     history = PolicyHistory(world)
     check_reuse(world, history)
     check_placement(world, history)
-    check_leaving(world)
+    check_draining(world)
     check_operations(world, totals)
     check_not_run_requests(world, totals)
--- a/src/milletcourse/simulation/clients.py
+++ b/src/milletcourse/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated callers: they stream, resume, write, read, and check every answer."""
+"""Simulated clients, which stream, resume, write and read, and verify every answer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from milletcourse.operations.keys import mint_key
 from milletcourse.runtime.http import HttpRequest, HttpResponse
 from milletcourse.runtime.memory_http import MemoryHttpClient
-from milletcourse.simulation.crashing_prompts import MARK
+from milletcourse.simulation.crashing_prompts import CRASH_MARKER
 from milletcourse.simulation.deployment import (
     APPLICATION,
     CARE_TENANTS,
@@ -24,9 +24,9 @@
 from milletcourse.standins.answers import answer_text
 
 CLIENT_TIMEOUT_SECONDS = 30.0
-STREAM_SILENCE_SECONDS = 60.0
-MAX_TURNS = 6
-DOUBLED_WRITE_SHARE = 0.2
+STREAM_TIMEOUT_SECONDS = 60.0
+MAX_ATTEMPTS = 6
+DUPLICATE_WRITE_SHARE = 0.2
 RULES_CHARACTERS = 9000
 HISTORY_CHARACTERS = 4500
 KNOWN_VERSIONS = ("1", "2", "3")
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Refusal:
-    """A problem document as a client sees it."""
+    """A problem document received by a client."""
 
     type: str
     run_state: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class ClientTotals:
-    """Results of all clients."""
+    """Totals over all clients."""
 
     requests: int = 0
     served: int = 0
@@ -56,12 +56,12 @@
     refusal_seconds: list[float] = field(default_factory=list)
 
     def on_served(self) -> None:
-        """A request got its whole answer."""
+        """Count a request that received its complete answer."""
         self.requests += 1
         self.served += 1
 
     def on_refused(self, kind: str) -> None:
-        """A request ended without its answer."""
+        """Count a request that ended without a complete answer."""
         self.requests += 1
         self.refused[kind] = self.refused.get(kind, 0) + 1
 
@@ -75,14 +75,14 @@
 
 
 class SimulatedClients:
-    """A number of callers that share one machine.
+    """Concurrent callers that share one host.
 
     Args:
         world: The cluster.
         mean_pause_seconds: Mean time between the requests of one caller.
         write_share: Share of writes among the requests.
-        tokens: Length of an answer.
-        retry: Whether callers go to another router after a failure.
+        tokens: Length of a completion in tokens.
+        retry: Whether callers retry at another router after a failure.
     """
 
     def __init__(
@@ -105,11 +105,11 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, callers: int) -> None:
-        """Begin to send."""
+        """Start the callers."""
         self._tasks = [asyncio.ensure_future(self._caller(number)) for number in range(callers)]
 
     async def finish(self) -> None:
-        """Send nothing new and wait for what runs."""
+        """Stop sending new requests and wait for those in flight."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
@@ -120,18 +120,18 @@
             if self._stopping:
                 return
             count += 1
-            draw = self._random.random()
-            if draw < self._write_share:
+            selection = self._random.random()
+            if selection < self._write_share:
                 await self.write(f"swap {number}/{count}")
-            elif draw < self._write_share + 0.05:
+            elif selection < self._write_share + 0.05:
                 await self._read()
             else:
-                await self.ask(number, count)
+                await self.stream_completion(number, count)
 
     # -- inference ------------------------------------------------------------------------------
 
-    async def ask(self, number: int, count: int) -> None:
-        """Stream one answer, resuming at other routers, and check it."""
+    async def stream_completion(self, number: int, count: int) -> None:
+        """Stream one completion, resume it at other routers after failures, and verify it."""
         tenants = (*CARE_TENANTS, GUARD_TENANT)
         tenant = tenants[number % len(tenants)]
         rules = f"rules {number % 2} ".ljust(RULES_CHARACTERS, "r")
@@ -142,25 +142,25 @@
         )
         stream = _Stream()
         refusal = Refusal("no-router", "not_run", None)
-        for _ in range(MAX_TURNS if self._retry else 1):
+        for _ in range(MAX_ATTEMPTS if self._retry else 1):
             started_at = self.world.now()
             await self._stream_once(tenant, body, stream)
             if stream.done:
                 break
             if stream.refusal is not None:
                 refusal = stream.refusal
-                self._note_refusal(refusal, started_at)
+                self._record_refusal(refusal, started_at)
                 if refusal.retry_after_seconds is None:
                     break
                 await asyncio.sleep(refusal.retry_after_seconds)
                 stream.refusal = None
             if not stream.event_id:
                 stream = _Stream()
-        self._finish_answer(prompt, stream, refusal)
+        self._check_answer(prompt, stream, refusal)
 
-    async def repeat_crashing(self, times: int, pause_seconds: float) -> None:
-        """Send one request that ends engines again and again, as a new request each time."""
-        prompt = f"{MARK} ".ljust(HISTORY_CHARACTERS, "x")
+    async def repeat_crashing_request(self, times: int, pause_seconds: float) -> None:
+        """Send the same prompt, which crashes engines, several times as separate requests."""
+        prompt = f"{CRASH_MARKER} ".ljust(HISTORY_CHARACTERS, "x")
         body = msgspec.json.encode(
             {"model": MODEL, "prompt": prompt, "max_tokens": self._tokens, "stream": True}
         )
@@ -168,23 +168,23 @@
             await self._stream_once(CARE_TENANTS[0], body, _Stream())
             await asyncio.sleep(pause_seconds)
 
-    def _note_refusal(self, refusal: Refusal, started_at: float) -> None:
+    def _record_refusal(self, refusal: Refusal, started_at: float) -> None:
         self.totals.refusal_seconds.append(self.world.now() - started_at)
         if refusal.run_state == "not_run" and refusal.request_id:
             self.totals.not_run_requests.append(refusal.request_id)
 
-    def _finish_answer(self, prompt: str, stream: _Stream, refusal: Refusal) -> None:
+    def _check_answer(self, prompt: str, stream: _Stream, refusal: Refusal) -> None:
         answers = [answer_text(MODEL, version, prompt, self._tokens) for version in KNOWN_VERSIONS]
         if stream.done:
             if stream.text not in answers:
-                self.world.violate("stream-complete-in-order", stream.text[:60])
+                self.world.record_violation("stream-complete-in-order", stream.text[:60])
             self.totals.on_served()
-            self.world.note("served")
+            self.world.record_event("served")
             return
         if not any(answer.startswith(stream.text) for answer in answers):
-            self.world.violate("stream-correct-prefix", stream.text[:60])
+            self.world.record_violation("stream-correct-prefix", stream.text[:60])
         self.totals.on_refused(refusal.type)
-        self.world.note(f"refused {refusal.type}")
+        self.world.record_event(f"refused {refusal.type}")
 
     async def _stream_once(self, tenant: str, body: bytes, stream: _Stream) -> None:
         headers = {"Authorization": f"Bearer {key_of(tenant)}"}
@@ -197,7 +197,7 @@
             if response.status != 200:
                 stream.refusal = _refusal(response, await response.read())
                 return
-            async with asyncio.timeout(STREAM_SILENCE_SECONDS):
+            async with asyncio.timeout(STREAM_TIMEOUT_SECONDS):
                 await self._read_events(response, stream)
         except (FailureError, TimeoutError):
             return
@@ -235,20 +235,20 @@
     # -- applications ---------------------------------------------------------------------------
 
     async def write(self, text: str) -> None:
-        """One swap, sometimes sent twice at the same time under the same key."""
+        """Send one write, sometimes as two concurrent requests with the same idempotency key."""
         key = mint_key(self.world.wall(), self._random)
-        senders = 2 if self._random.random() < DOUBLED_WRITE_SHARE else 1
+        senders = 2 if self._random.random() < DUPLICATE_WRITE_SHARE else 1
         await asyncio.gather(*(self._write_once(text, key) for _ in range(senders)))
 
     async def _write_once(self, text: str, key: str) -> None:
-        """The same key through several routers until the end is known."""
+        """Send one idempotency key through several routers until its outcome is known."""
         headers = {
             "Authorization": f"Bearer {key_of(CARE_TENANTS[0])}",
             "Idempotency-Key": key,
             "Content-Type": "text/plain",
         }
         outcome = "unknown"
-        for _ in range(MAX_TURNS if self._retry else 1):
+        for _ in range(MAX_ATTEMPTS if self._retry else 1):
             response = await self._send(
                 "POST", f"/apps/{APPLICATION}/swaps", text.encode(), headers
             )
@@ -273,7 +273,7 @@
         self._finish_write(key, outcome)
 
     def _finish_write(self, key: str, outcome: str) -> None:
-        self.world.note(f"write {outcome}")
+        self.world.record_event(f"write {outcome}")
         if outcome == "done":
             self.totals.done_keys.append(key)
             self.totals.on_served()
@@ -282,7 +282,7 @@
 
     async def _read(self) -> None:
         headers = {"Authorization": f"Bearer {key_of(CARE_TENANTS[0])}"}
-        for _ in range(MAX_TURNS):
+        for _ in range(MAX_ATTEMPTS):
             response = await self._send("GET", f"/apps/{APPLICATION}/shifts", b"", headers)
             if response is None:
                 continue
@@ -301,7 +301,7 @@
     async def _send(
         self, method: str, path: str, body: bytes, headers: dict[str, str]
     ) -> HttpResponse | None:
-        """Send to a router that accepts connections, picked at random; None when it was lost."""
+        """Send to a random router that accepts connections; None when no answer arrives."""
         routers = list(self.world.routers)
         self._random.shuffle(routers)
         for router in routers:
--- a/src/milletcourse/simulation/operators.py
+++ b/src/milletcourse/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Simulated operators: they change objects through the administration API and note each answer."""
+"""Simulated operators, who change objects through the administration API."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class OperatorAnswers:
-    """Change ids by the answer that was given for them."""
+    """Change ids, grouped by the answer that the operator received."""
 
     accepted: list[str] = field(default_factory=list)
     refused: list[str] = field(default_factory=list)
@@ -27,7 +27,7 @@
 
 
 class SimulatedOperator:
-    """One operator with a name, so that several can race."""
+    """One named operator; several can change the same object concurrently."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world = world
@@ -37,7 +37,7 @@
         self._client = MemoryHttpClient(world.client_host)
 
     async def change(self, kind: str, name: str, spec: dict[str, Any], router: int) -> str:
-        """Read, then compare-and-set one object through one router.
+        """Read one object and update it by compare-and-set, both through one router.
 
         Returns:
             `accepted`, `refused` or `unknown`.
@@ -53,11 +53,11 @@
             response = await self._client.send(request, OPERATOR_TIMEOUT_SECONDS)
             document = msgspec.json.decode(await response.read())
         except FailureError:
-            return self._note(change_id, "unknown")
+            return self._record_answer(change_id, "unknown")
         if response.status == 200:
-            return self._note(change_id, "accepted")
+            return self._record_answer(change_id, "accepted")
         answer = "refused" if document["run_state"] == "not_run" else "unknown"
-        return self._note(change_id, answer)
+        return self._record_answer(change_id, answer)
 
     async def _version(self, address: str, path: str, headers: dict[str, str]) -> int:
         request = HttpRequest("GET", address, path, b"", headers)
@@ -65,17 +65,17 @@
         body = await response.read()
         return int(msgspec.json.decode(body)["version"]) if response.status == 200 else 0
 
-    def _note(self, change_id: str, answer: str) -> str:
-        self.world.note(f"operator {self._name} {answer}")
+    def _record_answer(self, change_id: str, answer: str) -> str:
+        self.world.record_event(f"operator {self._name} {answer}")
         getattr(self.answers, answer).append(change_id)
         return answer
 
     def check(self) -> None:
-        """Accepted changes were committed, refused ones never."""
+        """Check that accepted changes were committed and refused ones were not."""
         committed = self.world.platform.core.committed_change_ids
         for change_id in self.answers.accepted:
             if change_id not in committed:
-                self.world.violate("accepted-is-true", change_id)
+                self.world.record_violation("accepted-is-true", change_id)
         for change_id in self.answers.refused:
             if change_id in committed:
-                self.world.violate("refused-is-true", change_id)
+                self.world.record_violation("refused-is-true", change_id)
--- a/src/milletcourse/standins/weight_store.py
+++ b/src/milletcourse/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Weight store stand-in: a rate-limited source of weights."""
+"""Weight store stand-in, which serves weights with limited bandwidth."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from milletcourse.runtime.clock import Clock
 from milletcourse.runtime.server import AsgiApplication
 
-FULL_SPEED_LOADS = 2
-"""More loads at once share the bandwidth of this many."""
+FULL_SPEED_CONCURRENT_LOADS = 2
+"""Number of concurrent loads at full speed; more loads share the same total bandwidth."""
 
 
 class WeightStoreApp:
-    """Serves weights; each load takes `load_seconds`, longer when the store is crowded."""
+    """Serves weights; a load takes `load_seconds`, or longer when too many run concurrently."""
 
     def __init__(self, clock: Clock, load_seconds: float) -> None:
         self.clock = clock
         self.load_seconds = load_seconds
         self.running = 0
-        self.most_at_once = 0
+        self.max_concurrent_loads = 0
         application = new_application()
         application.add_route("/v1/weights/{model}/{version}", self)
         application.add_route("/livez", self, suffix="live")
@@ -32,12 +32,12 @@
         model: str,
         version: str,
     ) -> None:
-        """Transfer weights; the answer comes when the transfer is complete."""
+        """Transfer weights and respond when the transfer is complete."""
         self.running += 1
-        self.most_at_once = max(self.most_at_once, self.running)
+        self.max_concurrent_loads = max(self.max_concurrent_loads, self.running)
         try:
-            crowding = max(1.0, self.running / FULL_SPEED_LOADS)
-            await self.clock.sleep(self.load_seconds * crowding)
+            slowdown = max(1.0, self.running / FULL_SPEED_CONCURRENT_LOADS)
+            await self.clock.sleep(self.load_seconds * slowdown)
         finally:
             self.running -= 1
         respond_json(response, {"model": model, "version": version})
@@ -45,5 +45,5 @@
     async def on_get_live(
         self, request: falcon.asgi.Request, response: falcon.asgi.Response
     ) -> None:
-        """Liveness."""
-        respond_json(response, {"live": True, "most_at_once": self.most_at_once})
+        """Respond to a liveness probe."""
+        respond_json(response, {"live": True, "most_at_once": self.max_concurrent_loads})
--- a/tests/known_bad.py
+++ b/tests/known_bad.py
@@ -39,7 +39,7 @@
 
 
 class VotesAfterRestart(RouterNode):
-    """Replicas vote on any key as soon as they have started."""
+    """Replicas vote on any key immediately after their start."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -51,10 +51,10 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.replica = _ForgetfulReplica(self.clock.wall())
+        self.replica = _ResettingReplica(self.clock.wall())
 
 
-class _ForgetfulReplica(ClaimReplica):
+class _ResettingReplica(ClaimReplica):
     def handle(self, request: Any, wall_now: float) -> Any:
         self._claims.clear()
         return super().handle(request, wall_now)
@@ -67,13 +67,13 @@
         super().__init__(*arguments)
         run = self.coordinator.run
 
-        async def lie(write: Any) -> Any:
+        async def report_not_run(write: Any) -> Any:
             try:
                 return await run(write)
             except FailureError as error:
                 raise FailureError(OperationNotRun(error.failure.detail, 1.0)) from error
 
-        self.coordinator.run = lie  # type: ignore[method-assign]
+        self.coordinator.run = report_not_run  # type: ignore[method-assign]
 
 
 class AppliesAnyRevision(RouterNode):
@@ -94,12 +94,12 @@
         store.apply = apply_any  # type: ignore[method-assign]
         confirm = self.configuration._confirm
 
-        def reload_what_is_shown(revision: int, wall_seconds: float) -> None:
+        def reload_visible_revision(revision: int, wall_seconds: float) -> None:
             if revision != store.revision:
                 self.tasks.spawn(self.configuration.refresh_from_platform(), "reload")
             confirm(revision, wall_seconds)
 
-        self.configuration._confirm = reload_what_is_shown  # type: ignore[method-assign]
+        self.configuration._confirm = reload_visible_revision  # type: ignore[method-assign]
 
 
 class AlwaysFresh(RouterNode):
@@ -147,17 +147,17 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        inner = self.application
+        application = self.application
 
-        async def late(scope: Any, receive: Any, send: Any) -> None:
-            async def hold(message: Any) -> None:
+        async def delay_refusals(scope: Any, receive: Any, send: Any) -> None:
+            async def send_delayed(message: Any) -> None:
                 if message.get("status", 200) >= 400:
                     await asyncio.sleep(2.0)
                 await send(message)
 
-            await inner(scope, receive, hold)
+            await application(scope, receive, send_delayed)
 
-        self.application = late
+        self.application = delay_refusals
 
 
 class SaltWithoutVersion(RouterNode):
