--- a/src/milletcourse/cli/bench.py
+++ b/src/milletcourse/cli/bench.py
@@ -36,5 +36,5 @@
 def relay() -> None:
     """Measure tokens per second through a router over loopback and over a direct connection."""
     configure_logs("error")
-    figures = uvloop.run(measure_relay())
-    sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
+    result = uvloop.run(measure_relay())
+    sys.stdout.write(msgspec.json.encode(result).decode() + "\n")
--- a/src/milletcourse/exchange/load/server_signals.py
+++ b/src/milletcourse/exchange/load/server_signals.py
@@ -206,7 +206,7 @@
         found = {key: self.signal(key, now) for key in keys if key in self._signalling}
         return {key: signal for key, signal in found.items() if signal is not None}
 
-    def on_kept_away(self, key: int) -> None:
+    def on_server_excluded(self, key: int) -> None:
         """Counts a request that was sent elsewhere, or refused, because of a server's signal."""
         record = self._records.get(key)
         if record is not None:
--- a/src/milletcourse/exchange/replication/pending_contents.py
+++ b/src/milletcourse/exchange/replication/pending_contents.py
@@ -19,7 +19,7 @@
 again, and the reader then omits superseded changes."""
 
 
-class FedUpdate(msgspec.Struct, frozen=True):
+class PendingUpdate(msgspec.Struct, frozen=True):
     """An answer of a reader about one kind.
 
     Attributes:
@@ -28,14 +28,14 @@
     """
 
     since: StorePosition | None
-    fed: FeedKind
+    changes: FeedKind
 
 
 class PendingContents:
     """Queues of answers that wait for contents, by kind."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, deque[FedUpdate]] = {}
+        self._waiting: dict[str, deque[PendingUpdate]] = {}
         self._mismatched: set[str] = set()
         """Kinds with a patch that didn't match: a full answer is requested once."""
 
@@ -52,45 +52,43 @@
         if kind in self._mismatched:
             return None
         waiting = self._waiting.get(kind)
-        return waiting[-1].fed.position if waiting else known
+        return waiting[-1].changes.position if waiting else known
 
-    def take(self, fed: FeedKind, since: StorePosition | None) -> list[FedUpdate]:
+    def take(self, changes: FeedKind, since: StorePosition | None) -> list[PendingUpdate]:
         """Queue an answer that continues from `since`; returns the updates that can be applied."""
-        waiting = self._waiting.setdefault(fed.kind, deque())
-        if fed.is_snapshot:
-            self._mismatched.discard(fed.kind)
+        waiting = self._waiting.setdefault(changes.kind, deque())
+        if changes.is_snapshot:
+            self._mismatched.discard(changes.kind)
             waiting.clear()
         if len(waiting) >= MAX_WAITING_ANSWERS:
             first = waiting.popleft()
             waiting.clear()
             waiting.append(first)
         else:
-            waiting.append(FedUpdate(since, fed))
-        return self._take_ready(fed.kind)
+            waiting.append(PendingUpdate(since, changes))
+        return self._take_ready(changes.kind)
 
     def missing(self, kind: str) -> ContentRequest | None:
         """Request for the first missing content of a kind; None when no content is missing."""
         waiting = self._waiting.get(kind)
-        for item in waiting[0].fed.objects if waiting else ():
+        for item in waiting[0].changes.objects if waiting else ():
             if item.is_announced and item.patch is not None:
                 return ContentRequest(kind, item.name, item.patch.base, item.patch.result)
         return None
 
-    def on_patch(self, question: ContentRequest, patch: ContentPatch) -> list[FedUpdate]:
+    def on_patch(self, request: ContentRequest, patch: ContentPatch) -> list[PendingUpdate]:
         """Add a requested content; returns the updates that can be applied now."""
-        waiting = self._waiting.get(question.kind)
-        if not waiting or patch.result != question.result:
+        waiting = self._waiting.get(request.kind)
+        if not waiting or patch.result != request.result:
             return []
-        first = waiting[0].fed
+        first = waiting[0].changes
         objects = [
-            msgspec.structs.replace(item, patch=patch)
-            if _matches_question(item, question)
-            else item
+            msgspec.structs.replace(item, patch=patch) if _matches_request(item, request) else item
             for item in first.objects
         ]
-        fed = FeedKind(first.kind, first.position, first.is_snapshot, objects)
-        waiting[0] = FedUpdate(waiting[0].since, fed)
-        return self._take_ready(question.kind)
+        changes = FeedKind(first.kind, first.position, first.is_snapshot, objects)
+        waiting[0] = PendingUpdate(waiting[0].since, changes)
+        return self._take_ready(request.kind)
 
     def drop(self, kind: str) -> None:
         """Discard the queue of a kind, since its missing content can't be fetched."""
@@ -106,17 +104,17 @@
         self._waiting.clear()
         self._mismatched.clear()
 
-    def _take_ready(self, kind: str) -> list[FedUpdate]:
+    def _take_ready(self, kind: str) -> list[PendingUpdate]:
         waiting = self._waiting[kind]
         ready = []
-        while waiting and not waiting[0].fed.is_announced:
+        while waiting and not waiting[0].changes.is_announced:
             ready.append(waiting.popleft())
         if not waiting:
             del self._waiting[kind]
         return ready
 
 
-def _matches_question(item: FeedObject, question: ContentRequest) -> bool:
-    if not item.is_announced or item.patch is None or item.name != question.name:
+def _matches_request(item: FeedObject, request: ContentRequest) -> bool:
+    if not item.is_announced or item.patch is None or item.name != request.name:
         return False
-    return item.patch.result == question.result and item.patch.base == question.base
+    return item.patch.result == request.result and item.patch.base == request.base
--- a/src/milletcourse/exchange/servers/server_health.py
+++ b/src/milletcourse/exchange/servers/server_health.py
@@ -42,8 +42,8 @@
         good: Answers.
     """
 
-    bad: int
-    good: int
+    failures: int
+    successes: int
 
 
 class ServerHealth:
@@ -56,14 +56,14 @@
         self._probe_running = False
         self._refused_until = float("-inf")
         self._order_until = float("-inf")
-        self._bad = DecayingCount(TALLY_HALF_LIFE_SECONDS)
-        self._good = DecayingCount(TALLY_HALF_LIFE_SECONDS)
+        self._failures = DecayingCount(TALLY_HALF_LIFE_SECONDS)
+        self._successes = DecayingCount(TALLY_HALF_LIFE_SECONDS)
 
     def on_result(self, result: AttemptResult, now: float) -> None:
         """Record the result of an attempt at the server."""
         self._probe_running = False
         if result is AttemptResult.ANSWERED:
-            self._good.add(1.0, now)
+            self._successes.add(1.0, now)
             self._penalty.scale(ANSWER_PENALTY_FACTOR, now)
             if now >= self._ejected_until:
                 self._pause_seconds = FIRST_EJECTION_SECONDS
@@ -74,7 +74,7 @@
         weight = _WEIGHTS.get(result, 0.0)
         if weight == 0.0:
             return
-        self._bad.add(weight, now)
+        self._failures.add(weight, now)
         self._penalty.add(weight, now)
         if self._penalty.value(now) >= EJECTION_PENALTY and now >= self._ejected_until:
             self._ejected_until = now + self._pause_seconds
@@ -82,17 +82,17 @@
 
     def tally(self, now: float) -> ServerTally:
         """Recent failures and answers, as reported to other gateways."""
-        bad = min(round(self._bad.value(now)), MAX_REPORTED_FAILURES)
-        return ServerTally(bad, round(self._good.value(now)))
+        failures = min(round(self._failures.value(now)), MAX_REPORTED_FAILURES)
+        return ServerTally(failures, round(self._successes.value(now)))
 
     def is_suspected(self, others: ServerTally, now: float) -> bool:
         """Whether the recent results of all gateways indicate a fault of the server."""
-        if others.bad == 0:
+        if others.failures == 0:
             return False
         own = self.tally(now)
-        bad = own.bad + others.bad
-        return bad >= SUSPICION_FAILURES and bad > SUSPICION_FAILURE_RATIO * (
-            own.good + others.good
+        failures = own.failures + others.failures
+        return failures >= SUSPICION_FAILURES and failures > SUSPICION_FAILURE_RATIO * (
+            own.successes + others.successes
         )
 
     def on_aborted(self) -> None:
--- a/src/milletcourse/gateway/fleet/rollout_service.py
+++ b/src/milletcourse/gateway/fleet/rollout_service.py
@@ -83,13 +83,13 @@
         self._lease = LeaseTracker(context.settings.name, duration, margin)
         self._renew_seconds = min(MAX_RENEW_SECONDS, (duration - margin) / 2)
         signal_monitor = context.signal_monitor
-        self._plan = WeightRollout(
+        self._rollout = WeightRollout(
             context.gate,
             context.server_answer_rates.request_rate,
             signal_monitor.is_leaving,
             signal_monitor.is_backing_off,
         )
-        context.restart_listeners.append(self._plan.on_restarted)
+        context.restart_listeners.append(self._rollout.on_restarted)
         self._next_lease_call = 0.0
         self._was_holder = False
         self._running: set[asyncio.Task[None]] = set()
@@ -99,7 +99,7 @@
         while True:
             await asyncio.sleep(TICK_SECONDS)
             self._context.handle_suspension()
-            if not self._may_hold_lease() or not self._plan.has_work(self._context.instances):
+            if not self._may_hold_lease() or not self._rollout.has_work(self._context.instances):
                 continue
             await self._maintain_lease()
             self._update_holder()
@@ -186,7 +186,7 @@
         if holder == self._was_holder:
             return
         self._was_holder = holder
-        self._plan.reset()
+        self._rollout.reset()
         self._context.log.emit(
             "lease-held" if holder else "lease-lost", fencing_token=self._lease.fencing_token
         )
@@ -196,19 +196,19 @@
     def _send_orders(self) -> None:
         now = self._context.now()
         instances = list(self._context.instances)
-        orders = self._plan.next_orders(
+        orders = self._rollout.next_orders(
             instances, now, self._context.settings.name, self._lease.fencing_token
         )
         for order in orders:
             self._spawn(self._send_order(order))
-        for instance in self._plan.due_polls(instances, now):
+        for instance in self._rollout.due_polls(instances, now):
             self._spawn(self._poll_server(instance))
 
     async def _send_order(self, order: WeightOrder) -> None:
         instance = self._context.instances.get(order.instance)
         if instance is None or not self._lease.is_held(self._context.now()):
             return
-        until = self._context.now() + self._plan.load_seconds
+        until = self._context.now() + self._rollout.load_seconds
         instance.health.on_order(until)
         reply = await self._calls.call(
             order.address,
@@ -223,7 +223,7 @@
                 self._apply_signals(instance, reply)
             elif reply.instance not in ("", order.instance):
                 self._context.note_successor(instance, reply.instance)
-        self._plan.on_reply(instance, result, self._context.now())
+        self._rollout.on_reply(instance, result, self._context.now())
         if result is OrderReply.ACCEPTED:
             self._notify(instance, order.model, order.version, ServerState.LOADING)
         self._context.record.weight_order(order, result)
@@ -241,7 +241,7 @@
             instance = self._context.instances.get(instance.name) or instance
             if report.started_ms and report.started_ms == instance.record.started_ms:
                 self._apply_signals(instance, reply)
-        self._plan.on_report(instance, report, self._context.now())
+        self._rollout.on_report(instance, report, self._context.now())
         if self._lease.is_held(self._context.now()):
             # Sends the next order at once instead of at the next tick.
             self._send_orders()
--- a/src/milletcourse/gateway/node.py
+++ b/src/milletcourse/gateway/node.py
@@ -58,9 +58,9 @@
         metrics: GatewayMetrics | None = None,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
     ) -> None:
-        figures = metrics or MetricsSink()
+        metrics_sink = metrics or MetricsSink()
         self.context = GatewayContext(
-            settings, adapter.headers, random_source, log, figures, mechanisms
+            settings, adapter.headers, random_source, log, metrics_sink, mechanisms
         )
         self._metrics = metrics
         self._adapter = adapter
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -180,7 +180,7 @@
         for key, signal in in_force.items():
             if servers[key] not in self.signals_by_server:
                 self.signals_by_server[servers[key]] = signal.value
-                context.server_signals.on_kept_away(key)
+                context.server_signals.on_server_excluded(key)
                 context.record.signals.server_excluded(self._job.service.name, signal)
 
     def _servers(self) -> Iterable[Instance]:
--- a/src/milletcourse/gateway/servers/call_client.py
+++ b/src/milletcourse/gateway/servers/call_client.py
@@ -19,7 +19,7 @@
 MAX_REPLY_BYTES = 16 * 1024 * 1024
 
 
-OnGivenUp = Callable[[AbortedCall], None]
+OnAborted = Callable[[AbortedCall], None]
 
 
 class Call(msgspec.Struct, frozen=True):
@@ -62,9 +62,9 @@
 class CallClient:
     """Sends calls over pooled connections; a timeout detects a silent callee."""
 
-    def __init__(self, pool: ConnectionPool, on_given_up: OnGivenUp | None = None) -> None:
+    def __init__(self, pool: ConnectionPool, on_aborted_call: OnAborted | None = None) -> None:
         self._pool = pool
-        self._on_given_up = on_given_up
+        self._on_aborted_call = on_aborted_call
 
     async def call(
         self,
@@ -110,9 +110,11 @@
             raise
         finally:
             timer.stop()
-        if reply is None and progress.has_started and self._on_given_up is not None:
+        if reply is None and progress.has_started and self._on_aborted_call is not None:
             seconds = elapsed_seconds() - sent_at
-            self._on_given_up(AbortedCall(address, call.target, progress.received_bytes, seconds))
+            self._on_aborted_call(
+                AbortedCall(address, call.target, progress.received_bytes, seconds)
+            )
         return reply
 
     async def _read(
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -78,7 +78,7 @@
         clock: ResponsiveClock,
         now: Callable[[], float],
         members: Callable[[], int],
-        figures: MetricsSink,
+        metrics: MetricsSink,
     ) -> None:
         """Start without any permit requested or granted.
 
@@ -91,7 +91,7 @@
             clock: Responsive time of the event loop, used for timeouts of quota owners.
             now: Monotonic time.
             members: Number of known gateways.
-            figures: Counts permit requests.
+            metrics: Counts permit requests.
         """
         self.owner_selector = QuotaOwnerSelector(own_name)
         self.retry_delays = retry_delays
@@ -103,7 +103,7 @@
         self._clock = clock
         self._now = now
         self._members = members
-        self._figures = figures
+        self._metrics = metrics
         self._request_numbers = count(1)
         self._pending_replies: dict[tuple[str, int], asyncio.Future[PermitMessage]] = {}
         """Awaited replies by quota owner and request number."""
@@ -122,7 +122,7 @@
         if per_second is None:
             return self.without_limit(instance)
         reply = await self._request_permit(key, per_second, rank)
-        self._figures.on_permit_requested(reply.granted)
+        self._metrics.on_permit_requested(reply.granted)
         if reply.granted:
             return Permit(key, self._now() + PERMIT_VALIDITY_SECONDS)
         self.retry_delays.on_denied(key, reply, per_second, self._now())
@@ -182,7 +182,7 @@
             self.owner_selector.on_reply(chosen.name)
             return reply
         self.owner_selector.on_no_reply(chosen.name, self._now())
-        self._figures.on_quota_owner_timeout()
+        self._metrics.on_quota_owner_timeout()
         # Another quota owner is asked by the next request only: this one has waited long enough.
         return PermitReply(False)
 
--- a/src/milletcourse/gateway/state/answer_rates.py
+++ b/src/milletcourse/gateway/state/answer_rates.py
@@ -40,5 +40,5 @@
 
     def _decayed_answers(self, instance: Instance) -> float:
         now = self._now()
-        own = instance.health.tally(now).good
+        own = instance.health.tally(now).successes
         return own + self._loads.others_load(instance.key, now).successes
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -99,7 +99,7 @@
         dialect: HeaderDialect,
         random_source: random.Random,
         log: EventLog,
-        figures: MetricsSink,
+        metrics: MetricsSink,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
     ) -> None:
         self.settings = settings
@@ -107,7 +107,7 @@
         self.dialect = dialect
         self.random = random_source
         self.log = log
-        self.record = Recorder(log, figures, self._reported_state, self.now)
+        self.record = Recorder(log, metrics, self._reported_state, self.now)
         self.route_table: RouteTable | None = None
         self.planned_stop: PlannedStop | None = None
         self.loop = asyncio.get_running_loop()
@@ -128,7 +128,7 @@
         self.restart_listeners: list[Callable[[Instance], None]] = []
         self.instances.on_restarted = self._on_restarted
         self.wake_listeners: set[Callable[[], None]] = set()
-        self._sleep_detector = SuspensionDetector()
+        self._suspension_detector = SuspensionDetector()
         self.responsive_clock = ResponsiveClock()
         self.update_listeners: list[Callable[[], None]] = []
         self.server_signals = ServerSignals()
@@ -150,7 +150,7 @@
             self.responsive_clock,
             self.now,
             lambda: self.members,
-            figures,
+            metrics,
         )
         self.gate = VersionGate(bounds.version)
         self.crash_evidence = CrashEvidence()
@@ -197,10 +197,10 @@
         Deadlines are kept on a clock that includes the suspension, so they have passed already;
         timers were stopped, and are set again by the listeners.
         """
-        slept = self._sleep_detector.take_suspension_seconds()
-        if not slept:
+        suspended_seconds = self._suspension_detector.take_suspension_seconds()
+        if not suspended_seconds:
             return
-        self.record.resumed_after_suspension(slept)
+        self.record.resumed_after_suspension(suspended_seconds)
         for listener in list(self.wake_listeners):
             listener()
 
@@ -234,8 +234,8 @@
                 instance.key,
                 instance.in_flight_tokens,
                 instance.in_flight,
-                tally.bad,
-                tally.good,
+                tally.failures,
+                tally.successes,
                 instance.memory_tokens,
             )
             if not load.is_zero:
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -19,7 +19,7 @@
     encode_feed_request,
 )
 from milletcourse.exchange.messages.store_position import StorePosition
-from milletcourse.exchange.replication.pending_contents import FedUpdate, PendingContents
+from milletcourse.exchange.replication.pending_contents import PendingContents, PendingUpdate
 from milletcourse.exchange.replication.reader_selection import GatewayRecord, ReaderSelection
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.gateway.state.context import GatewayContext
@@ -55,7 +55,7 @@
         self,
         context: GatewayContext,
         calls: CallClient,
-        plan: ReaderSelection,
+        reader_selection: ReaderSelection,
         mirrors: Sequence[KindMirror],
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]],
     ) -> None:
@@ -71,7 +71,7 @@
         """
         self._context = context
         self._calls = calls
-        self._plan = plan
+        self._reader_selection = reader_selection
         self._mirrors = {mirror.kind: mirror for mirror in mirrors}
         self._proof_mirror = mirrors[0]
         self._spawn = spawn
@@ -113,19 +113,19 @@
             Call("POST", FEED_PATH, encode_feed_request(query)),
             hold_seconds + margin_seconds,
         )
-        answer = (
+        response = (
             decode_feed_response(reply.body) if reply is not None and reply.status == 200 else None
         )
-        if reply is None or answer is None:
-            return self._on_no_answer(reader, reply, sent_at)
-        self._proved_at = reply.sent_at + answer.proof_offset
-        self._apply_answer(answer, {item.kind: item.position for item in positions}, reader)
+        if reply is None or response is None:
+            return self._on_no_response(reader, reply, sent_at)
+        self._proved_at = reply.sent_at + response.proof_offset
+        self._apply_response(response, {item.kind: item.position for item in positions}, reader)
         if self._is_content_missing:
             self.disconnect()
-            self._plan.on_failed(reader.name, self._context.now(), answered=False)
+            self._reader_selection.on_failed(reader.name, self._context.now(), answered=False)
             return FeedOutcome.CONTENT_MISSING
-        self._plan.on_success(reader.name)
-        return FeedOutcome.SYNCED if self._is_current(answer) else FeedOutcome.OUTDATED
+        self._reader_selection.on_success(reader.name)
+        return FeedOutcome.SYNCED if self._is_current(response) else FeedOutcome.OUTDATED
 
     def disconnect(self) -> None:
         """Leave the reader, and drop the contents that it announced."""
@@ -136,19 +136,19 @@
         self._reader_name = ""
         self._is_content_missing = False
 
-    def _on_no_answer(
+    def _on_no_response(
         self, reader: GatewayRecord, reply: Reply | None, sent_at: float
     ) -> FeedOutcome:
         self.disconnect()
         now = self._context.now()
         answered = reply is not None or now - sent_at < QUICK_REFUSAL_SECONDS
-        self._plan.on_failed(reader.name, now, answered)
+        self._reader_selection.on_failed(reader.name, now, answered)
         return FeedOutcome.REFUSED if answered else FeedOutcome.SILENT
 
-    def _is_current(self, answer: FeedResponse) -> bool:
+    def _is_current(self, response: FeedResponse) -> bool:
         """Whether reading the store directly would show nothing more than the reader does."""
         age = self._context.now() - self._proved_at
-        if answer.is_receiving:
+        if response.is_receiving:
             return age <= self._context.replication_times.max_receiving_age
         return age <= self._context.replication_times.steady_state_age
 
@@ -160,42 +160,45 @@
 
     # -- applying answers -----------------------------------------------------------------------
 
-    def _apply_answer(
-        self, answer: FeedResponse, asked: dict[str, StorePosition | None], reader: GatewayRecord
+    def _apply_response(
+        self,
+        response: FeedResponse,
+        requested: dict[str, StorePosition | None],
+        reader: GatewayRecord,
     ) -> None:
-        self._context.confirmed_era.on_peer_confirmed(answer.confirmed_era)
-        offset = answer.unpublished_offset
+        self._context.confirmed_era.on_peer_confirmed(response.confirmed_era)
+        offset = response.unpublished_offset
         not_committed_at = (
-            self._proved_at - answer.proof_offset + offset if offset is not None else None
+            self._proved_at - response.proof_offset + offset if offset is not None else None
         )
-        for fed in answer.kinds:
-            if fed.kind not in self._mirrors:
+        for changes in response.kinds:
+            if changes.kind not in self._mirrors:
                 continue
-            self._apply_updates(self._pending.take(fed, asked[fed.kind]))
-            if fed.kind in self._pending:
-                is_proven = fed.kind == self._proof_mirror.kind
-                effect = answer.effect if is_proven else None
-                self._mirrors[fed.kind].on_announced(effect, not_committed_at)
-                self._start_fetch(reader, fed.kind)
-        reported_kinds = {fed.kind for fed in answer.kinds}
+            self._apply_updates(self._pending.take(changes, requested[changes.kind]))
+            if changes.kind in self._pending:
+                is_proven = changes.kind == self._proof_mirror.kind
+                effect = response.effect if is_proven else None
+                self._mirrors[changes.kind].on_announced(effect, not_committed_at)
+                self._start_fetch(reader, changes.kind)
+        reported_kinds = {changes.kind for changes in response.kinds}
         for kind, mirror in self._mirrors.items():
             if kind in self._pending:
                 mirror.on_pending_proof(self._proved_at)
             elif kind not in reported_kinds:
                 mirror.on_proof(self._proved_at)
-        has_change = self._proof_mirror.kind in reported_kinds or answer.is_receiving
+        has_change = self._proof_mirror.kind in reported_kinds or response.is_receiving
         if not has_change and self._proof_mirror.kind not in self._pending:
-            self._context.on_lost_configuration(answer.configuration)
+            self._context.on_lost_configuration(response.configuration)
         if (
-            answer.is_receiving
+            response.is_receiving
             and not_committed_at is not None
             and self._proof_mirror.kind not in reported_kinds
         ):
             self._proof_mirror.on_announced(None, not_committed_at)
 
-    def _apply_updates(self, updates: list[FedUpdate]) -> None:
+    def _apply_updates(self, updates: list[PendingUpdate]) -> None:
         for update in updates:
-            kind = update.fed.kind
+            kind = update.changes.kind
             mirror = self._mirrors[kind]
             # An update with others pending after it proves nothing about the present.
             is_last = kind not in self._pending and update is updates[-1]
@@ -208,7 +211,7 @@
                 problem = error.problem.value
                 self._context.record.store.content_differs(kind, self._reader_name, problem)
                 self._pending.on_patch_mismatch(kind)
-                self._is_content_missing = update.fed.is_snapshot
+                self._is_content_missing = update.changes.is_snapshot
                 return
 
     # -- contents -------------------------------------------------------------------------------
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -18,7 +18,7 @@
 )
 from milletcourse.exchange.messages.feed_messages import FeedKind, FeedObject
 from milletcourse.exchange.messages.store_position import StorePosition
-from milletcourse.exchange.replication.pending_contents import FedUpdate
+from milletcourse.exchange.replication.pending_contents import PendingUpdate
 from milletcourse.gateway.store.change_log import MIN_PATCHED_BYTES, ChangeLog, LoggedChange
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
 from milletcourse.gateway.telemetry.store_recorder import StoreRestore
@@ -99,7 +99,7 @@
     def list_outdated(self, kind: str, listed: StorePosition, known: StorePosition) -> None:
         """A list was discarded, since a later position is known."""
 
-    def store_restored(self, store_return: StoreRestore) -> None:
+    def store_restored(self, store_restore: StoreRestore) -> None:
         """The store was restored from an older snapshot."""
 
 
@@ -295,7 +295,7 @@
             elif as_patches and not self._patches_exceed_content(
                 change.name, patch_bytes[change.name]
             ):
-                yield _to_fed_patch(change.name, change.position, change.patch)
+                yield _to_feed_patch(change.name, change.position, change.patch)
             elif change is last[change.name] and (stored := self._objects.get(change.name)):
                 yield self._to_fed_object(stored, as_patches)
 
@@ -308,7 +308,7 @@
 
     def _to_fed_object(self, stored: StoredObject, as_patch: bool) -> FeedObject:
         if as_patch and len(stored.spec) >= MIN_PATCHED_BYTES:
-            return _to_fed_patch(stored.name, stored.position, self._full_patch(stored))
+            return _to_feed_patch(stored.name, stored.position, self._full_patch(stored))
         return FeedObject(stored.name, stored.position, msgspec.Raw(stored.spec))
 
     def _full_patch(self, stored: StoredObject) -> ContentPatch:
@@ -330,7 +330,7 @@
             return logged
         return self._full_patch(stored) if content_checksum(stored.spec) == result else None
 
-    def apply_update(self, update: FedUpdate, sent_at: float) -> bool:
+    def apply_update(self, update: PendingUpdate, sent_at: float) -> bool:
         """Apply an update from a reader, with all contents.
 
         Returns:
@@ -339,22 +339,22 @@
         Raises:
             PatchError: A content differs from the announced one; nothing is applied then.
         """
-        fed = update.fed
-        if not fed.is_snapshot and update.since != self.position:
+        received = update.changes
+        if not received.is_snapshot and update.since != self.position:
             # The mirror was updated from another source meanwhile.
             return False
-        changes = tuple(self._changes_of(fed))
-        if fed.is_snapshot:
-            self.on_list(_remaining_objects(changes), fed.position, sent_at)
+        changes = tuple(self._changes_of(received))
+        if received.is_snapshot:
+            self.on_list(_remaining_objects(changes), received.position, sent_at)
             return True
-        if self.position is not None and fed.position > self.position:
-            self._log.add_gap(self.position, fed.position)
-        self.on_changes(ObjectChanges(changes, fed.position), sent_at)
+        if self.position is not None and received.position > self.position:
+            self._log.add_gap(self.position, received.position)
+        self.on_changes(ObjectChanges(changes, received.position), sent_at)
         return True
 
-    def _changes_of(self, fed: FeedKind) -> Iterable[ObjectChange]:
+    def _changes_of(self, received: FeedKind) -> Iterable[ObjectChange]:
         contents: dict[str, bytes | None] = {}
-        for item in fed.objects:
+        for item in received.objects:
             spec = bytes(item.spec)
             if item.patch is not None:
                 before = contents.get(item.name, self._content(item.name))
@@ -380,6 +380,6 @@
     return [*left.values()]
 
 
-def _to_fed_patch(name: str, position: StorePosition, patch: ContentPatch) -> FeedObject:
+def _to_feed_patch(name: str, position: StorePosition, patch: ContentPatch) -> FeedObject:
     is_small = len(patch.steps) <= MAX_INLINE_PATCH_BYTES
     return FeedObject(name, position, _NO_SPEC, patch=patch if is_small else patch.announcement())
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -98,22 +98,26 @@
         ]
         proof_offset = self._proof_mirror.proved_at - received_at
         changes = [kind for kind in changed_kinds if kind is not None]
-        answer = self._with_pending_change(FeedResponse(changes, proof_offset), query, received_at)
-        client.send_whole(200, b"", [_JSON], encode_feed_response(answer, query.accepts_patches))
+        response = self._with_pending_change(
+            FeedResponse(changes, proof_offset), query, received_at
+        )
+        client.send_whole(200, b"", [_JSON], encode_feed_response(response, query.accepts_patches))
 
     def _with_pending_change(
-        self, answer: FeedResponse, query: FeedRequest, received_at: float
+        self, response: FeedResponse, query: FeedRequest, received_at: float
     ) -> FeedResponse:
         """Add to an answer what is known of a newer configuration that it doesn't contain."""
         context = self._context
         effect = not_committed_at = None
-        if any(kind.kind == self._proof_mirror.kind and kind.is_announced for kind in answer.kinds):
+        if any(
+            kind.kind == self._proof_mirror.kind and kind.is_announced for kind in response.kinds
+        ):
             effect = context.effects.since(query.configuration)
             not_committed_at = context.effects.not_committed_at(query.configuration)
         else:
             not_committed_at = context.lag.not_committed_at
         return msgspec.structs.replace(
-            answer,
+            response,
             is_receiving=self._proof_mirror.is_receiving,
             effect=effect,
             unpublished_offset=not_committed_at - received_at
--- a/src/milletcourse/gateway/store/store_sync.py
+++ b/src/milletcourse/gateway/store/store_sync.py
@@ -59,20 +59,20 @@
         context: GatewayContext,
         store: ObjectStoreClient,
         calls: CallClient,
-        plan: ReaderSelection,
+        reader_selection: ReaderSelection,
         kinds: Sequence[WatchedKind],
         gateways_kind: str,
         spawn: Callable[[Coroutine[Any, Any, None]], asyncio.Task[None]],
     ) -> None:
         self._context = context
         self._store = store
-        self._plan = plan
+        self._reader_selection = reader_selection
         self._kinds = kinds
         self._gateways_kind = gateways_kind
         self._spawn = spawn
         self._mirrors = {kind.mirror.kind: kind.mirror for kind in kinds}
         mirrors = [kind.mirror for kind in kinds]
-        self._feed = FeedClient(context, calls, plan, mirrors, spawn)
+        self._feed = FeedClient(context, calls, reader_selection, mirrors, spawn)
         self._watches: list[asyncio.Task[None]] = []
         self._leading_watch: KindWatch | None = None
 
@@ -82,7 +82,7 @@
             await self._list_all_kinds()
         wait_until = self._context.now() + READER_WAIT_SECONDS
         while True:
-            reader = self._plan.choose(self._context.now())
+            reader = self._reader_selection.choose(self._context.now())
             if reader is not None:
                 outcome = await self._feed.poll(reader, 0.0)
                 if outcome is FeedOutcome.SYNCED:
@@ -92,7 +92,7 @@
                     continue
                 if outcome is FeedOutcome.REFUSED and await self._sync_from_other_reader():
                     continue
-            if self._plan.is_reader or self._context.now() >= wait_until:
+            if self._reader_selection.is_reader or self._context.now() >= wait_until:
                 self._start_watches()
             if self._has_lost_store():
                 await self._follow_substitute()
@@ -126,7 +126,7 @@
         readers are starting too and refuse or don't answer, so all gateways read their first lists
         from the store, whose link is far wider than any reader's.
         """
-        reader = self._plan.choose(self._context.now())
+        reader = self._reader_selection.choose(self._context.now())
         if reader is None or reader.link_megabits < MIN_FIRST_FEED_MEGABITS:
             return False
         return await self._sync_without_hold(reader)
@@ -158,7 +158,10 @@
         self._context.followed_reader = reader.name
         self._context.log.emit("reader-followed", reader=reader.name)
         outcome = FeedOutcome.SYNCED
-        while outcome is FeedOutcome.SYNCED and self._plan.choose(self._context.now()) == reader:
+        while (
+            outcome is FeedOutcome.SYNCED
+            and self._reader_selection.choose(self._context.now()) == reader
+        ):
             await asyncio.sleep(MIN_POLL_INTERVAL_SECONDS)
             outcome = await self._feed.poll(reader, self._context.replication_times.feed_hold)
         self._context.followed_reader = ""
@@ -176,7 +179,7 @@
         All followers of a reader lose it at the same moment. If each then read the store, every
         failure of a reader would cost one call per follower and kind.
         """
-        reader = self._plan.choose(self._context.now())
+        reader = self._reader_selection.choose(self._context.now())
         return reader is not None and await self._sync_without_hold(reader)
 
     async def _sync_without_hold(self, reader: GatewayRecord) -> bool:
@@ -193,7 +196,7 @@
         The store may refuse this gateway alone. Its own watches go on meanwhile, to detect when the
         store can be reached again; the proofs are as old as those of the other reader.
         """
-        reader = self._plan.choose_fallback(self._context.now())
+        reader = self._reader_selection.choose_fallback(self._context.now())
         if reader is None or await self._feed.poll(reader, 0.0) is not FeedOutcome.SYNCED:
             return
         self._context.log.emit("substitute-asked", reader=reader.name)
@@ -221,7 +224,9 @@
                 random_source,
                 kind.stale_lists,
                 leader,
-                MAX_BACKOFF_SECONDS if self._plan.is_reader else MAX_FOLLOWER_BACKOFF_SECONDS,
+                MAX_BACKOFF_SECONDS
+                if self._reader_selection.is_reader
+                else MAX_FOLLOWER_BACKOFF_SECONDS,
             )
             if Mechanism.SINGLE_KIND_POLLING in self._context.mechanisms:
                 leader = leader or watch
--- a/src/milletcourse/gateway/telemetry/store_recorder.py
+++ b/src/milletcourse/gateway/telemetry/store_recorder.py
@@ -60,17 +60,17 @@
         """
         self._log.emit("store-era-confirmed", era=era, evidence=evidence.value)
 
-    def store_restored(self, store_return: StoreRestore) -> None:
+    def store_restored(self, store_restore: StoreRestore) -> None:
         """One kind of objects shows that the store was restored from an older snapshot."""
         self._metrics.on_store_restored()
         self._log.emit(
             "store-returned",
-            kind=store_return.kind,
-            before=_position_fields(store_return.before),
-            after=_position_fields(store_return.after),
-            missing=len(store_return.missing),
-            changed=len(store_return.changed),
-            names=[*store_return.missing, *store_return.changed][:MAX_NAMES],
+            kind=store_restore.kind,
+            before=_position_fields(store_restore.before),
+            after=_position_fields(store_restore.after),
+            missing=len(store_restore.missing),
+            changed=len(store_restore.changed),
+            names=[*store_restore.missing, *store_restore.changed][:MAX_NAMES],
         )
 
     def entry_rewritten(self, position: StorePosition) -> None:
--- a/tests/exchange/replication/test_content_patches.py
+++ b/tests/exchange/replication/test_content_patches.py
@@ -35,7 +35,7 @@
     encode_patch,
 )
 from milletcourse.exchange.messages.store_position import StorePosition
-from milletcourse.exchange.replication.pending_contents import FedUpdate, PendingContents
+from milletcourse.exchange.replication.pending_contents import PendingContents, PendingUpdate
 
 ENTRIES = st.lists(st.sampled_from([b'{"a":1},', b'{"b":[2,{"c":3},4]},', b"},", b"x", b""]))
 CONTENTS = st.one_of(st.binary(max_size=200), ENTRIES.map(b"".join))
@@ -122,8 +122,8 @@
 
 def test_messages_of_an_older_release_are_decoded() -> None:
     """Older gateways send fewer fields, and ignore those that they don't know."""
-    question = decode_feed_request(b'[[["config",[1,5]]],0.8]')
-    assert question is not None and not question.accepts_patches
+    request = decode_feed_request(b'[[["config",[1,5]]],0.8]')
+    assert request is not None and not request.accepts_patches
     assert decode_feed_request(encode_feed_request(FeedRequest([], 0.5, True))) is not None
     answer = decode_feed_response(b'[[["config",[1,7],false,[["main",[1,7],{"Version":2}]]]],-0.2]')
     assert answer is not None and not answer.is_receiving
@@ -154,19 +154,19 @@
         FeedKind("config", StorePosition(1, 9), False, [_announced_object("main", 9, second)]),
     ]
     known = StorePosition(1, 6)
-    for fed in announcements:
-        assert pending.take(fed, pending.position("config", known)) == []
+    for received in announcements:
+        assert pending.take(received, pending.position("config", known)) == []
     assert pending.position("config", known) == StorePosition(1, 9)
-    question = pending.missing("config")
-    assert question == ContentRequest("config", "main", first.base, first.result)
-    assert pending.on_patch(question, second) == [], "another content than was requested"
-    ready = pending.on_patch(question, first)
-    assert [update.fed.position.revision for update in ready] == [7, 8]
+    request = pending.missing("config")
+    assert request == ContentRequest("config", "main", first.base, first.result)
+    assert pending.on_patch(request, second) == [], "another content than was requested"
+    ready = pending.on_patch(request, first)
+    assert [update.changes.position.revision for update in ready] == [7, 8]
     assert [update.since for update in ready] == [known, StorePosition(1, 7)]
-    question = pending.missing("config")
-    assert question is not None and "config" in pending
-    ready = pending.on_patch(question, second)
-    assert [update.fed.position.revision for update in ready] == [9] and "config" not in pending
+    request = pending.missing("config")
+    assert request is not None and "config" in pending
+    ready = pending.on_patch(request, second)
+    assert [update.changes.position.revision for update in ready] == [9] and "config" not in pending
 
 
 def test_a_full_answer_replaces_announced_contents() -> None:
@@ -175,7 +175,7 @@
     announcements = [_announced_object("main", 7, make_patch(b"1", b"2"))]
     pending.take(FeedKind("config", StorePosition(1, 7), False, announcements), StorePosition(1, 6))
     whole = FeedKind("config", StorePosition(2, 3), True, [])
-    assert pending.take(whole, None) == [FedUpdate(None, whole)]
+    assert pending.take(whole, None) == [PendingUpdate(None, whole)]
     assert "config" not in pending and pending.missing("config") is None
 
 
@@ -203,7 +203,7 @@
         announcements = [_announced_object("main", number, patch)]
         since = pending.position("config", StorePosition(1, 0))
         pending.take(FeedKind("config", StorePosition(1, number), False, announcements), since)
-    question = pending.missing("config")
-    assert question == ContentRequest("config", "main", patches[0].base, patches[0].result)
-    ready = pending.on_patch(question, patches[0])
-    assert [update.fed.position.revision for update in ready] == [0]
+    request = pending.missing("config")
+    assert request == ContentRequest("config", "main", patches[0].base, patches[0].result)
+    ready = pending.on_patch(request, patches[0])
+    assert [update.changes.position.revision for update in ready] == [0]
--- a/tests/gateway/store/test_feed_contents_machine.py
+++ b/tests/gateway/store/test_feed_contents_machine.py
@@ -14,7 +14,7 @@
 from milletcourse.exchange.messages.content_patch import ContentPatch, PatchError
 from milletcourse.exchange.messages.feed_messages import FeedKind
 from milletcourse.exchange.messages.store_position import StorePosition
-from milletcourse.exchange.replication.pending_contents import FedUpdate, PendingContents
+from milletcourse.exchange.replication.pending_contents import PendingContents, PendingUpdate
 from milletcourse.gateway.store import change_log, kind_mirror
 from milletcourse.gateway.store.kind_mirror import KindMirror, NoOpEventHandler
 from milletcourse.gateway.store.object_store import ObjectChange, ObjectChanges, StoredObject
@@ -36,9 +36,9 @@
 
     def ask(self, reader: KindMirror) -> None:
         position = self.pending.position("kind", self.mirror.position)
-        fed = reader.since(position, as_patches=True)
-        if fed is not None:
-            self.take(self.pending.take(fed, position))
+        received = reader.since(position, as_patches=True)
+        if received is not None:
+            self.take(self.pending.take(received, position))
 
     def fetch(self, reader: KindMirror) -> None:
         query = self.pending.missing("kind")
@@ -50,7 +50,7 @@
             return
         self.take(self.pending.on_patch(query, patch))
 
-    def take(self, ready: list[FedUpdate]) -> None:
+    def take(self, ready: list[PendingUpdate]) -> None:
         for update in ready:
             try:
                 if not self.mirror.apply_update(update, 0.0):
@@ -224,7 +224,7 @@
 @contextmanager
 def _announced_contents_count_as_known() -> Iterator[None]:
     original = PendingContents.take
-    PendingContents.take = lambda _, fed, since: [FedUpdate(since, fed)]  # type: ignore[method-assign]
+    PendingContents.take = lambda _, received, since: [PendingUpdate(since, received)]  # type: ignore[method-assign]
     try:
         yield
     finally:
@@ -246,13 +246,13 @@
             return base or b""
 
     def take_latest(
-        pending: PendingContents, fed: FeedKind, since: StorePosition | None
-    ) -> list[FedUpdate]:
+        pending: PendingContents, received: FeedKind, since: StorePosition | None
+    ) -> list[PendingUpdate]:
         pending.clear()
-        return take(pending, fed, since)
+        return take(pending, received, since)
 
-    def on_any(mirror: KindMirror, update: FedUpdate, sent_at: float) -> bool:
-        return apply_update(mirror, FedUpdate(mirror.position, update.fed), sent_at)
+    def on_any(mirror: KindMirror, update: PendingUpdate, sent_at: float) -> bool:
+        return apply_update(mirror, PendingUpdate(mirror.position, update.changes), sent_at)
 
     kind_mirror.apply_patch = apply_any
     KindMirror.apply_update = on_any  # type: ignore[method-assign]
--- a/tests/gateway/store/test_store_eras.py
+++ b/tests/gateway/store/test_store_eras.py
@@ -11,7 +11,7 @@
 from milletcourse.exchange.messages.feed_messages import FeedKind
 from milletcourse.exchange.messages.messages import AnswerHead, HeaderField
 from milletcourse.exchange.messages.store_position import UNKNOWN_ERA, StorePosition
-from milletcourse.exchange.replication.pending_contents import FedUpdate
+from milletcourse.exchange.replication.pending_contents import PendingUpdate
 from milletcourse.gateway.servers.call_client import Call, CallClient, Reply
 from milletcourse.gateway.store.change_log import MAX_GAPS
 from milletcourse.gateway.store.directory import MISSING_ENTRY_RETENTION_SECONDS, GatewayDirectory
@@ -71,10 +71,10 @@
 
 
 def _feed(reader: KindMirror, follower: KindMirror) -> FeedKind | None:
-    fed = reader.since(follower.position)
-    if fed is not None:
-        follower.apply_update(FedUpdate(follower.position, fed), 0.0)
-    return fed
+    received = reader.since(follower.position)
+    if received is not None:
+        follower.apply_update(PendingUpdate(follower.position, received), 0.0)
+    return received
 
 
 def test_followers_get_the_differences_after_a_restore() -> None:
@@ -83,9 +83,9 @@
     back = StorePosition(2, 4)
     reader.on_list([_stored("a", back), _stored("c", back)], back, 0.0)
     assert reader.has_changes(follower.position)
-    fed = _feed(reader, follower)
-    assert fed is not None and not fed.is_snapshot
-    assert {item.name for item in fed.objects} == {"b", "c"}
+    received = _feed(reader, follower)
+    assert received is not None and not received.is_snapshot
+    assert {item.name for item in received.objects} == {"b", "c"}
     assert handler.specs == reader_handler.specs == {"a": b"{}", "c": b"{}"}
     assert follower.position == back and handler.eras == reader_handler.eras == 1
     change = ObjectChange(_stored("a", StorePosition(2, 5), b"[]"), deleted=False)
@@ -101,8 +101,8 @@
     follower.on_changes(ObjectChanges((lost,), StorePosition(1, 11)), 0.0)
     back = StorePosition(2, 4)
     reader.on_list([_stored("a", back), _stored("b", back)], back, 0.0)
-    fed = _feed(reader, follower)
-    assert fed is not None and fed.is_snapshot
+    received = _feed(reader, follower)
+    assert received is not None and received.is_snapshot
     assert set(handler.specs) == {"a", "b"}
 
 
@@ -112,8 +112,8 @@
     for era in (2, 3):
         back = StorePosition(era, 4)
         reader.on_list([_stored("a", back), _stored(f"of-{era}", back)], back, 0.0)
-    fed = _feed(reader, follower)
-    assert fed is not None and not fed.is_snapshot
+    received = _feed(reader, follower)
+    assert received is not None and not received.is_snapshot
     assert set(handler.specs) == {"a", "of-3"} and handler.eras == 1
     assert follower.position == StorePosition(3, 4)
 
@@ -126,8 +126,8 @@
     follower.on_list([_stored("a", StorePosition(2, 4))], StorePosition(2, 4), 0.0)
     back = StorePosition(2, 6)
     reader.on_list([_stored("a", back), _stored("b", back)], back, 0.0)
-    fed = _feed(reader, follower)
-    assert fed is not None and fed.is_snapshot
+    received = _feed(reader, follower)
+    assert received is not None and received.is_snapshot
     assert set(handler.specs) == {"a", "b"}
 
 
@@ -148,8 +148,8 @@
     for revision in range(11, 12 + MAX_GAPS + 1):
         position = StorePosition(1, revision)
         reader.on_list([_stored("a", position), _stored(f"b-{revision}", position)], position, 0.0)
-    fed = _feed(reader, follower)
-    assert fed is not None and fed.is_snapshot
+    received = _feed(reader, follower)
+    assert received is not None and received.is_snapshot
     assert set(handler.specs) == {"a", f"b-{revision}"}
 
 
--- a/tests/gateway/store/test_store_feed.py
+++ b/tests/gateway/store/test_store_feed.py
@@ -10,7 +10,7 @@
 from gateway_harness import Harness, run_with_gateway
 from gateway_standin import configuration, serve_whole
 from milletcourse.exchange.messages.store_position import StorePosition
-from milletcourse.exchange.replication.pending_contents import FedUpdate
+from milletcourse.exchange.replication.pending_contents import PendingUpdate
 from milletcourse.exchange.replication.reader_selection import (
     FAILED_READER_PAUSE_SECONDS,
     MAX_UNREADY_READER_PAUSE_SECONDS,
@@ -129,9 +129,9 @@
     reader.on_list([_stored("a", 1), _stored("b", 2)], _at(10), 0.0)
 
     def feed() -> None:
-        fed = reader.since(follower.position)
-        if fed is not None:
-            follower.apply_update(FedUpdate(follower.position, fed), 0.0)
+        received = reader.since(follower.position)
+        if received is not None:
+            follower.apply_update(PendingUpdate(follower.position, received), 0.0)
 
     feed()
     assert handler.names == {"a", "b"} and follower.position == _at(10)
