--- a/src/milletcourse/experiments/backoff_model.py
+++ b/src/milletcourse/experiments/backoff_model.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from milletcourse.exchange.limits.backoff_retry import backoff_retry_seconds
+from milletcourse.exchange.limits.back_off_retry import backoff_retry_seconds
 from milletcourse.exchange.load.server_signals import ServerSignals
 
 SERVERS = 8
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -13,7 +13,7 @@
     ServersLeaving,
     ServersResting,
 )
-from milletcourse.exchange.limits.backoff_retry import backoff_retry_seconds
+from milletcourse.exchange.limits.back_off_retry import backoff_retry_seconds
 from milletcourse.exchange.load.signal_record import Signal
 from milletcourse.exchange.placement.instance_selector import Choice
 from milletcourse.exchange.servers.instance_table import Instance
--- a/tests/exchange/limits/test_backoff_retry.py
+++ b/tests/exchange/limits/test_back_off_retry.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from milletcourse.exchange.limits.backoff_retry import (
+from milletcourse.exchange.limits.back_off_retry import (
     MAX_SPREAD_SECONDS,
     RANKS,
     backoff_retry_seconds,
