--- a/src/milletcourse/admission/fair_share.py
+++ b/src/milletcourse/admission/fair_share.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 
 USE_TIME_CONSTANT_SECONDS = 10.0
-"""Time constant of the decay: long enough to average over the requests of month-long checks, short
-enough to follow bursts."""
+"""Time constant of the decay: long enough to average over long requests, short enough to follow
+bursts."""
 SHARE_SLACK = 1.1
 """A tenant is refused when it exceeds its share by more than a tenth."""
 MIN_ACTIVE_TOKENS = 1.0
--- a/src/milletcourse/backends/platform_messages.py
+++ b/src/milletcourse/backends/platform_messages.py
@@ -64,8 +64,8 @@
     """State of a machine in the platform's list, which may be out of date."""
 
     LIVE = "live"
-    LEAVING = "leaving"
-    GONE = "gone"
+    DRAINING = "leaving"
+    REMOVED = "gone"
 
 
 class Machine(msgspec.Struct, frozen=True):
--- a/src/milletcourse/benchmarks/relay.py
+++ b/src/milletcourse/benchmarks/relay.py
@@ -29,7 +29,7 @@
 )
 
 
-class RelayFigures(msgspec.Struct, frozen=True):
+class RelayResult(msgspec.Struct, frozen=True):
     """Results of one benchmark run.
 
     Attributes:
@@ -59,7 +59,7 @@
     first_token_p95_seconds: float
 
 
-async def measure_relay() -> RelayFigures:
+async def measure_relay() -> RelayResult:
     """Run direct, then routed, in one process."""
     cluster = EmbeddedCluster(profile=PROFILE, router_count=1)
     await cluster.start()
@@ -76,7 +76,7 @@
     finally:
         await cluster.stop()
     added = routed.processor_seconds - direct.processor_seconds
-    return RelayFigures(
+    return RelayResult(
         round(direct.tokens / direct.elapsed_seconds, 1),
         round(routed.tokens / routed.elapsed_seconds, 1),
         round(added / routed.tokens * 1e6, 1),
--- a/src/milletcourse/errors/requests.py
+++ b/src/milletcourse/errors/requests.py
@@ -97,7 +97,7 @@
     run_state = RunState.NOT_RUN
 
 
-class ServersResting(Failure, frozen=True):
+class ServersBackingOff(Failure, frozen=True):
     """All eligible servers requested back-off from this gateway or are shutting down."""
 
     code = "servers-resting"
--- a/src/milletcourse/exchange/attempts/handover.py
+++ b/src/milletcourse/exchange/attempts/handover.py
@@ -29,7 +29,7 @@
     SINGLE = "alone"
     """One server has the stream."""
     OFFERED = "offered"
-    """A successor was asked to continue, and nothing is decided yet."""
+    """A successor got the request to continue the stream; no decision has been made yet."""
     HANDED_OVER = "handed-over"
     """The successor continues; the first attempt is being cancelled."""
     FINISHED = "over"
@@ -56,11 +56,11 @@
 
     @property
     def may_offer(self) -> bool:
-        """Whether a successor may be asked."""
+        """Whether the stream may be offered to a successor."""
         return self.state is HandoverState.SINGLE
 
     def on_offer(self) -> None:
-        """Record that a successor is asked."""
+        """Record that the stream is offered to a successor."""
         assert self.may_offer, "only one successor at a time, and only while the request runs"
         self.state = HandoverState.OFFERED
 
@@ -85,7 +85,7 @@
         """Record the end of the successor's attempt.
 
         Returns:
-            Whether nothing was decided yet, so that another successor may be asked.
+            Whether no decision has been made, so that another successor may be tried.
         """
         if self.state is not HandoverState.OFFERED:
             return False
@@ -93,7 +93,7 @@
         return True
 
     def on_first_end(self) -> None:
-        """Record the end of the first attempt: a successor that was asked is the first one now."""
+        """Record the end of the first attempt: a successor with the offer is the first one now."""
         if self.state is not HandoverState.FINISHED:
             self.state = HandoverState.SINGLE
 
--- a/src/milletcourse/exchange/attempts/planned_stop.py
+++ b/src/milletcourse/exchange/attempts/planned_stop.py
@@ -25,9 +25,9 @@
 IDLE_CLOSE_SECONDS = 1.0
 """A connection is closed this long after it was established or finished its last answer. A first
 request arrives sooner, even when a packet is lost, which is retransmitted after 0.2 s; and an
-answer that started before the stop didn't announce the close. Of 30,000 simulated requests during
-168 stops, 6 met a closing connection, against 13 when idle connections were closed at once. Waiting
-for all clients until the end left 5, but refused 1,176 requests instead of 149."""
+answer that started before the stop didn't announce the close. Of 30,000 requests during 168
+stops, 6 meet a closing connection, against 13 when idle connections are closed at once. Waiting for
+all clients until the end leaves 5, but refuses 1,176 requests instead of 149."""
 
 
 class StopPhase(Enum):
--- a/src/milletcourse/exchange/counting/service_tally.py
+++ b/src/milletcourse/exchange/counting/service_tally.py
@@ -23,7 +23,7 @@
     LATE = "late"
     """It was served, but its first byte or a pause took longer than the route's target."""
     REFUSED = "refused"
-    """It did not run, and the client was told when to retry."""
+    """It did not run, and the client got a Retry-After time."""
     FAILED = "failed"
     """It may have run; its answer was lost or late."""
     SERVER_FAILURE = "server-failure"
@@ -75,7 +75,7 @@
         self._store_failures: Counter[str] = Counter()
         self._limited_sends: Counter[str] = Counter()
         self._leaving_sends: Counter[str] = Counter()
-        self._resting_sends: Counter[str] = Counter()
+        self._back_off_sends: Counter[str] = Counter()
 
     def on_end(self, route: str, outcome: Outcome) -> None:
         """Counts the outcome of a routed request."""
@@ -97,9 +97,9 @@
         """Counts a request sent to a server that reported its shutdown."""
         self._leaving_sends[instance] += 1
 
-    def on_resting_send(self, instance: str) -> None:
+    def on_back_off_send(self, instance: str) -> None:
         """Counts a request sent to a server during the back-off that it requested."""
-        self._resting_sends[instance] += 1
+        self._back_off_sends[instance] += 1
 
     def on_connection(self) -> None:
         """Counts a new connection to a server."""
@@ -125,7 +125,7 @@
             dict(self._store_failures),
             dict(self._limited_sends),
             dict(self._leaving_sends),
-            dict(self._resting_sends),
+            dict(self._back_off_sends),
         )
         self._reset()
         return report
--- a/src/milletcourse/exchange/evidence/crash_evidence.py
+++ b/src/milletcourse/exchange/evidence/crash_evidence.py
@@ -36,9 +36,10 @@
 """A first crash is reported this many times, against message loss."""
 SUSPECT_REPORT_COPIES = 6
 """Further crashes are reported this many times. With three copies and a tenth of the messages lost,
-one or two of 79 gateways didn't know a contained request after 0.5 s; with six all did."""
-ISOLATED_HOLD_SECONDS = 1.0
-"""Retry delay for a request refused by a gateway that doesn't know its peers. Once the object store
+one or two of 79 gateways hadn't received the containment of a request after 0.5 s; with six all
+had."""
+ISOLATED_RETRY_SECONDS = 1.0
+"""Retry delay for a request refused by a gateway without a list of its peers. Once the object store
 is available again, the list of gateways is read at least this often."""
 MAX_REPORTS_PER_MESSAGE = 16
 """Reports in one message: 962 bytes with three crashes each."""
@@ -92,18 +93,18 @@
 
     # -- observations of servers ----------------------------------------------------------------
 
-    def on_crash(self, identity: int, server: int, sent_at: float, ended_at: float) -> None:
+    def on_crash(self, identity: int, server: int, sent_at: float, crashed_at: float) -> None:
         """Record that a server process terminated while it had a request.
 
         Args:
             identity: Identity of the request's content.
             server: Key of the server's incarnation.
             sent_at: Monotonic time at which the request was sent there.
-            ended_at: Monotonic time at which the crash was detected.
+            crashed_at: Monotonic time at which the crash was detected.
         """
         record = self._record(identity)
         was_conclusive = record.is_conclusive
-        if record.add(server, ServerCrash(sent_at, ended_at)):
+        if record.add(server, ServerCrash(sent_at, crashed_at)):
             self._note_update(record)
         if record.is_conclusive and not was_conclusive:
             record.is_persisted_here = True
@@ -147,7 +148,7 @@
         if self.knows_peers or not record.crashes or record.was_answered:
             return None
         return Containment(
-            identity, len(record.crashes), record.last_crash_at, ISOLATED_HOLD_SECONDS
+            identity, len(record.crashes), record.last_crash_at, ISOLATED_RETRY_SECONDS
         )
 
     def on_peers_known(self) -> None:
@@ -322,16 +323,16 @@
     if record.reports_left:
         return False
     cleared_ms = (now - record.cleared_at + AGE_SLACK_SECONDS) * 1000.0
-    return any(end.crashed_ms > cleared_ms for end in report.crashes)
+    return any(crash.crashed_ms > cleared_ms for crash in report.crashes)
 
 
 def _report(identity: int, record: CrashRecord, now: float) -> CrashReport:
-    ends = [
-        ReportedCrash(server, _age_ms(end.sent_at, now), _age_ms(end.ended_at, now))
-        for server, end in record.crashes.items()
+    crashes = [
+        ReportedCrash(server, _age_ms(crash.sent_at, now), _age_ms(crash.crashed_at, now))
+        for server, crash in record.crashes.items()
     ]
     cleared_ms = _age_ms(record.cleared_at, now) if record.was_answered else None
-    return CrashReport(identity, ends, cleared_ms)
+    return CrashReport(identity, crashes, cleared_ms)
 
 
 def _age_ms(at: float, now: float) -> int:
--- a/src/milletcourse/exchange/evidence/crash_record.py
+++ b/src/milletcourse/exchange/evidence/crash_record.py
@@ -46,11 +46,11 @@
 
     Attributes:
         sent_at: Monotonic time at which the request was sent to it.
-        ended_at: Monotonic time at which it terminated.
+        crashed_at: Monotonic time at which it terminated.
     """
 
     sent_at: float
-    ended_at: float
+    crashed_at: float
 
 
 ContainmentRule = Callable[[Collection[ServerCrash], bool], bool]
@@ -72,7 +72,7 @@
         )
     if len(crashes) < CONTAINMENT_CRASHES:
         return False
-    started_after = min(crash.ended_at for crash in crashes) - START_SLACK_SECONDS
+    started_after = min(crash.crashed_at for crash in crashes) - START_SLACK_SECONDS
     started_later = sum(crash.sent_at > started_after for crash in crashes)
     return started_later >= CONTAINMENT_CRASHES - 1
 
@@ -81,10 +81,10 @@
     """Length of the longest sequence of crashes, each of work started after the one before."""
     rounds = 0
     started_after = float("-inf")
-    for crash in sorted(crashes, key=lambda crash: crash.ended_at):
+    for crash in sorted(crashes, key=lambda crash: crash.crashed_at):
         if crash.sent_at > started_after:
             rounds += 1
-            started_after = crash.ended_at - START_SLACK_SECONDS
+            started_after = crash.crashed_at - START_SLACK_SECONDS
     return rounds
 
 
@@ -128,11 +128,11 @@
     @property
     def last_crash_at(self) -> float:
         """Monotonic time of the latest crash; minus infinity without one."""
-        return max((crash.ended_at for crash in self.crashes.values()), default=float("-inf"))
+        return max((crash.crashed_at for crash in self.crashes.values()), default=float("-inf"))
 
     def add(self, server: int, crash: ServerCrash) -> bool:
         """Add a crash; False when it was known already, or precedes the latest answer."""
-        if server in self.crashes or crash.ended_at <= self.cleared_at:
+        if server in self.crashes or crash.crashed_at <= self.cleared_at:
             return False
         self.crashes[server] = crash
         self.is_conclusive = self.is_conclusive or self._rule(
@@ -140,7 +140,7 @@
         )
         if len(self.crashes) > MAX_REPORTED_CRASHES:
             # The first and the latest crashes show that the work was started again after a crash.
-            in_order = sorted(self.crashes, key=lambda key: self.crashes[key].ended_at)
+            in_order = sorted(self.crashes, key=lambda key: self.crashes[key].crashed_at)
             del self.crashes[in_order[1]]
         return True
 
@@ -149,7 +149,7 @@
         if at <= self.cleared_at:
             return False
         self.cleared_at = at
-        self.crashes = {key: crash for key, crash in self.crashes.items() if crash.ended_at > at}
+        self.crashes = {key: crash for key, crash in self.crashes.items() if crash.crashed_at > at}
         self.is_conclusive = self._rule(self.crashes.values(), self.was_answered)
         return True
 
--- a/src/milletcourse/exchange/limits/back_off_retry.py
+++ b/src/milletcourse/exchange/limits/back_off_retry.py
@@ -8,8 +8,8 @@
 """Ranks of requests, 0 for the most urgent."""
 
 
-def backoff_retry_seconds(
-    seconds_left: float, backoff_seconds: float, rank: int, random_fraction: float
+def back_off_retry_seconds(
+    seconds_left: float, back_off_seconds: float, rank: int, random_fraction: float
 ) -> float:
     """Seconds after which a refused caller may retry.
 
@@ -19,10 +19,10 @@
 
     Args:
         seconds_left: Seconds until the first server ends its back-off.
-        backoff_seconds: Whole length of this back-off.
+        back_off_seconds: Whole length of this back-off.
         rank: Rank of the request, 0 for the most urgent.
         random_fraction: A random number from 0 to 1.
     """
-    spread = min(backoff_seconds, MAX_SPREAD_SECONDS)
+    spread = min(back_off_seconds, MAX_SPREAD_SECONDS)
     turn = min(rank, RANKS - 1) / RANKS
     return seconds_left + spread * (turn + random_fraction) / 2.0
--- a/src/milletcourse/exchange/limits/peer_usage.py
+++ b/src/milletcourse/exchange/limits/peer_usage.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of the use of a tenant's limit by all gateways; no input/output."""
+"""Usage of a tenant's limit by all gateways, as known to one of them; no input/output."""
 
 from __future__ import annotations
 
--- a/src/milletcourse/exchange/limits/quota_owner_selector.py
+++ b/src/milletcourse/exchange/limits/quota_owner_selector.py
@@ -22,7 +22,7 @@
 
 
 class SelectedOwner(msgspec.Struct, frozen=True):
-    """The gateway that is asked for a permit.
+    """The gateway from which a permit is requested.
 
     Attributes:
         name: Name of the gateway, which may be this one.
@@ -59,7 +59,7 @@
         self._skipped = {name: kept for name, kept in self._skipped.items() if name in others}
 
     def select(self, key: int, now: float) -> SelectedOwner:
-        """The gateway to ask for a permit.
+        """The gateway from which to request a permit.
 
         Args:
             key: Identity of the quota.
--- a/src/milletcourse/exchange/limits/tenant_limits.py
+++ b/src/milletcourse/exchange/limits/tenant_limits.py
@@ -139,12 +139,14 @@
         now: float,
     ) -> float:
         """Seconds until a refused request fits, after those that were refused here before it."""
-        income = account.bucket.per_second * usage.limit_share
+        refill_per_second = account.bucket.per_second * usage.limit_share
         own = account.use.per_second(now)
         total_use = own + max(usage.others_per_second, 0.0)
-        own_income = income * own / total_use if own > 0.0 else income
-        first = max(now + debt / income, account.retry_at)
-        account.retry_at = min(first + units / own_income, now + MAX_WAIT_SECONDS)
+        own_refill_per_second = (
+            refill_per_second * own / total_use if own > 0.0 else refill_per_second
+        )
+        first = max(now + debt / refill_per_second, account.retry_at)
+        account.retry_at = min(first + units / own_refill_per_second, now + MAX_WAIT_SECONDS)
         return min(first - now, MAX_WAIT_SECONDS)
 
     def settle(self, tenant: TenantRecord, request: ExchangeRequest, runs: int, now: float) -> None:
--- a/src/milletcourse/exchange/load/load_exchange.py
+++ b/src/milletcourse/exchange/load/load_exchange.py
@@ -4,7 +4,7 @@
 its followers, sends this zone sum to the other zones' readers, and sends the sum of all zones to
 its followers. Each gateway thus knows the load of the whole fleet within a few ticks, for two small
 messages a tick, and only readers communicate across zones. A gateway whose reader is silent gossips
-its load to all others in turn. Messages are small and may be lost; they only speed things up.
+its load to all others in turn. Messages are small and may be lost; a loss only delays an update.
 """
 
 from __future__ import annotations
--- a/src/milletcourse/exchange/load/server_signals.py
+++ b/src/milletcourse/exchange/load/server_signals.py
@@ -2,8 +2,8 @@
 
 Each incarnation has one record of its request limit, its shutdown and its back-off. The limit that
 a server reported last applies. A shutdown applies until another incarnation replaces the server.
-Both concern the server as a whole and are sent with the load reports, so that a gateway knows them
-of a server that it hasn't used yet. A back-off is requested from one gateway and applies only
+Both concern the server as a whole and are sent with the load reports, so that a gateway has them
+for a server that it hasn't used yet. A back-off is requested from one gateway and applies only
 there.
 """
 
@@ -166,7 +166,7 @@
         return self._records.get(key)
 
     def state(self, key: int, instance: str, service: str, now: float) -> ServerSignalState | None:
-        """The state that keeps requests away from a server, None for none.
+        """The self-reported state that excludes a server from new requests, None for none.
 
         Args:
             key: Key of the incarnation.
@@ -186,7 +186,7 @@
             record.leaving_source if is_leaving else SOURCE_ANSWER,
             round(now - (record.first_leaving_at if is_leaving else record.back_off_since), 3),
             None if is_leaving else round(record.back_off_until - now, 3),
-            record.kept_away,
+            record.excluded_requests,
         )
 
     @property
@@ -210,10 +210,10 @@
         """Counts a request that was sent elsewhere, or refused, because of a server's signal."""
         record = self._records.get(key)
         if record is not None:
-            record.kept_away += 1
+            record.excluded_requests += 1
 
     def signal(self, key: int, now: float) -> Signal | None:
-        """The signal that keeps requests away from a server now, None for none."""
+        """The signal that excludes a server from new requests now, None for none."""
         record = self._records.get(key)
         return record.signal(now) if record is not None else None
 
--- a/src/milletcourse/exchange/load/signal_record.py
+++ b/src/milletcourse/exchange/load/signal_record.py
@@ -26,7 +26,7 @@
     LEAVING = "leaving"
     """It is shutting down."""
     BACKING_OFF = "resting"
-    """It rejected a request and wants no requests from this gateway for some time."""
+    """It rejected a request and asked this gateway to send none for some time."""
 
 
 class LimitChange(Enum):
@@ -76,7 +76,7 @@
         entry_leaving_at: When its discovery entry first reported its shutdown; infinite when it
             didn't.
         leaving_source: First source of its shutdown: `answer`, `peer` or `entry`; empty for none.
-        kept_away: Requests for which its shutdown or back-off excluded it as a candidate.
+        excluded_requests: Requests for which its shutdown or back-off excluded it as a candidate.
         back_off_since: When it requested its current or last back-off from this gateway.
         back_off_until: End of that back-off.
         reports_left: Number of repetitions of a changed report that are still to be sent.
@@ -88,7 +88,7 @@
     leaving_at: float = float("inf")
     entry_leaving_at: float = float("inf")
     leaving_source: str = ""
-    kept_away: int = 0
+    excluded_requests: int = 0
     back_off_since: float = float("-inf")
     back_off_until: float = float("-inf")
     reports_left: int = 0
--- a/src/milletcourse/exchange/messages/feed_messages.py
+++ b/src/milletcourse/exchange/messages/feed_messages.py
@@ -5,7 +5,7 @@
 reader's clock: the send time of the proven store call minus the arrival time of the feed request.
 Since a request is sent no later than it arrives, the follower dates the proof at its own send time
 plus that difference; neither the response's transit time nor the offset between the two clocks
-matters.
+affects it.
 """
 
 from __future__ import annotations
--- a/src/milletcourse/exchange/messages/peer_messages.py
+++ b/src/milletcourse/exchange/messages/peer_messages.py
@@ -1,7 +1,7 @@
 """Messages between gateways about load on servers and the state of servers; no input/output.
 
 Messages are small and may be lost: each carries a complete current load, and a notice is repeated a
-few times. They only speed things up: servers' answers and service discovery provide the same
+few times. They only reduce latency: servers' answers and service discovery provide the same
 information later.
 """
 
@@ -152,7 +152,7 @@
     Attributes:
         server: Key of the incarnation.
         sent_ms: Age of the request's send to the server.
-        crashed_ms: Age of its end.
+        crashed_ms: Age of the crash.
     """
 
     server: int
@@ -200,7 +200,7 @@
         loads: Load on each server that has some.
         notices: States of servers that changed recently.
         scope: Which gateways' load it is.
-        is_follower: The sender follows the receiver, and wants to receive the fleet's load.
+        is_follower: The sender follows the receiver, and is to receive the fleet's load.
         uses: Usage of tenants that have a limit.
         gateways: Number of gateways whose load and usage it includes.
         crashes: Requests associated with server crashes.
--- a/src/milletcourse/exchange/messages/quota_messages.py
+++ b/src/milletcourse/exchange/messages/quota_messages.py
@@ -42,8 +42,8 @@
         limit_age_ms: Age of `per_second`.
         priority: Priority of the client request, 0 for the most urgent.
         permit_wait_ms: Time until a permit may be available for the requester.
-        retry_after_ms: Time after which the requester may ask again.
-        requesters: Number of gateways that asked recently.
+        retry_after_ms: Time after which the requester may request again.
+        requesters: Number of gateways that requested a permit recently.
     """
 
     step: PermitStep
--- a/src/milletcourse/exchange/placement/cache_store_plan.py
+++ b/src/milletcourse/exchange/placement/cache_store_plan.py
@@ -1,7 +1,7 @@
 """What servers export to the KV-cache stores; no input/output.
 
-A server that is told to export a prompt sends its whole KV cache: that of the shared parts, which
-other servers may import, and that of the prompt's unshared last part, which no other request uses.
+When a server exports a prompt, it sends its whole KV cache: that of the shared parts, which other
+servers may import, and that of the prompt's unshared last part, which no other request uses.
 Each export evicts older parts. A part that the store should still hold is therefore not sent again;
 and when parts are evicted before their expected reuse, prompts whose shared parts are small against
 what is sent with them aren't exported at all.
@@ -75,7 +75,7 @@
             known.sent_at.popitem(last=False)
 
     def on_lost(self, address: str) -> None:
-        """Forget the exports to an unreachable store: it may have lost its contents."""
+        """Drop the record of exports to an unreachable store: it may have lost its contents."""
         self._stores.pop(address, None)
 
 
--- a/src/milletcourse/exchange/placement/engine_load.py
+++ b/src/milletcourse/exchange/placement/engine_load.py
@@ -38,8 +38,7 @@
 middle ranks of most requests the bound is about the target. Without a bound an overload sustains
 itself: with a quarter of 45 servers unavailable from 2.5 s to 16.5 s, two in five requests are late
 until 24 s, against 14 s with a bound of 0.4 s. A small fleet needs a higher bound: five servers
-under high load serve 0.926 of what they must with 0.8, 0.940 with 1.0 and 0.950 with 1.25
-(simulated for 34 s)."""
+under high load serve 0.926 of what they must with 0.8, 0.940 with 1.0 and 0.950 with 1.25."""
 RANK_FACTOR = 0.9
 """Factor on the bound for each lower rank, so that less urgent requests are refused first."""
 
--- a/src/milletcourse/exchange/placement/instance_selector.py
+++ b/src/milletcourse/exchange/placement/instance_selector.py
@@ -45,7 +45,7 @@
 """Random part of a model server's cost, which decides between servers of equal cost."""
 LOCAL_SAMPLE_SIZE = 6
 """Servers of the own zone that are compared for one request, in addition to its home and its
-holders. Gateways that compared all servers by the same load figures would all select the same
+holders. Gateways that compared all servers by the same load metrics would all select the same
 one."""
 REMOTE_SAMPLE_SIZE = 2
 """Servers of other zones that are compared."""
--- a/src/milletcourse/exchange/replication/confirmed_era.py
+++ b/src/milletcourse/exchange/replication/confirmed_era.py
@@ -1,7 +1,7 @@
 """Whether the store's configuration may be trusted after a restore; no input/output.
 
 A store that was restored from an older snapshot may have lost a configuration that it had
-acknowledged, and none of its answers shows that: only the operator knows, and writes it again.
+acknowledged, and none of its answers shows that: only the operator knows, and must write it again.
 Until then a call to the store proves nothing about API keys. Proofs from before the restore stay
 valid until they expire.
 """
--- a/src/milletcourse/exchange/replication/pending_contents.py
+++ b/src/milletcourse/exchange/replication/pending_contents.py
@@ -24,7 +24,7 @@
 
     Attributes:
         since: Position that the answer continues from; it is valid for no other one.
-        fed: The objects that changed.
+        changes: The objects that changed.
     """
 
     since: StorePosition | None
--- a/src/milletcourse/exchange/rollout/weight_rollout.py
+++ b/src/milletcourse/exchange/rollout/weight_rollout.py
@@ -49,8 +49,8 @@
 
 
 RUNNING_WORK = RunningWork.KEEP
-"""`KEEP` gives the best results on both of the users' fleets. Prompt state that such a request adds
-to the cache has the salt of the older version, which no later request at that server uses."""
+"""Of the three modes `KEEP` serves most on both reference fleets. Prompt state that such a request
+adds to the cache has the salt of the older version, which no later request at that server uses."""
 
 
 class OrderReply(Enum):
@@ -148,7 +148,7 @@
             gate: Released versions.
             request_rate: Request rate of a server, by which a load is weighed against waiting.
             is_leaving: Whether a server is about to shut down, so that it needs no weights.
-            is_backing_off: Whether a server wants no requests from this gateway; it then loads
+            is_backing_off: Whether a server asked this gateway to back off; it then loads
                 only to meet a deadline.
         """
         self._is_backing_off = is_backing_off
@@ -292,7 +292,7 @@
         elif reply is OrderReply.BUSY:
             load.poll_at = now + POLL_INTERVAL_SECONDS
         else:
-            self._give_up(instance, now)
+            self._abandon(instance, now)
 
     def due_polls(self, instances: Iterable[Instance], now: float) -> list[Instance]:
         """Servers to poll for a report now."""
@@ -318,7 +318,7 @@
             return
         if report is None:
             if now - load.started_at > STUCK_SECONDS or load.phase is _Phase.POLLING:
-                self._give_up(instance, now)
+                self._abandon(instance, now)
             return
         load.sequence = report.sequence
         if report.weight_versions.get(load.model, 0) >= load.version:
@@ -353,6 +353,6 @@
         instance.note_version(load.model, load.version)
         self._loads.pop(instance.name, None)
 
-    def _give_up(self, instance: Instance, now: float) -> None:
+    def _abandon(self, instance: Instance, now: float) -> None:
         self._loads.pop(instance.name, None)
         self._not_before[instance.name] = now + RETRY_PAUSE_SECONDS
--- a/src/milletcourse/exchange/servers/instance_table.py
+++ b/src/milletcourse/exchange/servers/instance_table.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of the servers: incarnations, weight versions, load and health.
+"""A gateway's view of the servers: incarnations, weight versions, load and health.
 
 Entries that disappear while the discovery's store is unstable are unverified, not removed: they are
 kept for a while, since servers that still run register again within a few heartbeats.
@@ -16,9 +16,9 @@
 from milletcourse.exchange.servers.server_tombstones import ServerTombstones
 
 REREGISTRATION_SECONDS = 2.3
-"""An entry that lapsed while the store was unavailable is kept this long after the store's return:
-live servers that reach the store are registered again within two seconds, and a watch reports it
-soon after. Entries that are still missing then are removed."""
+"""An entry that lapsed while the store was unavailable is kept this long after the store is reachable
+again: live servers that reach the store are registered again within two seconds, and a watch reports
+it soon after. Entries that are still missing then are removed."""
 UNKNOWN_VERSION_SECONDS = 0.3
 """A server whose weight version is unknown is avoided this long while others are free."""
 LATENCY_GAIN = 0.2
@@ -173,7 +173,7 @@
 
     def on_entry(self, record: InstanceRecord, now: float) -> None:
         """Apply an entry of the discovery; a departed server's restored entry is held back."""
-        if record.name in self._instances or not self._tombstones.holds_back(record, now):
+        if record.name in self._instances or not self._tombstones.defer_if_unverified(record, now):
             self.upsert(record)
 
     def upsert(self, record: InstanceRecord) -> None:
--- a/src/milletcourse/exchange/servers/server_health.py
+++ b/src/milletcourse/exchange/servers/server_health.py
@@ -38,8 +38,8 @@
     """Recent results of attempts at a server.
 
     Attributes:
-        bad: Failures, weighted by how strongly they indicate a fault of the server.
-        good: Answers.
+        failures: Failures, weighted by how strongly they indicate a fault of the server.
+        successes: Answers.
     """
 
     failures: int
--- a/src/milletcourse/exchange/servers/server_tombstones.py
+++ b/src/milletcourse/exchange/servers/server_tombstones.py
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self._tombstones: OrderedDict[str, _Tombstone] = OrderedDict()
-        self._held_back: dict[str, InstanceRecord] = {}
+        self._unverified: dict[str, InstanceRecord] = {}
         self._verified_from = float("-inf")
 
     def add(self, record: InstanceRecord, now: float) -> None:
@@ -52,8 +52,8 @@
         """Start verifying entries after the store was restored from an older snapshot."""
         self._verified_from = now + VERIFICATION_SECONDS
 
-    def holds_back(self, record: InstanceRecord, now: float) -> bool:
-        """Whether an entry is not verified yet; it is then held back until `take_verified`."""
+    def defer_if_unverified(self, record: InstanceRecord, now: float) -> bool:
+        """Whether an entry is not verified yet; it is then kept for `take_verified`."""
         tombstone = self._tombstones.get(record.name)
         if (
             now >= self._verified_from
@@ -63,20 +63,20 @@
             return False
         if tombstone.started_ms and record.started_ms > tombstone.started_ms:
             return False
-        self._held_back[record.name] = record
+        self._unverified[record.name] = record
         return True
 
     def on_list(self) -> None:
-        """Drop held-back entries before the entries of a complete list follow."""
-        self._held_back.clear()
+        """Drop unverified entries before the entries of a complete list follow."""
+        self._unverified.clear()
 
     def on_removed(self, name: str) -> None:
-        """Drop a held-back entry that was removed."""
-        self._held_back.pop(name, None)
+        """Drop an unverified entry that was removed."""
+        self._unverified.pop(name, None)
 
     def take_verified(self, now: float) -> list[InstanceRecord]:
-        """Held-back entries that have existed long enough to count as verified."""
-        if not self._held_back or now < self._verified_from:
+        """Entries that have existed long enough to count as verified."""
+        if not self._unverified or now < self._verified_from:
             return []
-        verified, self._held_back = list(self._held_back.values()), {}
+        verified, self._unverified = list(self._unverified.values()), {}
         return verified
--- a/src/milletcourse/experiments/backoff_model.py
+++ b/src/milletcourse/experiments/backoff_model.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from milletcourse.exchange.limits.back_off_retry import backoff_retry_seconds
+from milletcourse.exchange.limits.back_off_retry import back_off_retry_seconds
 from milletcourse.exchange.load.server_signals import ServerSignals
 
 SERVERS = 8
@@ -282,7 +282,7 @@
             BackoffStrategy.QUORUM_BAN,
             BackoffStrategy.STAGGERED,
         ):
-            seconds = backoff_retry_seconds(
+            seconds = back_off_retry_seconds(
                 left, BACKOFF_SECONDS, caller.rank, self._random.random()
             )
         else:
--- a/src/milletcourse/experiments/containment_strategies.py
+++ b/src/milletcourse/experiments/containment_strategies.py
@@ -68,7 +68,7 @@
     if len(crashes) >= CERTAIN_CRASHES:
         return True
     rate = PRIOR_CRASHES_PER_SECOND + crashes_per_second
-    expected = (rate * max(crash.ended_at - crash.sent_at, MIN_RUN_SECONDS) for crash in crashes)
+    expected = (rate * max(crash.crashed_at - crash.sent_at, MIN_RUN_SECONDS) for crash in crashes)
     return (
         sum(-math.log(min(probability, 1.0)) for probability in expected)
         >= CONTAINMENT_LOG_LIKELIHOOD
--- a/src/milletcourse/experiments/store_restore_model.py
+++ b/src/milletcourse/experiments/store_restore_model.py
@@ -20,8 +20,8 @@
 from milletcourse.exchange.messages.store_position import StorePosition
 from milletcourse.gateway.store.kind_mirror import KindMirror, NoOpEventHandler
 from milletcourse.gateway.store.kind_watch import (
-    INITIAL_BACKOFF_SECONDS,
-    MAX_BACKOFF_SECONDS,
+    INITIAL_BACK_OFF_SECONDS,
+    MAX_BACK_OFF_SECONDS,
     RESUME_SPREAD_SECONDS,
 )
 from milletcourse.gateway.store.object_store import StoredObject
@@ -30,7 +30,7 @@
     MIN_CHECK_INTERVAL_SHARE,
 )
 from milletcourse.gateway.store.registration import (
-    MAX_BACKOFF_SECONDS as MAX_WRITE_BACKOFF_SECONDS,
+    MAX_BACK_OFF_SECONDS as MAX_WRITE_BACK_OFF_SECONDS,
 )
 
 ZONES = 4
@@ -174,7 +174,7 @@
 
     def _first_call(self, gateway: int) -> float:
         """Time from the restore until a gateway's next call; it backs off after a failed call."""
-        pause = min(max(self._outage_seconds, INITIAL_BACKOFF_SECONDS), MAX_BACKOFF_SECONDS)
+        pause = min(max(self._outage_seconds, INITIAL_BACK_OFF_SECONDS), MAX_BACK_OFF_SECONDS)
         return pause * self._random.random() + RESUME_SPREAD_SECONDS * self._random.random()
 
     def _list(self, gateway: int, now: float) -> None:
@@ -182,7 +182,7 @@
         pages = KINDS - 2 + sum(math.ceil(size / PAGE_OBJECTS) for size in self._sizes())
         done = sum(self._reads.try_call(now + page * CALL_SECONDS) for page in range(pages))
         if done < pages:
-            self._push(now + MAX_BACKOFF_SECONDS * (0.5 + self._random.random()), gateway, "list")
+            self._push(now + MAX_BACK_OFF_SECONDS * (0.5 + self._random.random()), gateway, "list")
             return
         current_at = now + pages * CALL_SECONDS
         self._on_current(gateway, current_at)
@@ -233,7 +233,7 @@
             self._listed_at = max(self._listed_at, now + CALL_SECONDS)
             return
         share = MIN_CHECK_INTERVAL_SHARE + (1.0 - MIN_CHECK_INTERVAL_SHARE) * self._random.random()
-        self._push(now + MAX_WRITE_BACKOFF_SECONDS * share, gateway, "write")
+        self._push(now + MAX_WRITE_BACK_OFF_SECONDS * share, gateway, "write")
 
     def _figures(self, last: float) -> StoreRestoreFigures:
         all_current = len(self._current_at) == self._gateways
--- a/src/milletcourse/gateway/fleet/peers.py
+++ b/src/milletcourse/gateway/fleet/peers.py
@@ -38,7 +38,7 @@
         self._addresses: set[tuple[str, int]] = set()
         self._transport: asyncio.DatagramTransport | None = None
         self.holds_lease = False
-        context.on_instance_ended = self._notify_terminated
+        context.on_instance_terminated = self._notify_terminated
         context.cache_store_availability.on_observed = self._notify_cache_store
         context.update_listeners.append(self._tick)
         context.permits.send = self._send_permit_message
--- a/src/milletcourse/gateway/requests/exchange.py
+++ b/src/milletcourse/gateway/requests/exchange.py
@@ -91,7 +91,7 @@
     async def run(self) -> None:
         """Run attempts until there is one final answer."""
         self._set_deadline_timer()
-        self._context.wake_listeners.add(self._set_deadline_timer)
+        self._context.resume_listeners.add(self._set_deadline_timer)
         self._client.on_disconnected = self._on_client_disconnected
         if self._client.is_disconnected:
             # The client disconnected after sending its request and before this point.
@@ -100,7 +100,7 @@
         try:
             await self._run_attempts()
         finally:
-            self._context.wake_listeners.discard(self._set_deadline_timer)
+            self._context.resume_listeners.discard(self._set_deadline_timer)
             self._cancel_deadline_timer()
             self._client.on_disconnected = None
             self._handover.close()
--- a/src/milletcourse/gateway/requests/server_search.py
+++ b/src/milletcourse/gateway/requests/server_search.py
@@ -10,10 +10,10 @@
     NoEngineAvailable,
     Overloaded,
     ServersAtLimit,
+    ServersBackingOff,
     ServersLeaving,
-    ServersResting,
 )
-from milletcourse.exchange.limits.back_off_retry import backoff_retry_seconds
+from milletcourse.exchange.limits.back_off_retry import back_off_retry_seconds
 from milletcourse.exchange.load.signal_record import Signal
 from milletcourse.exchange.placement.instance_selector import Choice
 from milletcourse.exchange.servers.instance_table import Instance
@@ -126,7 +126,7 @@
     def _unavailable(self, retry_after: float) -> Failure:
         signals = self._signals_of_all(self._selected_at)
         if Signal.BACKING_OFF in signals:
-            return ServersResting(
+            return ServersBackingOff(
                 "every server requested back-off or is shutting down", self._seconds_until_retry()
             )
         if Signal.LEAVING in signals:
@@ -154,7 +154,7 @@
             key=lambda item: item.remaining_seconds,
         )
         drawn = self._context.random.random()
-        return backoff_retry_seconds(
+        return back_off_retry_seconds(
             first.remaining_seconds, first.total_seconds, self._job.rank, drawn
         )
 
--- a/src/milletcourse/gateway/requests/stream_handover.py
+++ b/src/milletcourse/gateway/requests/stream_handover.py
@@ -135,8 +135,9 @@
         self._on_offer_failed(server_attempt, result)
         if is_undecided:
             # The successor did not continue the stream, and the first server has sent nothing
-            # since. Only in this state is the stream offered again: the events of a server that is
-            # asked after the answer is complete would be written into the client's next answer.
+            # since. Only in this state is the stream offered again: the events of a server that
+            # gets the offer after the answer is complete would be written into the client's next
+            # answer.
             self.on_silent()
 
     def _stop_timer(self) -> None:
--- a/src/milletcourse/gateway/servers/connection_pool.py
+++ b/src/milletcourse/gateway/servers/connection_pool.py
@@ -87,7 +87,7 @@
         try:
             return await open_connection(address, self._dialect, timeout_seconds, self.clock)
         except LocalResourceError:
-            # The pending request matters more than idle connections. Their descriptors are free
+            # The pending request has priority over idle connections. Their descriptors are free
             # after the next iteration of the event loop.
             self.close()
             await asyncio.sleep(0)
--- a/src/milletcourse/gateway/servers/crash_detector.py
+++ b/src/milletcourse/gateway/servers/crash_detector.py
@@ -37,7 +37,7 @@
 
 
 class CrashDetector:
-    """Turns lost connections into evidence against requests, and tells which are contained.
+    """Turns lost connections into crash evidence against requests, and looks up their containments.
 
     Attributes:
         listeners: Called when there is new evidence that may have to be stored.
--- a/src/milletcourse/gateway/servers/server_permits.py
+++ b/src/milletcourse/gateway/servers/server_permits.py
@@ -86,7 +86,7 @@
             own_name: Name of this gateway.
             signals: Signals of servers: limits, shutdowns and requested back-off.
             retry_delays: Servers for which no permits are requested at present.
-            on_reports: Handles what a requester knows of a server's limit.
+            on_reports: Handles the server limits that requesters report.
             random_source: Spreads requests for permits in time.
             clock: Responsive time of the event loop, used for timeouts of quota owners.
             now: Monotonic time.
@@ -183,7 +183,7 @@
             return reply
         self.owner_selector.on_no_reply(chosen.name, self._now())
         self._metrics.on_quota_owner_timeout()
-        # Another quota owner is asked by the next request only: this one has waited long enough.
+        # Only the next request tries another quota owner: this one has waited long enough.
         return PermitReply(False)
 
     async def _request_from_owner(
--- a/src/milletcourse/gateway/servers/signal_monitor.py
+++ b/src/milletcourse/gateway/servers/signal_monitor.py
@@ -63,7 +63,7 @@
             return
         self._apply_limit(instance, head, sent_at)
         self._apply_leaving(instance, head)
-        self._apply_backoff(instance, head)
+        self._apply_back_off(instance, head)
 
     def on_reply(self, instance: Instance, head: AnswerHead, sent_at: float) -> None:
         """Apply the signals in a server's reply to an order or in its load report.
@@ -79,7 +79,7 @@
         if head.limit.per_second is not None or head.limit.unreadable:
             self._apply_limit(instance, head, sent_at)
         self._apply_leaving(instance, head)
-        self._apply_backoff(instance, head)
+        self._apply_back_off(instance, head)
 
     def on_reports(self, reports: Iterable[SignalReport], is_relayed: bool) -> None:
         """Apply signals that another gateway reports.
@@ -111,10 +111,10 @@
         if self.is_leaving(instance):
             tally.on_leaving_send(instance.name)
         elif self.is_backing_off(instance):
-            tally.on_resting_send(instance.name)
+            tally.on_back_off_send(instance.name)
 
     def is_leaving(self, instance: Instance) -> bool:
-        """Whether a server signalled in any way that it is shutting down."""
+        """Whether any signal of a server reports that it is shutting down."""
         return self._signals.signal(instance.key, self._record.now()) is Signal.LEAVING
 
     def is_backing_off(self, instance: Instance) -> bool:
@@ -151,7 +151,7 @@
         self._record.signals.leaving(instance.name, source)
         self._on_leaving(instance)
 
-    def _apply_backoff(self, instance: Instance, head: AnswerHead) -> None:
+    def _apply_back_off(self, instance: Instance, head: AnswerHead) -> None:
         if head.back_off.unreadable:
             self._record.signals.unreadable(instance.name, "rest", head.back_off.unreadable)
         if not head.back_off.seconds:
--- a/src/milletcourse/gateway/state/cache_store_availability.py
+++ b/src/milletcourse/gateway/state/cache_store_availability.py
@@ -14,7 +14,7 @@
     Attributes:
         unreachable: Addresses of the stores that don't answer.
         on_observed: Called with the address of a store, and whether it answered this gateway, when
-            the other gateways should know.
+            the other gateways must be notified.
     """
 
     def __init__(self, stores: CacheStorePlan, log: EventLog) -> None:
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -85,12 +85,12 @@
         reads_store: This gateway reads the store itself, so that it may serve followers.
         followed_reader: Name of the gateway that it follows instead; empty when there is none.
         cache_store_availability: Which prompt-cache stores answer.
-        on_instance_ended: Called when an answer showed that an incarnation has terminated.
+        on_instance_terminated: Called when an answer showed that an incarnation has terminated.
         restart_listeners: Called with the previous incarnation when a server has restarted.
-        wake_listeners: Called when the machine has resumed from suspension.
+        resume_listeners: Called when the machine has resumed from suspension.
         update_listeners: Called when there is an update that the other gateways need at once.
-        on_restore_update: Called when this gateway learns something of a restore of the store that
-            gateways need which start after all others have stopped.
+        on_restore_update: Called when this gateway has new information about a restore of the store
+            that must be persisted for gateways that start after all others have stopped.
     """
 
     def __init__(
@@ -124,10 +124,10 @@
         self.confirmed_era = ConfirmedEra(self._on_era_confirmed)
         self.lost_configuration = LostConfiguration(lambda: self.configuration_version)
         self.instances = InstanceTable()
-        self.on_instance_ended: Callable[[Instance], None] | None = None
+        self.on_instance_terminated: Callable[[Instance], None] | None = None
         self.restart_listeners: list[Callable[[Instance], None]] = []
         self.instances.on_restarted = self._on_restarted
-        self.wake_listeners: set[Callable[[], None]] = set()
+        self.resume_listeners: set[Callable[[], None]] = set()
         self._suspension_detector = SuspensionDetector()
         self.responsive_clock = ResponsiveClock()
         self.update_listeners: list[Callable[[], None]] = []
@@ -201,7 +201,7 @@
         if not suspended_seconds:
             return
         self.record.resumed_after_suspension(suspended_seconds)
-        for listener in list(self.wake_listeners):
+        for listener in list(self.resume_listeners):
             listener()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
@@ -259,7 +259,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a planned stop has started."""
         return self.planned_stop is not None
 
     @property
@@ -345,8 +345,8 @@
     def note_successor(self, instance: Instance, successor: str) -> None:
         """Retire an incarnation at whose address another one answered."""
         is_new = self.retire_instance(instance.name, successor, instance.record.started_ms)
-        if is_new and self.on_instance_ended is not None:
-            self.on_instance_ended(instance)
+        if is_new and self.on_instance_terminated is not None:
+            self.on_instance_terminated(instance)
 
     def _connection_quota(self, address: str) -> int:
         """Most connections to a server that this gateway may keep."""
--- a/src/milletcourse/gateway/store/feed_client.py
+++ b/src/milletcourse/gateway/store/feed_client.py
@@ -27,12 +27,13 @@
 from milletcourse.gateway.store.store_feed import CONTENT_PATH, FEED_PATH
 
 FEED_TIMEOUT_MARGIN_SECONDS = 0.4
-"""A reader whose answer is this much later than the requested hold is taken as silent."""
+"""A reader whose response is this much later than the requested hold counts as silent."""
 QUICK_REFUSAL_SECONDS = 0.1
 """A refusal within this time shows that the machine runs; its process may just be starting."""
 CONTENT_TIMEOUT_SECONDS = 3.0
-"""A content whose answer hasn't begun after this time is given up. The time is long, since a reader
-sends a content to all its followers at once; its other answers show meanwhile if it is alive."""
+"""The fetch of a content is aborted when its response hasn't started after this time. The time is
+long, since a reader sends a content to all its followers at once; its other responses show
+meanwhile that it is alive."""
 
 
 class FeedOutcome(Enum):
@@ -49,7 +50,7 @@
 
 
 class FeedClient:
-    """Polls one reader at a time, and applies its answers to the mirrors."""
+    """Polls one reader at a time, and applies its responses to the mirrors."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         Args:
             context: The gateway.
             calls: Sends the requests.
-            plan: Notified of the success or failure of readers.
+            reader_selection: Notified of the success or failure of readers.
             mirrors: Kinds that are requested. The calls of the first one prove that the reader
                 reads the store.
             spawn: Starts a task in the background.
@@ -78,7 +79,7 @@
         self._reader_name = ""
         self._pending = PendingContents()
         self._proved_at = float("-inf")
-        """Time of the proof in the latest answer."""
+        """Time of the proof in the latest response."""
         self._fetches: dict[str, asyncio.Task[None]] = {}
         self._is_content_missing = False
 
@@ -93,7 +94,7 @@
         Args:
             reader: The reader.
             hold_seconds: How long it holds the request while there are no changes.
-            margin_seconds: Time beyond that after which it is taken as silent.
+            margin_seconds: Time beyond that after which it counts as silent.
         """
         if reader.name != self._reader_name:
             self.disconnect()
@@ -128,7 +129,7 @@
         return FeedOutcome.SYNCED if self._is_current(response) else FeedOutcome.OUTDATED
 
     def disconnect(self) -> None:
-        """Leave the reader, and drop the contents that it announced."""
+        """Stop following the reader, and drop the contents that it announced."""
         for task in self._fetches.values():
             task.cancel()
         self._fetches.clear()
@@ -158,7 +159,7 @@
             for kind, mirror in self._mirrors.items()
         ]
 
-    # -- applying answers -----------------------------------------------------------------------
+    # -- applying responses ---------------------------------------------------------------------
 
     def _apply_response(
         self,
@@ -200,7 +201,7 @@
         for update in updates:
             kind = update.changes.kind
             mirror = self._mirrors[kind]
-            # An update with others pending after it proves nothing about the present.
+            # An update with others pending after it does not prove the current state.
             is_last = kind not in self._pending and update is updates[-1]
             proved_at = self._proved_at if is_last else mirror.proved_at
             try:
--- a/src/milletcourse/gateway/store/kind_mirror.py
+++ b/src/milletcourse/gateway/store/kind_mirror.py
@@ -273,7 +273,9 @@
         if self.position is None or (position is not None and position >= self.position):
             return None
         if not self._log.covers(position):
-            objects = [self._to_fed_object(stored, as_patches) for stored in self._objects.values()]
+            objects = [
+                self._to_feed_object(stored, as_patches) for stored in self._objects.values()
+            ]
             return FeedKind(self.kind, self.position, True, objects)
         changes = self._without_superseded(self._log.after(position), as_patches)
         return FeedKind(self.kind, self.position, False, [*changes])
@@ -297,7 +299,7 @@
             ):
                 yield _to_feed_patch(change.name, change.position, change.patch)
             elif change is last[change.name] and (stored := self._objects.get(change.name)):
-                yield self._to_fed_object(stored, as_patches)
+                yield self._to_feed_object(stored, as_patches)
 
     def _patches_exceed_content(self, name: str, patch_bytes: int) -> bool:
         """Whether the patches are larger than one that builds the whole content from nothing."""
@@ -306,7 +308,7 @@
             return False
         return patch_bytes > len(self._full_patch(stored).steps)
 
-    def _to_fed_object(self, stored: StoredObject, as_patch: bool) -> FeedObject:
+    def _to_feed_object(self, stored: StoredObject, as_patch: bool) -> FeedObject:
         if as_patch and len(stored.spec) >= MIN_PATCHED_BYTES:
             return _to_feed_patch(stored.name, stored.position, self._full_patch(stored))
         return FeedObject(stored.name, stored.position, msgspec.Raw(stored.spec))
--- a/src/milletcourse/gateway/store/kind_watch.py
+++ b/src/milletcourse/gateway/store/kind_watch.py
@@ -18,18 +18,18 @@
 )
 from milletcourse.runtime.clock import elapsed_seconds
 
-INITIAL_BACKOFF_SECONDS = 0.05
-MAX_BACKOFF_SECONDS = 0.4
+INITIAL_BACK_OFF_SECONDS = 0.05
+MAX_BACK_OFF_SECONDS = 0.4
 """After a failed call. Short, since a write has to be in force within a bound that starts when the
 store acknowledges it."""
-MAX_FOLLOWER_BACKOFF_SECONDS = 1.5
+MAX_FOLLOWER_BACK_OFF_SECONDS = 1.5
 """The same at a follower that reads the store because its reader failed: it returns to the reader
-as soon as that one reaches the store, so its own calls matter less."""
+as soon as that one reaches the store, so it can wait longer between its own calls."""
 CONFIRM_DELAY_SECONDS = 5.0
 """A first list that was read stale is read again, not stale, after this time."""
 LATE_ANSWER_SECONDS = 0.2
-"""An answer with content that takes this much longer than its wait proves little about the present:
-the changes after it are requested at once."""
+"""An answer with content that takes this much longer than its wait may be outdated on arrival: the
+changes after it are requested at once."""
 MAX_SUPERSEDED_BYTES = 64 * 1024
 """Superseded contents in one late answer; from this many on, lists are read instead of changes."""
 LIST_INTERVAL_SECONDS = 0.05
@@ -55,11 +55,11 @@
         random_source: random.Random,
         stale_lists: bool = False,
         leader: KindWatch | None = None,
-        max_backoff_seconds: float = MAX_BACKOFF_SECONDS,
+        max_back_off_seconds: float = MAX_BACK_OFF_SECONDS,
     ) -> None:
         self.reached = asyncio.Event()
         self._leader = leader
-        self._max_backoff_seconds = max_backoff_seconds
+        self._max_back_off_seconds = max_back_off_seconds
         self._store = store
         self._mirror = mirror
         self._wait_seconds = wait_seconds
@@ -123,7 +123,7 @@
             self._uses_lists = True
 
     def _update_lateness(self, seconds: float) -> None:
-        """Note whether an answer with content was late; one without content proves enough anyhow.
+        """Note whether an answer with content was late; one without content is always proof enough.
 
         Args:
             seconds: Time that it took beyond the requested wait.
@@ -156,9 +156,9 @@
             await self._leader.reached.wait()
             await asyncio.sleep(RESUME_SPREAD_SECONDS * self._random.random())
             return
-        backoff = min(INITIAL_BACKOFF_SECONDS * 2**self._failures, self._max_backoff_seconds)
+        back_off = min(INITIAL_BACK_OFF_SECONDS * 2**self._failures, self._max_back_off_seconds)
         self._failures = min(self._failures + 1, 8)
-        await asyncio.sleep(backoff * (0.5 + self._random.random()))
+        await asyncio.sleep(back_off * (0.5 + self._random.random()))
 
 
 async def list_current(
@@ -183,7 +183,7 @@
     objects, position, sent_at = await store.list_all(kind, stale, attempts_seconds, on_content)
     if not stale:
         return objects, position, sent_at
-    # A stale page alone proves nothing about the present; with the watch it does.
+    # A stale page alone does not prove the current state; together with the watch it does.
     since, watched_at = await store.watch(kind, position, 0.0)
     return _with_changes(objects, since), max(since.position, position), watched_at
 
--- a/src/milletcourse/gateway/store/object_store.py
+++ b/src/milletcourse/gateway/store/object_store.py
@@ -19,16 +19,16 @@
 from milletcourse.runtime.clock import elapsed_seconds
 
 CALL_TIMEOUT_SECONDS = 1.0
-"""A call whose answer hasn't begun after this time is aborted."""
+"""A call whose answer hasn't started after this time is aborted."""
 MAX_PAGE_ATTEMPTS = 4
 MIN_ATTEMPT_SECONDS = 0.1
-"""Shortest time allowed for the answer to a page request to begin."""
-INITIAL_PAGE_BACKOFF_SECONDS = 0.05
+"""Shortest timeout for the start of the answer to a page request."""
+INITIAL_PAGE_BACK_OFF_SECONDS = 0.05
 """Wait before a refused page is requested again; doubled each time, with jitter."""
 SERVER_ERROR_STATUS = 500
-"""From this status on, a reply says that the store didn't process the call."""
+"""From this status on, a reply means that the store didn't process the call."""
 WATCH_MARGIN_SECONDS = 0.6
-"""A watch whose answer is this much later than its requested wait is taken as hung."""
+"""A watch whose answer is this much later than its requested wait counts as hung."""
 
 
 DECODE_ERRORS = (msgspec.MsgspecError, ValueError, RecursionError)
@@ -218,7 +218,7 @@
             kind: Kind of the objects.
             stale: The list may be seconds old.
             attempts_seconds: After this time no page is requested again, and an answer that hasn't
-                begun is aborted; one that has begun is read however long it takes.
+                started is aborted; one that has started is read however long it takes.
             on_content: Called when a page that is being received carries content.
         """
         attempts_end_at = elapsed_seconds() + attempts_seconds
@@ -251,7 +251,7 @@
         attempts_end_at: float,
         on_content: Callable[[], None] | None,
     ) -> tuple[ObjectPage, float]:
-        backoff = INITIAL_PAGE_BACKOFF_SECONDS
+        back_off = INITIAL_PAGE_BACK_OFF_SECONDS
         call = self._dialect.list_call(kind, after, stale)
         attempts = 1
         while True:
@@ -263,12 +263,12 @@
                 return self._dialect.read_page(reply), reply.sent_at
             except StoreError as error:
                 is_last = (
-                    attempts >= MAX_PAGE_ATTEMPTS or elapsed_seconds() + backoff > attempts_end_at
+                    attempts >= MAX_PAGE_ATTEMPTS or elapsed_seconds() + back_off > attempts_end_at
                 )
                 if is_last or error.problem is StoreProblem.HISTORY_LOST:
                     raise
-                await asyncio.sleep(backoff * (0.5 + self._random.random()))
-                backoff *= 2
+                await asyncio.sleep(back_off * (0.5 + self._random.random()))
+                back_off *= 2
                 attempts += 1
 
     async def watch(
--- a/src/milletcourse/gateway/store/registration.py
+++ b/src/milletcourse/gateway/store/registration.py
@@ -38,13 +38,13 @@
 entries the store has lost don't all write them again at once."""
 MAX_CONSECUTIVE_WRITES = 2
 """The second write is based on the entry that the first one found in the store."""
-MAX_BACKOFF_SECONDS = 2.0
+MAX_BACK_OFF_SECONDS = 2.0
 """While the store fails, the time between two attempts doubles up to this, since each call to the
 store has a cost."""
 
 
 class Registration:
-    """Writes the entry when it is out of date; that of an earlier process mostly is up to date."""
+    """Writes the entry when it is out of date; that of an earlier process is mostly current."""
 
     def __init__(
         self,
@@ -169,7 +169,7 @@
         return False
 
     async def _on_store_error(self, error: StoreError) -> bool:
-        """Take what the error says of the entry as the base of the next write.
+        """Set the base of the next write to the state of the entry that the error reports.
 
         The entry may exist already, may have changed, or may have been deleted.
         """
@@ -178,7 +178,7 @@
         if error.problem is StoreProblem.NOT_FOUND:
             self._mark_lost()
         else:
-            self._interval_seconds = min(self._interval_seconds * 2, MAX_BACKOFF_SECONDS)
+            self._interval_seconds = min(self._interval_seconds * 2, MAX_BACK_OFF_SECONDS)
         return False
 
     def _mark_lost(self) -> None:
@@ -187,7 +187,7 @@
         self._is_lost = True
 
     async def _adopt_current(self, current: StoredObject | None) -> bool:
-        """Take the stored entry as the base of the next write.
+        """Set the base of the next write to the stored entry.
 
         It is read when the reply to the conflicting write doesn't include it.
         """
--- a/src/milletcourse/gateway/store/store_comparison.py
+++ b/src/milletcourse/gateway/store/store_comparison.py
@@ -65,7 +65,7 @@
 ) -> list[KindComparison]:
     """Read each kind from the store, and compare it with the cache.
 
-    A change that is being replicated shows as a difference, so a single comparison says little.
+    A change that is being replicated shows as a difference, so one comparison proves nothing.
     """
     return [await _compare(store, mirror, now) for mirror in mirrors]
 
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -26,7 +26,7 @@
 FEED_PATH = "/feed"
 CONTENT_PATH = "/content"
 MAX_HOLD_SECONDS = 5.0
-"""No request is held longer, whatever time it asks for."""
+"""Upper bound of the hold time that a request may ask for."""
 MIN_WAIT_SECONDS = 0.01
 _JSON = HeaderField(b"Content-Type", b"application/json")
 _BINARY = HeaderField(b"Content-Type", b"application/octet-stream")
@@ -36,7 +36,7 @@
     """Answers the feed requests of followers from the mirrors.
 
     It attests what the store holds, not that the configuration found there is valid: each gateway
-    judges that from its own state.
+    decides that from its own state.
     """
 
     def __init__(
@@ -92,9 +92,9 @@
             refuse(client, NotReady("this gateway isn't reading the store at present"))
             return
         changed_kinds = [
-            self._mirrors[asked.kind].since(asked.position, query.accepts_patches)
-            for asked in query.positions
-            if asked.kind in self._mirrors
+            self._mirrors[requested.kind].since(requested.position, query.accepts_patches)
+            for requested in query.positions
+            if requested.kind in self._mirrors
         ]
         proof_offset = self._proof_mirror.proved_at - received_at
         changes = [kind for kind in changed_kinds if kind is not None]
@@ -106,7 +106,7 @@
     def _with_pending_change(
         self, response: FeedResponse, query: FeedRequest, received_at: float
     ) -> FeedResponse:
-        """Add to an answer what is known of a newer configuration that it doesn't contain."""
+        """Add what is known of a newer configuration that the response doesn't contain."""
         context = self._context
         effect = not_committed_at = None
         if any(
@@ -133,29 +133,31 @@
         Such a follower has a later configuration, but no later position of the store.
         """
         known = self._proof_mirror.position
-        asked = next(
+        requested = next(
             (item.position for item in query.positions if item.kind == self._proof_mirror.kind),
             None,
         )
-        if known is not None and asked is not None and asked <= known:
+        if known is not None and requested is not None and requested <= known:
             self._context.on_lost_configuration(query.configuration)
 
     def _note_positions(self, query: FeedRequest) -> None:
-        for asked in query.positions:
-            mirror = self._mirrors.get(asked.kind)
+        for requested in query.positions:
+            mirror = self._mirrors.get(requested.kind)
             known = mirror.position if mirror is not None else None
-            if known is not None and asked.position is not None:
-                self._context.record.store.follower_position(asked.kind, asked.position, known)
+            if known is not None and requested.position is not None:
+                self._context.record.store.follower_position(
+                    requested.kind, requested.position, known
+                )
 
     def _is_an_era_behind(self, query: FeedRequest) -> bool:
         """Whether the follower knows of a restore of the store that isn't known here yet.
 
         The proofs of this gateway then belong to a history that the store has lost.
         """
-        for asked in query.positions:
-            mirror = self._mirrors.get(asked.kind)
+        for requested in query.positions:
+            mirror = self._mirrors.get(requested.kind)
             known = mirror.position if mirror is not None else None
-            position = asked.position
+            position = requested.position
             if position is not None and known is not None and position.era > known.era:
                 return True
         return False
@@ -204,9 +206,9 @@
 
     def _has_changes(self, query: FeedRequest) -> bool:
         return any(
-            self._mirrors[asked.kind].has_changes(asked.position)
-            for asked in query.positions
-            if asked.kind in self._mirrors
+            self._mirrors[requested.kind].has_changes(requested.position)
+            for requested in query.positions
+            if requested.kind in self._mirrors
         )
 
     def _wake(self) -> None:
--- a/src/milletcourse/gateway/store/store_sync.py
+++ b/src/milletcourse/gateway/store/store_sync.py
@@ -15,8 +15,8 @@
 from milletcourse.gateway.store.feed_client import QUICK_REFUSAL_SECONDS, FeedClient, FeedOutcome
 from milletcourse.gateway.store.kind_mirror import KindMirror
 from milletcourse.gateway.store.kind_watch import (
-    MAX_BACKOFF_SECONDS,
-    MAX_FOLLOWER_BACKOFF_SECONDS,
+    MAX_BACK_OFF_SECONDS,
+    MAX_FOLLOWER_BACK_OFF_SECONDS,
     KindWatch,
     list_current,
 )
@@ -27,9 +27,9 @@
 READER_WAIT_SECONDS = 0.7
 """Time to wait for a reader at a start, since many gateways may start at once."""
 FIRST_LIST_TIMEOUT_SECONDS = 0.8
-"""Lists whose answers haven't begun after this time are given up; a reader may have them."""
+"""A list call is aborted if its answer hasn't started by then; a reader may have the list."""
 MIN_FIRST_FEED_MEGABITS = 50.0
-"""Narrowest link of a reader that is asked for all objects: 100 KB take some 20 ms on it."""
+"""Narrowest link of a reader from which all objects are requested: 100 KB take some 20 ms on it."""
 MIN_POLL_INTERVAL_SECONDS = 0.02
 """Pause between two requests, so that a burst of changes arrives in few answers."""
 
@@ -224,9 +224,9 @@
                 random_source,
                 kind.stale_lists,
                 leader,
-                MAX_BACKOFF_SECONDS
+                MAX_BACK_OFF_SECONDS
                 if self._reader_selection.is_reader
-                else MAX_FOLLOWER_BACKOFF_SECONDS,
+                else MAX_FOLLOWER_BACK_OFF_SECONDS,
             )
             if Mechanism.SINGLE_KIND_POLLING in self._context.mechanisms:
                 leader = leader or watch
--- a/src/milletcourse/gateway/telemetry/recorder.py
+++ b/src/milletcourse/gateway/telemetry/recorder.py
@@ -242,7 +242,7 @@
         )
 
     def client_left(
-        self, request: ExchangeRequest, route: RouteRecord, instance: str, stream_begun: bool
+        self, request: ExchangeRequest, route: RouteRecord, instance: str, stream_started: bool
     ) -> None:
         """A client closed its connection before the answer was complete."""
         self.tally.on_end(route.name, Outcome.CLIENT_DISCONNECTED)
@@ -251,7 +251,7 @@
             "client-left",
             route=route.name,
             instance=instance,
-            stream_begun=stream_begun,
+            stream_begun=stream_started,
             **self._request_fields(request),
         )
 
--- a/src/milletcourse/gateway/telemetry/store_recorder.py
+++ b/src/milletcourse/gateway/telemetry/store_recorder.py
@@ -156,22 +156,22 @@
             known=_position_fields(known),
         )
 
-    def follower_position(self, kind: str, asked: StorePosition, known: StorePosition) -> None:
+    def follower_position(self, kind: str, follower: StorePosition, known: StorePosition) -> None:
         """A follower polls with its position; logged once per kind while it is ahead of ours.
 
         Args:
             kind: Kind of the objects.
-            asked: Position up to which the follower knows them.
+            follower: Position up to which the follower knows them.
             known: Position up to which they are known here.
         """
-        if asked <= known:
+        if follower <= known:
             self._kinds_ahead.discard(kind)
         elif kind not in self._kinds_ahead:
             self._kinds_ahead.add(kind)
             self._log.emit(
                 "follower-ahead",
                 kind=kind,
-                asked=_position_fields(asked),
+                asked=_position_fields(follower),
                 known=_position_fields(known),
             )
 
--- a/src/milletcourse/simulation/world.py
+++ b/src/milletcourse/simulation/world.py
@@ -289,7 +289,7 @@
 
     def machine_leaves(self, name: str) -> None:
         """The platform learns that a machine leaves."""
-        self.platform.core.set_machine(name, MachineState.LEAVING, self.now())
+        self.platform.core.set_machine(name, MachineState.DRAINING, self.now())
         shown_at = self.now() + self.platform.machine_lag_seconds
         self.truth.leaving_since.setdefault(name, shown_at)
 
--- a/src/milletcourse/streams/answer_service.py
+++ b/src/milletcourse/streams/answer_service.py
@@ -48,7 +48,7 @@
 FIRST_TOKEN_TIMEOUT_SECONDS = 90.0
 TOKEN_TIMEOUT_SECONDS = 15.0
 """A generating engine sends several tokens per second; a longer gap means that it hangs."""
-CONNECT_BACKOFF_SECONDS = 0.05
+CONNECT_BACK_OFF_SECONDS = 0.05
 
 
 class AnswerService:
@@ -145,7 +145,7 @@
                 stream = await self._engines.complete(attempt.address, completion)
             except FailureError as error:
                 await self._on_attempt_failed(request, progress, attempt, error.failure)
-                await self._clock.sleep(CONNECT_BACKOFF_SECONDS)
+                await self._clock.sleep(CONNECT_BACK_OFF_SECONDS)
                 continue
             self._selector.loads.on_reachable(attempt.engine)
             self._selector.cache_estimates.observe_incarnation(attempt.engine, stream.incarnation)
--- a/tests/exchange/limits/test_back_off_retry.py
+++ b/tests/exchange/limits/test_back_off_retry.py
@@ -8,7 +8,7 @@
 from milletcourse.exchange.limits.back_off_retry import (
     MAX_SPREAD_SECONDS,
     RANKS,
-    backoff_retry_seconds,
+    back_off_retry_seconds,
 )
 from milletcourse.experiments.backoff_model import BackoffModel, BackoffStrategy, Overload
 
@@ -26,14 +26,14 @@
     left: float, rest: float, rank: int, drawn: float
 ) -> None:
     """Retries are spread over a bounded time after it."""
-    seconds = backoff_retry_seconds(left, rest, rank, drawn)
+    seconds = back_off_retry_seconds(left, rest, rank, drawn)
     assert left <= seconds <= left + min(rest, MAX_SPREAD_SECONDS)
 
 
 def test_more_urgent_callers_retry_first() -> None:
     """They retry earlier on average, and the most urgent ones in the first half."""
-    urgent = [backoff_retry_seconds(0.0, 3.0, 0, drawn / 10) for drawn in range(11)]
-    least = [backoff_retry_seconds(0.0, 3.0, RANKS, drawn / 10) for drawn in range(11)]
+    urgent = [back_off_retry_seconds(0.0, 3.0, 0, drawn / 10) for drawn in range(11)]
+    least = [back_off_retry_seconds(0.0, 3.0, RANKS, drawn / 10) for drawn in range(11)]
     assert max(urgent) <= 1.5
     assert sum(urgent) < sum(least)
 
