--- a/src/milletcourse/cli/demo.py
+++ b/src/milletcourse/cli/demo.py
@@ -26,7 +26,7 @@
 )
 
 RULES_TEXT = "No member works more than five nights in a row. " * 700
-QUESTIONS = 12
+REQUESTS = 12
 ANSWER_TOKENS = 24
 
 
@@ -68,7 +68,7 @@
 async def _traffic(cluster: EmbeddedCluster) -> DemoSummary:
     served = streamed = wrong = prompt_tokens = cached_tokens = 0
     async with aiohttp.ClientSession() as session:
-        for index in range(QUESTIONS):
+        for index in range(REQUESTS):
             router = cluster.routers[index % len(cluster.routers)]
             stream = index % 2 == 0
             text, usage = await _ask(session, router.address, index, stream)
--- a/src/milletcourse/cli/experiment.py
+++ b/src/milletcourse/cli/experiment.py
@@ -57,8 +57,8 @@
     ] = 1,
 ) -> None:
     """Compare strategies that enforce a tenant's limit across many gateways."""
-    for figures in compare_limit_strategies(parse_sizes(gateways), seed):
-        sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
+    for result in compare_limit_strategies(parse_sizes(gateways), seed):
+        sys.stdout.write(msgspec.json.encode(result).decode() + "\n")
 
 
 @app.command("changes")
@@ -66,8 +66,8 @@
     seed: Annotated[int, typer.Option(help="Seed of all random draws.")] = 1,
 ) -> None:
     """Compare strategies that distribute configuration changes over links of given bandwidth."""
-    for figures in compare_changes(seed):
-        sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
+    for result in compare_changes(seed):
+        sys.stdout.write(msgspec.json.encode(result).decode() + "\n")
 
 
 @app.command("allowances")
@@ -79,8 +79,8 @@
     ] = 1,
 ) -> None:
     """Compare strategies that enforce a limit announced by a server."""
-    for figures in compare_server_quotas(parse_sizes(gateways), parse_sizes(per_second), seed):
-        sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
+    for result in compare_server_quotas(parse_sizes(gateways), parse_sizes(per_second), seed):
+        sys.stdout.write(msgspec.json.encode(result).decode() + "\n")
 
 
 @app.command("rests")
@@ -92,11 +92,11 @@
     out: Annotated[Path | None, typer.Option(help="Directory for a PNG plot.")] = None,
 ) -> None:
     """Compare strategies for servers that request a back-off, and for the requests they refuse."""
-    figures = compare_backoffs(parse_sizes(gateways), seed)
-    for item in figures:
+    results = compare_backoffs(parse_sizes(gateways), seed)
+    for item in results:
         sys.stdout.write(msgspec.json.encode(item).decode() + "\n")
     if out is not None:
-        sys.stderr.write(f"wrote {plot_backoffs(figures, out)}\n")
+        sys.stderr.write(f"wrote {plot_backoffs(results, out)}\n")
 
 
 @app.command("returns")
@@ -107,8 +107,8 @@
     ] = 1,
 ) -> None:
     """Compare strategies of recovery after the object store was restored from an older snapshot."""
-    for figures in compare_store_restores(parse_sizes(gateways), seed):
-        sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
+    for result in compare_store_restores(parse_sizes(gateways), seed):
+        sys.stdout.write(msgspec.json.encode(result).decode() + "\n")
 
 
 @app.command("containment")
@@ -120,8 +120,8 @@
     ] = 1,
 ) -> None:
     """Compare strategies that contain requests which crash the servers that run them."""
-    for figures in compare_containment(parse_sizes(gateways), parse_sizes(crashing), seed):
-        sys.stdout.write(msgspec.json.encode(figures).decode() + "\n")
+    for result in compare_containment(parse_sizes(gateways), parse_sizes(crashing), seed):
+        sys.stdout.write(msgspec.json.encode(result).decode() + "\n")
 
 
 @app.command("routing")
--- a/src/milletcourse/exchange/limits/quota_owner_selector.py
+++ b/src/milletcourse/exchange/limits/quota_owner_selector.py
@@ -18,7 +18,7 @@
 FIRST_SKIP_SECONDS = 1.0
 """An owner that didn't reply is skipped for this long."""
 MAX_SKIP_SECONDS = 8.0
-"""The skip time doubles up to this, since a request that tries a silent owner waits in vain."""
+"""The skip time doubles up to this, since each request to a silent owner waits for its timeout."""
 
 
 class SelectedOwner(msgspec.Struct, frozen=True):
--- a/src/milletcourse/exchange/load/signal_record.py
+++ b/src/milletcourse/exchange/load/signal_record.py
@@ -21,7 +21,7 @@
 
 
 class Signal(Enum):
-    """Why a server's self-reported state keeps requests away from it."""
+    """Why a server's self-reported state excludes it from new requests."""
 
     LEAVING = "leaving"
     """It is shutting down."""
@@ -110,7 +110,7 @@
         return max(self.limit_seen_at, self.first_leaving_at if self.is_leaving else float("-inf"))
 
     def signal(self, now: float) -> Signal | None:
-        """The signal that keeps requests away from it now, None for none."""
+        """The signal that excludes it from new requests now, None for none."""
         if self.is_leaving:
             return Signal.LEAVING
         return Signal.BACKING_OFF if now < self.back_off_until else None
@@ -157,7 +157,7 @@
 
 
 class ServerSignalState(msgspec.Struct, frozen=True):
-    """A server's self-reported state that keeps requests away from it, for operators.
+    """A server's self-reported state that excludes it from new requests, for operators.
 
     Attributes:
         instance: Name of the server.
--- a/src/milletcourse/exchange/rollout/rollout_timing.py
+++ b/src/milletcourse/exchange/rollout/rollout_timing.py
@@ -44,7 +44,7 @@
         observed = self._released_at[-1] - self._released_at[0]
         interval = (observed + usual_seconds) / len(self._released_at)
         elapsed = now - self._released_at[-1]
-        # An overdue release is expected after as much time again as has already elapsed.
+        # The time left to an overdue release is estimated as the time that has elapsed.
         return interval - elapsed if elapsed < interval else elapsed
 
 
--- a/src/milletcourse/exchange/servers/instance_table.py
+++ b/src/milletcourse/exchange/servers/instance_table.py
@@ -16,9 +16,9 @@
 from milletcourse.exchange.servers.server_tombstones import ServerTombstones
 
 REREGISTRATION_SECONDS = 2.3
-"""An entry that lapsed while the store was unavailable is kept this long after the store is reachable
-again: live servers that reach the store are registered again within two seconds, and a watch reports
-it soon after. Entries that are still missing then are removed."""
+"""An entry that lapsed while the store was unavailable is kept this long after the store is
+reachable again: live servers that reach the store are registered again within two seconds, and a
+watch reports it soon after. Entries that are still missing then are removed."""
 UNKNOWN_VERSION_SECONDS = 0.3
 """A server whose weight version is unknown is avoided this long while others are free."""
 LATENCY_GAIN = 0.2
--- a/src/milletcourse/exchange/servers/server_tombstones.py
+++ b/src/milletcourse/exchange/servers/server_tombstones.py
@@ -26,11 +26,11 @@
 
     Attributes:
         started_ms: Its start as reported by its entry or its answers; 0 when unknown.
-        at: Monotonic time of the removal.
+        removed_at: Monotonic time of the removal.
     """
 
     started_ms: int
-    at: float
+    removed_at: float
 
 
 class ServerTombstones:
@@ -42,7 +42,7 @@
         self._verified_from = float("-inf")
 
     def add(self, record: InstanceRecord, now: float) -> None:
-        """Record that a server's entry was removed for good."""
+        """Record that a server's entry was removed permanently."""
         self._tombstones[record.name] = _Tombstone(record.started_ms, now)
         self._tombstones.move_to_end(record.name)
         while len(self._tombstones) > MAX_TOMBSTONES:
@@ -58,7 +58,7 @@
         if (
             now >= self._verified_from
             or tombstone is None
-            or now - tombstone.at > TOMBSTONE_SECONDS
+            or now - tombstone.removed_at > TOMBSTONE_SECONDS
         ):
             return False
         if tombstone.started_ms and record.started_ms > tombstone.started_ms:
--- a/src/milletcourse/gateway/requests/attempt.py
+++ b/src/milletcourse/gateway/requests/attempt.py
@@ -271,9 +271,9 @@
             if event.complete:
                 break
         self._context.pool.release(connection)
-        return self._judge_whole(head, b"".join(pieces))
+        return self._evaluate_whole(head, b"".join(pieces))
 
-    def _judge_whole(self, head: AnswerHead, body: bytes) -> AttemptResult:
+    def _evaluate_whole(self, head: AnswerHead, body: bytes) -> AttemptResult:
         result = classify_answer(head, self._instance.name, self._dispatch.weight_version)
         if result is AttemptResult.REJECTED and head.back_off.seconds is not None:
             self.server_retry_after_seconds = head.back_off.seconds
@@ -356,8 +356,8 @@
             self._abort(AbortCause.SERVER_SILENT)
             return
         self._context.note_result(self._instance, AttemptResult.LOST)
-        again = MIN_SILENCE_SECONDS if self._relay.has_started else float("inf")
-        self._silence_timer.expect_within(min(seconds_to_start, again))
+        repeat_seconds = MIN_SILENCE_SECONDS if self._relay.has_started else float("inf")
+        self._silence_timer.expect_within(min(seconds_to_start, repeat_seconds))
         if self._job.route.repeatable:
             self._listener.on_silent()
 
--- a/src/milletcourse/gateway/servers/crash_detector.py
+++ b/src/milletcourse/gateway/servers/crash_detector.py
@@ -68,7 +68,7 @@
         self._checks: dict[str, asyncio.Task[None]] = {}
 
     def containment(self, identity: Callable[[], int]) -> Containment | None:
-        """The containment that keeps a request from servers, None when it may be sent.
+        """The containment of a request, None when it may be sent to servers.
 
         Args:
             identity: Computes the identity of the request; called only while there is evidence.
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -165,8 +165,8 @@
     def _can_attest(self) -> bool:
         """Whether the mirrors are current enough to be served.
 
-        The allowed age is higher while this gateway is receiving a change: followers that turned to
-        the store would only request the same content from it.
+        The allowed age is higher while this gateway is receiving a change: followers that fell back
+        to the store would only request the same content from it.
         """
         context = self._context
         if not context.reads_store or context.stopping:
--- a/src/milletcourse/gateway/store/store_sync.py
+++ b/src/milletcourse/gateway/store/store_sync.py
@@ -193,8 +193,8 @@
     async def _follow_substitute(self) -> None:
         """Poll another reader for as long as the store can't be reached from here.
 
-        The store may refuse this gateway alone. Its own watches go on meanwhile, to detect when the
-        store can be reached again; the proofs are as old as those of the other reader.
+        The store may refuse only this gateway. Its own watches continue in parallel, to detect when
+        the store can be reached again; the proofs are as old as those of the other reader.
         """
         reader = self._reader_selection.choose_fallback(self._context.now())
         if reader is None or await self._feed.poll(reader, 0.0) is not FeedOutcome.SYNCED:
