--- a/src/milletcourse/exchange/limits/quota_owner_selector.py
+++ b/src/milletcourse/exchange/limits/quota_owner_selector.py
@@ -18,11 +18,11 @@
 FIRST_SKIP_SECONDS = 1.0
 """An owner that didn't reply is skipped for this long."""
 MAX_SKIP_SECONDS = 8.0
-"""The skip time doubles up to this, since a request that tries a silent owner waits in vain."""
+"""The skip time doubles up to this, since each request to a silent owner waits for its timeout."""
 
 
 class SelectedOwner(msgspec.Struct, frozen=True):
-    """The gateway that is asked for a permit.
+    """The gateway from which a permit is requested.
 
     Attributes:
         name: Name of the gateway, which may be this one.
@@ -59,7 +59,7 @@
         self._skipped = {name: kept for name, kept in self._skipped.items() if name in others}
 
     def select(self, key: int, now: float) -> SelectedOwner:
-        """The gateway to ask for a permit.
+        """The gateway from which to request a permit.
 
         Args:
             key: Identity of the quota.
--- a/src/milletcourse/gateway/state/context.py
+++ b/src/milletcourse/gateway/state/context.py
@@ -85,12 +85,12 @@
         reads_store: This gateway reads the store itself, so that it may serve followers.
         followed_reader: Name of the gateway that it follows instead; empty when there is none.
         cache_store_availability: Which prompt-cache stores answer.
-        on_instance_ended: Called when an answer showed that an incarnation has terminated.
+        on_instance_terminated: Called when an answer showed that an incarnation has terminated.
         restart_listeners: Called with the previous incarnation when a server has restarted.
-        wake_listeners: Called when the machine has resumed from suspension.
+        resume_listeners: Called when the machine has resumed from suspension.
         update_listeners: Called when there is an update that the other gateways need at once.
-        on_restore_update: Called when this gateway learns something of a restore of the store that
-            gateways need which start after all others have stopped.
+        on_restore_update: Called when this gateway has new information about a restore of the store
+            that must be persisted for gateways that start after all others have stopped.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         dialect: HeaderDialect,
         random_source: random.Random,
         log: EventLog,
-        figures: MetricsSink,
+        metrics: MetricsSink,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
     ) -> None:
         self.settings = settings
@@ -107,7 +107,7 @@
         self.dialect = dialect
         self.random = random_source
         self.log = log
-        self.record = Recorder(log, figures, self._reported_state, self.now)
+        self.record = Recorder(log, metrics, self._reported_state, self.now)
         self.route_table: RouteTable | None = None
         self.planned_stop: PlannedStop | None = None
         self.loop = asyncio.get_running_loop()
@@ -124,11 +124,11 @@
         self.confirmed_era = ConfirmedEra(self._on_era_confirmed)
         self.lost_configuration = LostConfiguration(lambda: self.configuration_version)
         self.instances = InstanceTable()
-        self.on_instance_ended: Callable[[Instance], None] | None = None
+        self.on_instance_terminated: Callable[[Instance], None] | None = None
         self.restart_listeners: list[Callable[[Instance], None]] = []
         self.instances.on_restarted = self._on_restarted
-        self.wake_listeners: set[Callable[[], None]] = set()
-        self._sleep_detector = SuspensionDetector()
+        self.resume_listeners: set[Callable[[], None]] = set()
+        self._suspension_detector = SuspensionDetector()
         self.responsive_clock = ResponsiveClock()
         self.update_listeners: list[Callable[[], None]] = []
         self.server_signals = ServerSignals()
@@ -150,7 +150,7 @@
             self.responsive_clock,
             self.now,
             lambda: self.members,
-            figures,
+            metrics,
         )
         self.gate = VersionGate(bounds.version)
         self.crash_evidence = CrashEvidence()
@@ -197,11 +197,11 @@
         Deadlines are kept on a clock that includes the suspension, so they have passed already;
         timers were stopped, and are set again by the listeners.
         """
-        slept = self._sleep_detector.take_suspension_seconds()
-        if not slept:
+        suspended_seconds = self._suspension_detector.take_suspension_seconds()
+        if not suspended_seconds:
             return
-        self.record.resumed_after_suspension(slept)
-        for listener in list(self.wake_listeners):
+        self.record.resumed_after_suspension(suspended_seconds)
+        for listener in list(self.resume_listeners):
             listener()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
@@ -234,8 +234,8 @@
                 instance.key,
                 instance.in_flight_tokens,
                 instance.in_flight,
-                tally.bad,
-                tally.good,
+                tally.failures,
+                tally.successes,
                 instance.memory_tokens,
             )
             if not load.is_zero:
@@ -259,7 +259,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a planned stop has started."""
         return self.planned_stop is not None
 
     @property
@@ -345,8 +345,8 @@
     def note_successor(self, instance: Instance, successor: str) -> None:
         """Retire an incarnation at whose address another one answered."""
         is_new = self.retire_instance(instance.name, successor, instance.record.started_ms)
-        if is_new and self.on_instance_ended is not None:
-            self.on_instance_ended(instance)
+        if is_new and self.on_instance_terminated is not None:
+            self.on_instance_terminated(instance)
 
     def _connection_quota(self, address: str) -> int:
         """Most connections to a server that this gateway may keep."""
--- a/src/milletcourse/gateway/store/store_feed.py
+++ b/src/milletcourse/gateway/store/store_feed.py
@@ -26,7 +26,7 @@
 FEED_PATH = "/feed"
 CONTENT_PATH = "/content"
 MAX_HOLD_SECONDS = 5.0
-"""No request is held longer, whatever time it asks for."""
+"""Upper bound of the hold time that a request may ask for."""
 MIN_WAIT_SECONDS = 0.01
 _JSON = HeaderField(b"Content-Type", b"application/json")
 _BINARY = HeaderField(b"Content-Type", b"application/octet-stream")
@@ -36,7 +36,7 @@
     """Answers the feed requests of followers from the mirrors.
 
     It attests what the store holds, not that the configuration found there is valid: each gateway
-    judges that from its own state.
+    decides that from its own state.
     """
 
     def __init__(
@@ -92,28 +92,32 @@
             refuse(client, NotReady("this gateway isn't reading the store at present"))
             return
         changed_kinds = [
-            self._mirrors[asked.kind].since(asked.position, query.accepts_patches)
-            for asked in query.positions
-            if asked.kind in self._mirrors
+            self._mirrors[requested.kind].since(requested.position, query.accepts_patches)
+            for requested in query.positions
+            if requested.kind in self._mirrors
         ]
         proof_offset = self._proof_mirror.proved_at - received_at
         changes = [kind for kind in changed_kinds if kind is not None]
-        answer = self._with_pending_change(FeedResponse(changes, proof_offset), query, received_at)
-        client.send_whole(200, b"", [_JSON], encode_feed_response(answer, query.accepts_patches))
+        response = self._with_pending_change(
+            FeedResponse(changes, proof_offset), query, received_at
+        )
+        client.send_whole(200, b"", [_JSON], encode_feed_response(response, query.accepts_patches))
 
     def _with_pending_change(
-        self, answer: FeedResponse, query: FeedRequest, received_at: float
+        self, response: FeedResponse, query: FeedRequest, received_at: float
     ) -> FeedResponse:
-        """Add to an answer what is known of a newer configuration that it doesn't contain."""
+        """Add what is known of a newer configuration that the response doesn't contain."""
         context = self._context
         effect = not_committed_at = None
-        if any(kind.kind == self._proof_mirror.kind and kind.is_announced for kind in answer.kinds):
+        if any(
+            kind.kind == self._proof_mirror.kind and kind.is_announced for kind in response.kinds
+        ):
             effect = context.effects.since(query.configuration)
             not_committed_at = context.effects.not_committed_at(query.configuration)
         else:
             not_committed_at = context.lag.not_committed_at
         return msgspec.structs.replace(
-            answer,
+            response,
             is_receiving=self._proof_mirror.is_receiving,
             effect=effect,
             unpublished_offset=not_committed_at - received_at
@@ -129,29 +133,31 @@
         Such a follower has a later configuration, but no later position of the store.
         """
         known = self._proof_mirror.position
-        asked = next(
+        requested = next(
             (item.position for item in query.positions if item.kind == self._proof_mirror.kind),
             None,
         )
-        if known is not None and asked is not None and asked <= known:
+        if known is not None and requested is not None and requested <= known:
             self._context.on_lost_configuration(query.configuration)
 
     def _note_positions(self, query: FeedRequest) -> None:
-        for asked in query.positions:
-            mirror = self._mirrors.get(asked.kind)
+        for requested in query.positions:
+            mirror = self._mirrors.get(requested.kind)
             known = mirror.position if mirror is not None else None
-            if known is not None and asked.position is not None:
-                self._context.record.store.follower_position(asked.kind, asked.position, known)
+            if known is not None and requested.position is not None:
+                self._context.record.store.follower_position(
+                    requested.kind, requested.position, known
+                )
 
     def _is_an_era_behind(self, query: FeedRequest) -> bool:
         """Whether the follower knows of a restore of the store that isn't known here yet.
 
         The proofs of this gateway then belong to a history that the store has lost.
         """
-        for asked in query.positions:
-            mirror = self._mirrors.get(asked.kind)
+        for requested in query.positions:
+            mirror = self._mirrors.get(requested.kind)
             known = mirror.position if mirror is not None else None
-            position = asked.position
+            position = requested.position
             if position is not None and known is not None and position.era > known.era:
                 return True
         return False
@@ -159,8 +165,8 @@
     def _can_attest(self) -> bool:
         """Whether the mirrors are current enough to be served.
 
-        The allowed age is higher while this gateway is receiving a change: followers that turned to
-        the store would only request the same content from it.
+        The allowed age is higher while this gateway is receiving a change: followers that fell back
+        to the store would only request the same content from it.
         """
         context = self._context
         if not context.reads_store or context.stopping:
@@ -200,9 +206,9 @@
 
     def _has_changes(self, query: FeedRequest) -> bool:
         return any(
-            self._mirrors[asked.kind].has_changes(asked.position)
-            for asked in query.positions
-            if asked.kind in self._mirrors
+            self._mirrors[requested.kind].has_changes(requested.position)
+            for requested in query.positions
+            if requested.kind in self._mirrors
         )
 
     def _wake(self) -> None:
--- a/src/milletcourse/gateway/telemetry/store_recorder.py
+++ b/src/milletcourse/gateway/telemetry/store_recorder.py
@@ -60,17 +60,17 @@
         """
         self._log.emit("store-era-confirmed", era=era, evidence=evidence.value)
 
-    def store_restored(self, store_return: StoreRestore) -> None:
+    def store_restored(self, store_restore: StoreRestore) -> None:
         """One kind of objects shows that the store was restored from an older snapshot."""
         self._metrics.on_store_restored()
         self._log.emit(
             "store-returned",
-            kind=store_return.kind,
-            before=_position_fields(store_return.before),
-            after=_position_fields(store_return.after),
-            missing=len(store_return.missing),
-            changed=len(store_return.changed),
-            names=[*store_return.missing, *store_return.changed][:MAX_NAMES],
+            kind=store_restore.kind,
+            before=_position_fields(store_restore.before),
+            after=_position_fields(store_restore.after),
+            missing=len(store_restore.missing),
+            changed=len(store_restore.changed),
+            names=[*store_restore.missing, *store_restore.changed][:MAX_NAMES],
         )
 
     def entry_rewritten(self, position: StorePosition) -> None:
@@ -156,22 +156,22 @@
             known=_position_fields(known),
         )
 
-    def follower_position(self, kind: str, asked: StorePosition, known: StorePosition) -> None:
+    def follower_position(self, kind: str, follower: StorePosition, known: StorePosition) -> None:
         """A follower polls with its position; logged once per kind while it is ahead of ours.
 
         Args:
             kind: Kind of the objects.
-            asked: Position up to which the follower knows them.
+            follower: Position up to which the follower knows them.
             known: Position up to which they are known here.
         """
-        if asked <= known:
+        if follower <= known:
             self._kinds_ahead.discard(kind)
         elif kind not in self._kinds_ahead:
             self._kinds_ahead.add(kind)
             self._log.emit(
                 "follower-ahead",
                 kind=kind,
-                asked=_position_fields(asked),
+                asked=_position_fields(follower),
                 known=_position_fields(known),
             )
 
--- a/src/milletcourse/simulation/world.py
+++ b/src/milletcourse/simulation/world.py
@@ -289,7 +289,7 @@
 
     def mark_machine_leaving(self, name: str) -> None:
         """Mark a machine as leaving in the platform's list, which shows it after its lag."""
-        self.platform.core.set_machine(name, MachineState.LEAVING, self.now())
+        self.platform.core.set_machine(name, MachineState.DRAINING, self.now())
         shown_at = self.now() + self.platform.machine_lag_seconds
         self.truth.draining_since.setdefault(name, shown_at)
 
