--- a/tests/soak/planned.py
+++ b/tests/soak/planned.py
@@ -280,7 +280,9 @@
 
 def report_of(seed: int, world: SoakWorld, servers_are_silent: bool) -> Report:
     """Report with counts by verdict and the first lost requests."""
-    servers_may_be_silent = servers_are_silent or world.clock.stalled_seconds > MAX_OWN_STALL_SECONDS
+    servers_may_be_silent = (
+        servers_are_silent or world.clock.stalled_seconds > MAX_OWN_STALL_SECONDS
+    )
     verdicts = world.verdicts()
     lost = [item for item in world.requests if verdicts[item.request_id] in LOST]
     events: Counter[str] = Counter()
