--- a/src/milletcourse/exchange/rollout/weight_rollout.py
+++ b/src/milletcourse/exchange/rollout/weight_rollout.py
@@ -49,8 +49,9 @@
 
 
 RUNNING_WORK = RunningWork.KEEP
-"""Of the three modes `KEEP` serves most on both reference fleets. Prompt state that such a request
-adds to the cache has the salt of the older version, which no later request at that server uses."""
+"""Of the three modes `KEEP` gives the best results on both reference fleets. Prompt state that such
+a request adds to the cache has the salt of the older version, which no later request at that server
+uses."""
 
 
 class OrderReply(Enum):
