--- a/tests/soak/mixed_builds.py
+++ b/tests/soak/mixed_builds.py
@@ -40,7 +40,7 @@
 from soak.seeds import Report, run_seeds
 from soak.signals import back_off_servers, drain_and_replace_servers
 from soak.world import DEFAULT_GATEWAYS, SoakWorld
-from test_processes import StreamResult, body_of, expected, read_stream
+from test_processes import StreamResult, expected, read_stream, streaming_body
 
 LAUNCHER = Path(__file__).parent / "build_launcher.py"
 CLIENTS = 24
@@ -252,7 +252,7 @@
 async def _check_resumed_stream(deployment: LocalDeployment) -> list[str]:
     """Check that a stream of a killed router is resumed at the other one with its resume token."""
     first, second = deployment.routers
-    body = body_of(0, STREAM_TOKENS)
+    body = streaming_body(0, STREAM_TOKENS)
     result = StreamResult()
     started = asyncio.Event()
     async with aiohttp.ClientSession() as session:
