--- a/src/milletcourse/exchange/placement/cache_store_plan.py
+++ b/src/milletcourse/exchange/placement/cache_store_plan.py
@@ -65,7 +65,7 @@
         return not (saves_little and _is_overcommitted(store, known, members, reuse_seconds, now))
 
     def on_sent(self, address: str, chain: PromptChain) -> None:
-        """Record an export: a server that was told to export has answered."""
+        """Record an export: the server has answered, so it has read the whole prompt."""
         known = self._stores.setdefault(address, _Store())
         known.sent_tokens += chain.total_tokens
         part = chain.keys[chain.shared - 1]
